--- a/src/quaymill/connection/room_messages.py
+++ b/src/quaymill/connection/slot_messages.py
@@ -62,8 +62,8 @@
     items: int
 
 
-class ClaimRoom(PeerMessage, frozen=True):
-    """Ask for room at a pool of engines; answered by ``RoomGranted``.
+class ClaimSlots(PeerMessage, tag="ClaimRoom", frozen=True):
+    """Ask for room at a pool of engines; answered by ``SlotsGranted``.
 
     Attributes
     ----------
@@ -90,25 +90,25 @@
     done: tuple[RoutePace, ...] = ()
 
 
-class RoomGranted(PeerMessage, frozen=True):
+class SlotsGranted(PeerMessage, tag="RoomGranted", frozen=True):
     """What the coordinator may start, and what it is to give back.
 
     Attributes
     ----------
     starts
         Items that may be started now, for the most urgent ones first.
-    give_back
+    preempt
         Items to be cut, because online requests wait or slots run out.
     paces
         How long items have run of late, over all coordinators.
     """
 
     starts: tuple[ItemsAt, ...] = ()
-    give_back: tuple[ItemsAt, ...] = ()
+    preempt: tuple[ItemsAt, ...] = msgspec.field(name="give_back", default=())
     paces: tuple[RoutePace, ...] = ()
 
 
-class SlownessTold(msgspec.Struct, frozen=True, array_like=True):
+class SlownessReport(msgspec.Struct, frozen=True, array_like=True):
     """What a replica told a gateway of how long work takes there.
 
     Attributes
@@ -133,9 +133,9 @@
 
     Attributes
     ----------
-    told
+    slowness_reports
         New words of replicas that tell how slow they are.
-    departed
+    withdrawn
         Tickets of requests that wait in the line no more.
     """
 
@@ -144,8 +144,8 @@
     in_flight: tuple[ItemsAt, ...]
     pool: int = 0
     pools: int = 1
-    told: tuple[SlownessTold, ...] = ()
-    departed: tuple[str, ...] = ()
+    slowness_reports: tuple[SlownessReport, ...] = msgspec.field(name="told", default=())
+    withdrawn: tuple[str, ...] = msgspec.field(name="departed", default=())
 
 
 class ReplicaLoad(msgspec.Struct, frozen=True, array_like=True):
@@ -156,7 +156,7 @@
     batch: int
 
 
-NO_LINE = -1
+NO_QUEUE = -1
 """In place of a line's length: the keeper keeps none, or is of a build that knows none."""
 
 
@@ -165,12 +165,12 @@
 
     Attributes
     ----------
-    line
-        Requests that wait in the keeper's line, or ``NO_LINE``.
+    queue_length
+        Requests that wait in the keeper's line, or ``NO_QUEUE``.
     """
 
     loads: tuple[ReplicaLoad, ...]
-    line: int = NO_LINE
+    queue_length: int = msgspec.field(name="line", default=NO_QUEUE)
 
 
 class LoadOffset(msgspec.Struct, frozen=True, array_like=True):
@@ -187,7 +187,7 @@
     requests: float
 
 
-class LineTerms(msgspec.Struct, frozen=True, array_like=True):
+class QueueTerms(msgspec.Struct, frozen=True, array_like=True):
     """How a request may wait in the keeper's line; times are in seconds from its sending.
 
     Attributes
@@ -202,7 +202,7 @@
         0 goes first.
     waited_s
         Since it came.
-    aim_in_s, last_call_in_s, left_s
+    target_in_s, dispatch_by_s, left_s
         Time until its first event is late, until its gateway lets it go in any case, and until
         its caller's patience ends.
     service_s, first_byte_s
@@ -214,8 +214,8 @@
     tenant: str | None
     rank: int
     waited_s: float
-    aim_in_s: float
-    last_call_in_s: float
+    target_in_s: float = msgspec.field(name="aim_in_s")
+    dispatch_by_s: float = msgspec.field(name="last_call_in_s")
     left_s: float
     service_s: float
     first_byte_s: float
@@ -232,11 +232,11 @@
         Replicas that have been tried, or fail for this gateway.
     offsets
         Of the replicas for which there are any.
-    told
+    slowness_reports
         New words of replicas that tell how slow they are.
     terms
         How it may wait; ``None`` if it must be placed at once.
-    departed
+    withdrawn
         Tickets of other requests that wait in the line no more.
     """
 
@@ -248,9 +248,9 @@
     offsets: tuple[LoadOffset, ...] = ()
     pool: int = 0
     pools: int = 1
-    told: tuple[SlownessTold, ...] = ()
-    terms: LineTerms | None = None
-    departed: tuple[str, ...] = ()
+    slowness_reports: tuple[SlownessReport, ...] = msgspec.field(name="told", default=())
+    terms: QueueTerms | None = None
+    withdrawn: tuple[str, ...] = msgspec.field(name="departed", default=())
 
 
 class OnlinePlaced(PeerMessage, frozen=True):
@@ -262,9 +262,9 @@
         Empty if every replica of the pool is excluded, or if the request waits or is refused.
     loads
         As the keeper knows them now, this request included.
-    line
-        Requests that wait in the keeper's line, or ``NO_LINE``.
-    waits
+    queue_length
+        Requests that wait in the keeper's line, or ``NO_QUEUE``.
+    queued
         Whether the request has its place in the line.
     retry_after_s
         Set if the request cannot be served before its caller's patience ends: when to come again.
@@ -272,43 +272,46 @@
 
     replica_id: str
     loads: tuple[ReplicaLoad, ...]
-    line: int = NO_LINE
-    waits: bool = False
+    queue_length: int = msgspec.field(name="line", default=NO_QUEUE)
+    queued: bool = msgspec.field(name="waits", default=False)
     retry_after_s: float | None = None
 
 
-class OnlineTurn(msgspec.Struct, frozen=True, array_like=True):
+class OnlineGrant(msgspec.Struct, frozen=True, array_like=True):
     """The turn of a request that waits: it is counted at the replica already."""
 
     ticket: str
     replica_id: str
 
 
-class OnlineTurns(PeerMessage, frozen=True):
-    """Tell a gateway whose turn it is; answered by ``TurnsTaken``."""
+class OnlineGrants(PeerMessage, tag="OnlineTurns", frozen=True):
+    """Tell a gateway whose turn it is; answered by ``GrantsAccepted``."""
 
-    turns: tuple[OnlineTurn, ...]
+    grants: tuple[OnlineGrant, ...] = msgspec.field(name="turns")
 
 
-class TurnsTaken(PeerMessage, frozen=True):
+class GrantsAccepted(PeerMessage, tag="TurnsTaken", frozen=True):
     """The tickets of the requests that go now; the others have left their gateway."""
 
     tickets: tuple[str, ...]
 
 
-class GiveBack(PeerMessage, frozen=True):
-    """Ask a coordinator to cut items at once; answered by ``GivenBack``."""
+class PreemptItems(PeerMessage, tag="GiveBack", frozen=True):
+    """Ask a coordinator to cut items at once; answered by ``ItemsPreempted``."""
 
     items: tuple[ItemsAt, ...]
 
 
-class GivenBack(PeerMessage, frozen=True):
+class ItemsPreempted(PeerMessage, tag="GivenBack", frozen=True):
     """The items are being cut, as far as they still ran."""
 
 
-class RoomFreed(PeerMessage, frozen=True):
-    """Tell a coordinator that there is room for its items; answered by ``RoomFreedNoted``."""
+class SlotsFreed(PeerMessage, tag="RoomFreed", frozen=True):
+    """Tell a coordinator that there is room for its items.
+
+    Answered by ``SlotsFreedAcknowledged``.
+    """
 
 
-class RoomFreedNoted(PeerMessage, frozen=True):
+class SlotsFreedAcknowledged(PeerMessage, tag="RoomFreedNoted", frozen=True):
     """The coordinator claims room at once."""
--- a/src/quaymill/process/front/front_service.py
+++ b/src/quaymill/process/front/front_service.py
@@ -231,7 +231,7 @@
         if isinstance(result, GivenUp | KeyChanged) and not writer.started:
             self._refuse(request, writer, forwarding_refusal(result), read.id, caller)
         elif isinstance(result, GivenUp | CallerLeft):
-            writer.break_off()
+            writer.abort()
         took_s = boot_clock.now() - began
         outcome = _outcome_name(result)
         self._metrics.requests.labels(route.name, outcome).inc()
--- a/src/quaymill/process/front/http_server.py
+++ b/src/quaymill/process/front/http_server.py
@@ -22,7 +22,7 @@
 from quaymill.connection.endpoint import Endpoint
 from quaymill.process.early_listener import LISTEN_BACKLOG
 from quaymill.process.front.head_watch import HeadWatch
-from quaymill.request.answer_buffer import HeldAnswer, HeldAnswers
+from quaymill.request.answer_buffer import BufferedAnswer, BufferedAnswers
 from quaymill.request.forwarded_request import Headers
 from quaymill.request.presence import CallerPresence
 
@@ -206,7 +206,7 @@
         Keeps what the caller is slow to take; ``None`` where writing waits for the caller.
     """
 
-    def __init__(self, request: _HttpRequest, held: HeldAnswer | None = None) -> None:
+    def __init__(self, request: _HttpRequest, held: BufferedAnswer | None = None) -> None:
         self._request = request
         self._held = held
         self.started = False
@@ -265,7 +265,7 @@
         if self._request.method != b"HEAD":
             self.write(body)
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """End the connection; an answer that was begun is seen to be incomplete."""
         self._request.chunked_write = False
         self._request.sent_headers = True
@@ -332,7 +332,7 @@
         unwatch: Callable[[socket.socket], None] = lambda connection: None,
         idle_threads: int = MIN_THREADS,
         listener: socket.socket | None = None,
-        held_answers: HeldAnswers | None = None,
+        held_answers: BufferedAnswers | None = None,
     ) -> None:
         super().__init__(
             (endpoint.host, endpoint.port),
@@ -429,7 +429,7 @@
 
 
 def _gateway(
-    handler: Handler, watch, unwatch, held_answers: HeldAnswers | None
+    handler: Handler, watch, unwatch, held_answers: BufferedAnswers | None
 ) -> type[server.Gateway]:
     """Return the class by which cheroot hands requests to ``handler``."""
 
@@ -437,16 +437,16 @@
         def respond(self) -> None:
             connection = self.req.conn.socket
             presence = watch(connection)
-            held = held_answers and HeldAnswer(held_answers, connection)
+            held = held_answers and BufferedAnswer(held_answers, connection)
             writer = AnswerWriter(self.req, held)
             try:
                 handler(FrontRequest(self.req, presence), writer)
                 writer.finish()
             except OSError:
-                writer.break_off()  # The caller is gone, or its connection broke.
+                writer.abort()  # The caller is gone, or its connection broke.
             except Exception as error:  # A bug must end one request, not the server's thread.
                 log_message("front:handler_error", error=repr(error))
-                writer.break_off()
+                writer.abort()
             finally:
                 writer.drop_held()
                 unwatch(connection)
--- a/src/quaymill/process/gateway/application_calls.py
+++ b/src/quaymill/process/gateway/application_calls.py
@@ -8,8 +8,8 @@
 from quaymill.connection.replica_connection import Exchange, ReplicaRequest
 from quaymill.process.replicas.replica import ReplicaView
 from quaymill.request.attempt import RequestAttempts
+from quaymill.request.first_byte_wait import wait_for_first_byte
 from quaymill.request.outcome import Failure, OutcomeUnknown
-from quaymill.request.patience import wait_for_first_byte
 
 
 class ApplicationCall(msgspec.Struct, frozen=True):
--- a/src/quaymill/process/gateway/completions.py
+++ b/src/quaymill/process/gateway/completions.py
@@ -35,16 +35,16 @@
 from quaymill.process.replicas.router import Router
 from quaymill.request.attempt import RequestAttempts
 from quaymill.request.deadline import TIMEOUT_HEADER, deadline_from_header
-from quaymill.request.outcome import Failure, NotRun, OutcomeUnknown
-from quaymill.request.patience import (
+from quaymill.request.first_byte_wait import (
     FIRST_BYTE_PATIENCE_BUSY_S,
     FIRST_BYTE_PATIENCE_S,
     wait_for_first_byte,
 )
+from quaymill.request.outcome import Failure, NotRun, OutcomeUnknown
 from quaymill.request.presence import CallerGoneError
 from quaymill.request.relay import OpenStream, StreamRelay
 from quaymill.request.retry_budget import RetryBudget
-from quaymill.request.waiting_room import WaitingRooms
+from quaymill.request.service_queue import ServiceQueues
 from quaymill.request.whole_answer import assemble
 from quaymill.version.configuration import ServiceKind
 
@@ -82,7 +82,7 @@
         engine_client: EngineClient,
         notifier: PreemptionNotifier,
         budget: RetryBudget,
-        waiting_rooms: WaitingRooms,
+        waiting_rooms: ServiceQueues,
         max_body_bytes: int,
     ) -> None:
         self._holder = holder
--- a/src/quaymill/process/gateway/gateway.py
+++ b/src/quaymill/process/gateway/gateway.py
@@ -45,7 +45,7 @@
 from quaymill.request.outcome import Failed, NotRun
 from quaymill.request.presence import CallerGoneError, CallerPresence
 from quaymill.request.retry_budget import RetryBudget
-from quaymill.request.waiting_room import WaitingRooms
+from quaymill.request.service_queue import ServiceQueues
 
 if TYPE_CHECKING:
     from quaymill.process.job_store.client import JobStoreClient
@@ -87,7 +87,7 @@
         links = link_filter or LinkFilter()
         max_body_bytes = settings.gateway.max_body_bytes
         budget = RetryBudget()
-        waiting_rooms = WaitingRooms(settings.gateway.queue_limit)
+        waiting_rooms = ServiceQueues(settings.gateway.queue_limit)
         self.routes = RouteTable()
         self.metrics = GatewayMetrics()
         self.admission = Admission(settings.gateway.admission_limit)
--- a/src/quaymill/process/gateway/services.py
+++ b/src/quaymill/process/gateway/services.py
@@ -22,7 +22,7 @@
 from quaymill.request.deadline import TIMEOUT_HEADER, deadline_from_header
 from quaymill.request.outcome import FAILED, OUTCOME_HEADER, Failure, NotRun
 from quaymill.request.retry_budget import RetryBudget
-from quaymill.request.waiting_room import WaitingRooms
+from quaymill.request.service_queue import ServiceQueues
 from quaymill.version.configuration import Service, ServiceKind
 
 MAX_KEY_CHARACTERS = 255
@@ -40,7 +40,7 @@
         application_client: ApplicationClient,
         at_most_once: AtMostOnceCalls,
         budget: RetryBudget,
-        waiting_rooms: WaitingRooms,
+        waiting_rooms: ServiceQueues,
         max_body_bytes: int,
     ) -> None:
         self._holder = holder
--- a/src/quaymill/process/gateway_node.py
+++ b/src/quaymill/process/gateway_node.py
@@ -14,7 +14,7 @@
 from quaymill.connection.endpoint import Endpoint, LinkFilter
 from quaymill.connection.object_store import ObjectStore
 from quaymill.connection.replica_connection import ReplicaConnections
-from quaymill.connection.room_messages import LineTerms
+from quaymill.connection.slot_messages import QueueTerms
 from quaymill.process.control.state import ControlPlaneView, ControlProtocol
 from quaymill.process.control.store_sharing import SharingStore
 from quaymill.process.front.caller_protocol import CallerProtocol
@@ -25,6 +25,7 @@
 from quaymill.process.gateway.caller_watch import CallerWatch
 from quaymill.process.gateway_gauges import add_gauges, add_line_gauge, add_replica_gauge
 from quaymill.process.gateway_parts import build_circuit_store, build_limiter
+from quaymill.process.jobs.allocator_calls import AllocatorCalls
 from quaymill.process.jobs.batch_quota import BatchQuota
 from quaymill.process.jobs.coordinated_job import ORDER_TERM_SHARE
 from quaymill.process.jobs.coordinator import JobCoordinator
@@ -34,15 +35,14 @@
 from quaymill.process.jobs.job_lookup import JobLookup
 from quaymill.process.jobs.lease_renewal import LeaseRenewal
 from quaymill.process.jobs.listing import JobListings
-from quaymill.process.jobs.online_notices import OnlineNotices
+from quaymill.process.jobs.online_reporter import OnlineReporter
 from quaymill.process.jobs.quota_ledger import QuotaLedgers
 from quaymill.process.jobs.quota_sweep import LedgerSweep
 from quaymill.process.jobs.result_publisher import PublisherParts
 from quaymill.process.jobs.result_reader import ResultReader
-from quaymill.process.jobs.room_claims import RoomClaims
-from quaymill.process.jobs.room_keeper import RoomKeeper
-from quaymill.process.jobs.room_orders import RoomOrders
 from quaymill.process.jobs.service import JobService
+from quaymill.process.jobs.slot_allocator import SlotAllocator
+from quaymill.process.jobs.slot_claims import SlotClaims
 from quaymill.process.jobs.storage_client import JobStorageClient
 from quaymill.process.jobs.submission_relay import SubmissionRelay
 from quaymill.process.membership.ranking import rank_nodes
@@ -52,13 +52,13 @@
 from quaymill.process.poison.guard import CrashGuard
 from quaymill.process.poison.sharing import CrashSharing
 from quaymill.process.process_context import ProcessContext
-from quaymill.process.replica_set.online_queue import InLine, OnlineQueue
+from quaymill.process.replica_set.online_queue import OnlineQueue, Queued
 from quaymill.process.replica_set.replica import Replica
 from quaymill.process.replica_set.router import Router
 from quaymill.process.replica_set.table import ReplicaTable
 from quaymill.process.replica_set.warnings import ReplicaWarnings
 from quaymill.process.serving_settings import MS_PER_S, ServingSettings
-from quaymill.request.answer_buffer import HeldAnswers
+from quaymill.request.answer_buffer import BufferedAnswers
 from quaymill.request.forwarded_request import ForwardedRequest
 from quaymill.request.forwarding import Forwarder, ReplicaProtocol
 from quaymill.request.poison import PoisonRecords
@@ -196,25 +196,25 @@
             lambda replica: self._notices.give_back(replica),
             lambda service, ticket: self._notices.depart(service, ticket),
         )
-        self._orders = RoomOrders(
+        self._orders = AllocatorCalls(
             self.network.process_name,
             lambda items: self.coordinator.give_back(items),
             lambda: self.coordinator.wake(),
             self.network.client,
             self.network.server,
             self.network.process,
-            lambda turns: self._notices.take_turns(turns),
-            lambda turn, taken: self._keeper.turn_answered(turn, taken),
+            lambda turns: self._notices.accept_grants(turns),
+            lambda turn, taken: self._keeper.grant_answered(turn, taken),
         )
-        self._keeper = RoomKeeper(
+        self._keeper = SlotAllocator(
             self._table,
             self._loads,
             self.network.server,
             self._orders.send,
             self._orders.wake,
-            self._orders.send_turn,
+            self._orders.send_grant,
         )
-        self._notices = OnlineNotices(
+        self._notices = OnlineReporter(
             settings.name,
             settings.zone,
             self._table,
@@ -222,12 +222,12 @@
             self.network.client,
             self.network.gateways,
             lambda: self.control.routes.batch_services,
-            self._queue.look_again,
+            self._queue.recheck,
             self.network.reach.reachable,
-            line_lost=self._queue.leave_line,
-            release=self._queue.take_turn,
+            allocator_lost=self._queue.leave_allocator_queue,
+            release=self._queue.accept_grant,
         )
-        claims = RoomClaims(
+        claims = SlotClaims(
             settings.name,
             self._keeper,
             self.network.client,
@@ -242,7 +242,7 @@
                 choose_service=self._router.choose_service,
                 table=self._table,
                 connections=self._connections,
-                claim_room=claims.claim,
+                claim_slots=claims.claim,
                 protocol=protocol.items,
                 guard=self._guard,
             ),
@@ -285,7 +285,7 @@
         self._registry = NodeRegistry(
             self._circuit_store, self.network.membership, self._lacks_peers
         )
-        self._held_answers = HeldAnswers.within_memory(settings.machine.memory_mb)
+        self._held_answers = BufferedAnswers.within_memory(settings.machine.memory_mb)
         self._metrics = FrontMetrics(CollectorRegistry())
         self._add_gauges()
         self._front = self._build_front(protocol)
@@ -307,10 +307,10 @@
         )
 
     def _ask_turn(
-        self, service: str, request: ForwardedRequest, terms: LineTerms
-    ) -> Replica | InLine | CannotServeInTime | None:
-        found = self._router.wishes_of(service, request.prompt)
-        return None if found is None else self._notices.ask_turn(*found, terms)
+        self, service: str, request: ForwardedRequest, terms: QueueTerms
+    ) -> Replica | Queued | CannotServeInTime | None:
+        found = self._router.constraints_of(service, request.prompt)
+        return None if found is None else self._notices.request_slot(*found, terms)
 
     def _limits_of(self, tenant: str) -> TenantLimits | None:
         found = (self.control.routes.tenants or {}).get(tenant)
--- a/src/quaymill/process/jobs/room_orders.py
+++ b/src/quaymill/process/jobs/allocator_calls.py
@@ -17,17 +17,17 @@
 from quaymill.connection.member import Member
 from quaymill.connection.peer_link import PeerClient
 from quaymill.connection.peer_server import PeerServer
-from quaymill.connection.room_messages import (
-    GiveBack,
-    GivenBack,
+from quaymill.connection.slot_messages import (
+    GrantsAccepted,
     ItemsAt,
-    OnlineTurn,
-    OnlineTurns,
-    RoomFreed,
-    RoomFreedNoted,
-    TurnsTaken,
+    ItemsPreempted,
+    OnlineGrant,
+    OnlineGrants,
+    PreemptItems,
+    SlotsFreed,
+    SlotsFreedAcknowledged,
 )
-from quaymill.process.jobs.turn_giving import GivenTurn
+from quaymill.process.jobs.slot_grants import SlotGrant
 
 ORDER_TIMEOUT_S = 0.2
 """A coordinator that takes longer hears of it with its next claim: the engine still shows it."""
@@ -48,10 +48,10 @@
 
     owed: Counter[str] = attrs.field(factory=Counter)
     room_is_free: bool = False
-    turns: list[GivenTurn] = attrs.field(factory=list)
+    turns: list[SlotGrant] = attrs.field(factory=list)
 
 
-class RoomOrders:
+class AllocatorCalls:
     """Sends and takes orders; safe to use from any thread.
 
     Parameters
@@ -60,13 +60,13 @@
         Of this process's coordinator.
     give_back
         Cuts items of this process's coordinator.
-    claim_room
+    claim_slots
         Makes this process's coordinator claim room at once.
     process
         Returns where a process runs; ``None`` if it is gone.
-    take_turns
+    accept_grants
         Lets requests of this process go; returns the tickets of those that do.
-    turn_answered
+    grant_answered
         Hears for each turn that was sent whether it was taken; ``None`` if its gateway's process
         is gone.
     """
@@ -75,29 +75,29 @@
         self,
         process_name: str,
         give_back: Callable[[tuple[ItemsAt, ...]], None],
-        claim_room: Callable[[], None],
+        claim_slots: Callable[[], None],
         client: PeerClient,
         server: PeerServer,
         process: Callable[[str], Member | None],
-        take_turns: Callable[[tuple[OnlineTurn, ...]], tuple[str, ...]] = lambda turns: (),
-        turn_answered: Callable[[GivenTurn, bool | None], None] = lambda turn, taken: None,
+        accept_grants: Callable[[tuple[OnlineGrant, ...]], tuple[str, ...]] = lambda turns: (),
+        grant_answered: Callable[[SlotGrant, bool | None], None] = lambda turn, taken: None,
     ) -> None:
         self._process_name = process_name
         self._give_back = give_back
-        self._claim_room = claim_room
+        self._claim_room = claim_slots
         self._client = client
         self._process = process
-        self._take_turns = take_turns
-        self._turn_answered = turn_answered
+        self._take_turns = accept_grants
+        self._turn_answered = grant_answered
         self._changed = threading.Condition()
         self._waiting: dict[str, _Pending] = {}
         self._being_told: set[str] = set()
         self._senders = 0
         self._idle_senders = 0
         self._stopping = False
-        server.register(GiveBack, self._answer)
-        server.register(RoomFreed, self._answer_room_freed)
-        server.register(OnlineTurns, self._answer_turns)
+        server.register(PreemptItems, self._answer)
+        server.register(SlotsFreed, self._answer_room_freed)
+        server.register(OnlineGrants, self._answer_turns)
 
     def stop(self) -> None:
         """Send nothing more."""
@@ -124,8 +124,8 @@
             self._waiting.setdefault(coordinator, _Pending()).room_is_free = True
             self._call_sender()
 
-    def send_turn(self, turn: GivenTurn) -> None:
-        """Have a gateway told whose turn it is; ``turn_answered`` hears what came of it."""
+    def send_grant(self, turn: SlotGrant) -> None:
+        """Have a gateway told whose turn it is; ``grant_answered`` hears what came of it."""
         with self._changed:
             self._waiting.setdefault(turn.process, _Pending()).turns.append(turn)
             self._call_sender()
@@ -181,13 +181,15 @@
         if pending.owed:
             # A coordinator that cuts items claims again by itself: it need not be woken.
             items = tuple(ItemsAt(replica_id, count) for replica_id, count in pending.owed.items())
-            reply = self._client.call(member.peer, GiveBack(items), GivenBack, ORDER_TIMEOUT_S)
-            if not isinstance(reply, GivenBack):
+            reply = self._client.call(
+                member.peer, PreemptItems(items), ItemsPreempted, ORDER_TIMEOUT_S
+            )
+            if not isinstance(reply, ItemsPreempted):
                 log_message("batch:order_unanswered", coordinator=coordinator)
         elif pending.room_is_free:
-            self._client.call(member.peer, RoomFreed(), RoomFreedNoted, ORDER_TIMEOUT_S)
+            self._client.call(member.peer, SlotsFreed(), SlotsFreedAcknowledged, ORDER_TIMEOUT_S)
 
-    def _tell_turns(self, member: Member | None, turns: list[GivenTurn]) -> None:
+    def _tell_turns(self, member: Member | None, turns: list[SlotGrant]) -> None:
         taken: tuple[str, ...] | None = ()
         try:
             taken = None if member is None else self._call_for_turns(member, turns)
@@ -196,24 +198,26 @@
         for turn in turns:
             self._turn_answered(turn, None if taken is None else turn.ticket in taken)
 
-    def _call_for_turns(self, member: Member, turns: list[GivenTurn]) -> tuple[str, ...]:
+    def _call_for_turns(self, member: Member, turns: list[SlotGrant]) -> tuple[str, ...]:
         """Tell a gateway of turns; return the tickets of the requests that go."""
         messages = tuple(turn.message for turn in turns)
         if turns[0].process == self._process_name:
             return self._take_turns(messages)
-        reply = self._client.call(member.peer, OnlineTurns(messages), TurnsTaken, TURN_TIMEOUT_S)
-        if isinstance(reply, TurnsTaken):
+        reply = self._client.call(
+            member.peer, OnlineGrants(messages), GrantsAccepted, TURN_TIMEOUT_S
+        )
+        if isinstance(reply, GrantsAccepted):
             return reply.tickets
         log_message("line:turn_unanswered", gateway=turns[0].gateway, turns=len(turns))
         return ()
 
-    def _answer_turns(self, message: OnlineTurns) -> TurnsTaken:
-        return TurnsTaken(self._take_turns(message.turns))
+    def _answer_turns(self, message: OnlineGrants) -> GrantsAccepted:
+        return GrantsAccepted(self._take_turns(message.grants))
 
-    def _answer_room_freed(self, message: RoomFreed) -> RoomFreedNoted:
+    def _answer_room_freed(self, message: SlotsFreed) -> SlotsFreedAcknowledged:
         self._claim_room()
-        return RoomFreedNoted()
+        return SlotsFreedAcknowledged()
 
-    def _answer(self, message: GiveBack) -> GivenBack:
+    def _answer(self, message: PreemptItems) -> ItemsPreempted:
         self._give_back(message.items)
-        return GivenBack()
+        return ItemsPreempted()
--- a/src/quaymill/process/jobs/coordinator.py
+++ b/src/quaymill/process/jobs/coordinator.py
@@ -20,7 +20,7 @@
     KeyedResult,
     RenewJobs,
 )
-from quaymill.connection.room_messages import ItemsAt
+from quaymill.connection.slot_messages import ItemsAt
 from quaymill.process.jobs.coordinated_job import CoordinatedJob, ItemState
 from quaymill.process.jobs.item_dispatcher import DispatcherParts, ItemDispatcher
 from quaymill.process.jobs.lease_renewal import LeaseRenewal
--- a/src/quaymill/process/jobs/item_dispatcher.py
+++ b/src/quaymill/process/jobs/item_dispatcher.py
@@ -17,7 +17,7 @@
 from quaymill import boot_clock
 from quaymill.connection.job_document import Job, ResultState
 from quaymill.connection.replica_connection import ReplicaConnections
-from quaymill.connection.room_messages import ClaimRoom, ItemsAt, RunningAt, WantedItems
+from quaymill.connection.slot_messages import ClaimSlots, ItemsAt, RunningAt, WantedItems
 from quaymill.process.jobs.coordinated_job import CoordinatedJob, ItemState, RunningItem
 from quaymill.process.jobs.engine_pool import EnginePool, pools_of
 from quaymill.process.jobs.item_run import (
@@ -31,8 +31,8 @@
     content_of_item,
     run_item,
 )
-from quaymill.process.jobs.item_urgency import HOPELESS_DUE_S, RoutePaces, time_left_s
-from quaymill.process.jobs.room_claims import ClaimRoomCall
+from quaymill.process.jobs.item_urgency import INFEASIBLE_DUE_S, RoutePaces, time_left_s
+from quaymill.process.jobs.slot_claims import ClaimSlotsCall
 from quaymill.process.replica_set.replica import Replica
 from quaymill.process.replica_set.table import ReplicaTable
 from quaymill.request.poison import NoGuard, PoisonGuard
@@ -70,7 +70,7 @@
     choose_service: Callable[[RequestRoute], str]
     table: ReplicaTable
     connections: ReplicaConnections
-    claim_room: ClaimRoomCall
+    claim_slots: ClaimSlotsCall
     protocol: ItemProtocol
     guard: PoisonGuard = attrs.field(factory=NoGuard)
 
@@ -210,8 +210,8 @@
         avoided: tuple[str, ...],
     ) -> None:
         """Claim room in one pool, and do as the answer says."""
-        granted = self._parts.claim_room(
-            ClaimRoom(
+        granted = self._parts.claim_slots(
+            ClaimSlots(
                 self._parts.name,
                 self._parts.zone,
                 pool.service,
@@ -220,13 +220,13 @@
                 avoided,
                 pool.index,
                 pool.pools,
-                self._paces.take_untold(),
+                self._paces.take_unreported(),
             )
         )
         if granted is None:
             return
         self._paces.adopt(granted.paces)
-        for at in granted.give_back:
+        for at in granted.preempt:
             self._give_way(running, at)
         waiting = iter(self._waiting(jobs))
         for at in granted.starts:
@@ -411,7 +411,7 @@
     """Return one group of items that are due at the same time."""
     route = waiting[0].job.route
     due_s = route.due_s if route else 0.0
-    left_share = min(1.0, left_s / due_s) if due_s and left_s < HOPELESS_DUE_S else 0.0
+    left_share = min(1.0, left_s / due_s) if due_s and left_s < INFEASIBLE_DUE_S else 0.0
     shares = (share for least, share in RESERVE_SHARES if left_share >= least)
     return WantedItems(
         next(shares, RESERVE_SHARES[-1][1]),
--- a/src/quaymill/process/jobs/item_urgency.py
+++ b/src/quaymill/process/jobs/item_urgency.py
@@ -9,10 +9,10 @@
 import threading
 from collections.abc import Iterable
 
-from quaymill.connection.room_messages import RoutePace
+from quaymill.connection.slot_messages import RoutePace
 from quaymill.process.jobs.coordinated_job import CoordinatedJob, RunningItem
 
-HOPELESS_DUE_S = 1e6
+INFEASIBLE_DUE_S = 1e6
 """Stands for the time left of a hopeless item: after every other one."""
 SAFE_FACTOR = 1.2
 """By how much the time left must exceed the time that an item is expected to need yet, or it is
@@ -79,7 +79,7 @@
             self._untold.append(done)
             self._add(done)
 
-    def take_untold(self) -> tuple[RoutePace, ...]:
+    def take_unreported(self) -> tuple[RoutePace, ...]:
         """Return what was recorded since the last call."""
         with self._lock:
             untold, self._untold = tuple(self._untold), []
@@ -112,7 +112,7 @@
 
 
 def time_left_s(job: CoordinatedJob, item: RunningItem, now: float, pace: RunPace) -> float:
-    """Return the time until an item is due; ``HOPELESS_DUE_S`` if it cannot be done by then.
+    """Return the time until an item is due; ``INFEASIBLE_DUE_S`` if it cannot be done by then.
 
     Parameters
     ----------
@@ -121,7 +121,7 @@
     """
     left_s = job.due_at() - now
     if left_s <= SAFE_FACTOR * pace.remaining_s(len(item.texts)):
-        return HOPELESS_DUE_S
+        return INFEASIBLE_DUE_S
     return left_s
 
 
--- a/src/quaymill/process/jobs/online_notices.py
+++ b/src/quaymill/process/jobs/online_reporter.py
@@ -21,25 +21,25 @@
 from quaymill.connection.member import Member
 from quaymill.connection.peer_link import PeerClient
 from quaymill.connection.replica_entry import SlownessReading
-from quaymill.connection.room_messages import (
-    NO_LINE,
+from quaymill.connection.slot_messages import (
+    NO_QUEUE,
     ItemsAt,
-    LineTerms,
     LoadOffset,
+    OnlineGrant,
     OnlineInFlight,
     OnlinePlaced,
-    OnlineTurn,
     PlaceOnline,
     PoolLoads,
+    QueueTerms,
     ReplicaLoad,
-    SlownessTold,
+    SlownessReport,
 )
 from quaymill.process.jobs.engine_pool import EnginePool, pool_of, pools_of
-from quaymill.process.jobs.room_claims import KeeperChoice, ReachableOf
-from quaymill.process.jobs.room_keeper import RoomKeeper
-from quaymill.process.replica_set.online_queue import IN_LINE, InLine
+from quaymill.process.jobs.slot_allocator import SlotAllocator
+from quaymill.process.jobs.slot_claims import AllocatorChoice, ReachableOf
+from quaymill.process.replica_set.online_queue import QUEUED, Queued
 from quaymill.process.replica_set.replica import Replica
-from quaymill.process.replica_set.router import PlacementWishes
+from quaymill.process.replica_set.router import PlacementConstraints
 from quaymill.process.replica_set.table import ReplicaTable
 from quaymill.request.replica_choice import CannotServeInTime, ChosenReplica
 
@@ -69,7 +69,7 @@
 four times as long, and the loads that come back for twice as long."""
 
 
-class OnlineNotices:
+class OnlineReporter:
     """Notices of one gateway; ``note`` is safe to use from any thread.
 
     Parameters
@@ -84,7 +84,7 @@
         Called when a keeper has told the loads of a pool.
     reachable
         Returns those of some gateways that can be reached.
-    line_lost
+    allocator_lost
         Called when a keeper did not answer: what waits in its line decides by itself.
     release
         Lets a request go whose turn has come, by its ticket and the replica's id; returns whether
@@ -96,13 +96,13 @@
         own_name: str,
         zone: str,
         table: ReplicaTable,
-        keeper: RoomKeeper,
+        keeper: SlotAllocator,
         client: PeerClient,
         gateways: Callable[[], tuple[Member, ...]],
         batch_services: Callable[[], Collection[str]],
         loads_changed: Callable[[], None] = lambda: None,
         reachable: ReachableOf = tuple,
-        line_lost: Callable[[], None] = lambda: None,
+        allocator_lost: Callable[[], None] = lambda: None,
         release: Callable[[str, str], bool] = lambda ticket, replica_id: False,
     ) -> None:
         self._own_name = own_name
@@ -111,10 +111,10 @@
         self._keeper = keeper
         self._client = client
         self._gateways = gateways
-        self._keepers = KeeperChoice(gateways, reachable)
+        self._keepers = AllocatorChoice(gateways, reachable)
         self._batch_services = batch_services
         self._loads_changed = loads_changed
-        self._line_lost = line_lost
+        self._line_lost = allocator_lost
         self._release = release
         self._line_keepers: set[str] = set()
         self._departed_by_service: dict[str, list[str]] = {}
@@ -139,7 +139,7 @@
         self._stopping.set()
         self._news.set()
 
-    def place(self, first: Replica, wishes: PlacementWishes) -> Replica | None:
+    def place(self, first: Replica, wishes: PlacementConstraints) -> Replica | None:
         """Ask the keeper for a place in a replica's pool; ``None`` if there is no answer at once.
 
         The request is counted at the place by the keeper, and by ``began`` here.
@@ -147,9 +147,9 @@
         answer = self._ask(first, wishes, None)
         return answer if isinstance(answer, Replica) else None
 
-    def ask_turn(
-        self, first: Replica, wishes: PlacementWishes, terms: LineTerms
-    ) -> Replica | InLine | CannotServeInTime | None:
+    def request_slot(
+        self, first: Replica, wishes: PlacementConstraints, terms: QueueTerms
+    ) -> Replica | Queued | CannotServeInTime | None:
         """Ask the keeper for a place now, or in its line.
 
         ``None`` if it does not answer at once, or is not known to keep a line.
@@ -157,13 +157,13 @@
         return self._ask(first, wishes, terms)
 
     def _ask(
-        self, first: Replica, wishes: PlacementWishes, terms: LineTerms | None
-    ) -> Replica | InLine | CannotServeInTime | None:
+        self, first: Replica, wishes: PlacementConstraints, terms: QueueTerms | None
+    ) -> Replica | Queued | CannotServeInTime | None:
         now = boot_clock.now()
         if now < self._place_again_at or first.entry.service not in self._batch_services():
             return None
         pool = pool_of(first, self._table)
-        keeper = self._keepers.keeper_of(pool.service, pool.index)
+        keeper = self._keepers.allocator_of(pool.service, pool.index)
         if terms is not None and self._name_of(keeper) not in self._line_keepers:
             return None
         with self._lock:
@@ -185,7 +185,7 @@
         self._take_loads(pool, placed.loads, counts)
         if placed.retry_after_s is not None:
             return CannotServeInTime("more waits than can be served in time", placed.retry_after_s)
-        return IN_LINE if placed.waits else self._take_place(placed)
+        return QUEUED if placed.queued else self._take_place(placed)
 
     def _take_place(self, placed: OnlinePlaced) -> Replica | None:
         """Count a place until its request begins; ``None`` if it cannot be used."""
@@ -199,11 +199,11 @@
                 self._changed = True
         return chosen if usable else None
 
-    def take_turns(self, turns: Iterable[OnlineTurn]) -> tuple[str, ...]:
+    def accept_grants(self, turns: Iterable[OnlineGrant]) -> tuple[str, ...]:
         """Let requests go whose turn has come; return the tickets of those that go."""
         return tuple(turn.ticket for turn in turns if self._take_turn(turn))
 
-    def _take_turn(self, turn: OnlineTurn) -> bool:
+    def _take_turn(self, turn: OnlineGrant) -> bool:
         # Counted first: the request may begin before this returns.
         with self._lock:
             self._placed[turn.replica_id] += 1
@@ -244,8 +244,8 @@
         member: Member | None,
         pool: EnginePool,
         counts: dict[str, int],
-        wishes: PlacementWishes,
-        terms: LineTerms | None,
+        wishes: PlacementConstraints,
+        terms: QueueTerms | None,
     ) -> OnlinePlaced | None:
         message = PlaceOnline(
             self._own_name,
@@ -265,14 +265,14 @@
         else:
             reply = self._client.call(member.peer, message, OnlinePlaced, PLACE_TIMEOUT_S)
         if isinstance(reply, OnlinePlaced):
-            self._note_line(member, reply.line)
+            self._note_line(member, reply.queue_length)
             return reply
         log_message("request:not_placed", service=pool.service, keeper=member.name)
         return None
 
     def _note_line(self, member: Member | None, length: int) -> None:
         """Note whether a keeper keeps a line."""
-        if length == NO_LINE:
+        if length == NO_QUEUE:
             self._line_keepers.discard(self._name_of(member))
         else:
             self._line_keepers.add(self._name_of(member))
@@ -308,7 +308,7 @@
     def ended(self, replica: ChosenReplica) -> None:
         """Note that an online request at a replica has ended."""
         # Counted whatever the service: it may gain or lose its batch routes before the end.
-        heard = replica.told_slowness()
+        heard = replica.reported_slowness()
         with self._lock:
             self._in_flight[replica.id] -= 1
             self._changed = True
@@ -317,7 +317,7 @@
         if self._ends_matter:
             self._news.set()
 
-    def _take_heard(self, pool: EnginePool) -> tuple[SlownessTold, ...]:
+    def _take_heard(self, pool: EnginePool) -> tuple[SlownessReport, ...]:
         """Take what replicas of a pool have told here of how slow they are, unless it is old."""
         if not self._heard:
             return ()
@@ -328,11 +328,11 @@
                 for name in list(self._heard)
                 if (replica := self._table.get(name)) is None or pool.holds(replica)
             ]
-        keeper = self._keepers.keeper_of(pool.service, pool.index)
+        keeper = self._keepers.allocator_of(pool.service, pool.index)
         if self._is_own(keeper):
             return ()  # This process's keeper knows already.
         return tuple(
-            SlownessTold(name, reading.slowness, round(now - reading.at, 3))
+            SlownessReport(name, reading.slowness, round(now - reading.at, 3))
             for name, reading in heard
             if now - reading.at < HEARD_LIFETIME_S
         )
@@ -408,16 +408,16 @@
         self._loads_changed()
 
     def _call_keeper(self, message: OnlineInFlight) -> PoolLoads | None:
-        member = self._keepers.keeper_of(message.service, message.pool)
+        member = self._keepers.allocator_of(message.service, message.pool)
         if self._is_own(member):
-            reply = self._keeper.note_online(message)
+            reply = self._keeper.record_online(message)
         else:
             reply = self._client.call(member.peer, message, PoolLoads, NOTICE_TIMEOUT_S)
         if isinstance(reply, PoolLoads):
-            self._note_line(member, reply.line)
+            self._note_line(member, reply.queue_length)
             return reply
         self._keepers.avoid(message.service, member)
-        self._note_line(member, NO_LINE)
+        self._note_line(member, NO_QUEUE)
         self._line_lost()
         return None
 
--- a/src/quaymill/process/jobs/pool_counts.py
+++ b/src/quaymill/process/jobs/pool_counts.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from quaymill.connection.room_messages import ClaimRoom, ReplicaLoad
+from quaymill.connection.slot_messages import ClaimSlots, ReplicaLoad
 from quaymill.process.replica_set.replica import Replica, online_load
 
 
@@ -55,7 +55,7 @@
     at: float
 
     @classmethod
-    def from_message(cls, message: ClaimRoom, now: float) -> Claim:
+    def from_message(cls, message: ClaimSlots, now: float) -> Claim:
         """Note what a claim says, with times on this process's clock."""
         return cls(
             [
--- a/src/quaymill/process/jobs/waiting_line.py
+++ b/src/quaymill/process/jobs/pool_queue.py
@@ -12,9 +12,9 @@
 
 import attrs
 
-from quaymill.connection.room_messages import PlaceOnline
+from quaymill.connection.slot_messages import PlaceOnline
+from quaymill.request.dispatch_order import dispatch_order
 from quaymill.request.fair_shares import FairShares
-from quaymill.request.turns import turn_order
 
 TURN_WAY_S = 0.02
 """From a slot's end to the next request's start there, beyond what an engine takes: three messages
@@ -25,14 +25,14 @@
 
 
 @attrs.frozen(eq=False)
-class Waiter:
+class QueuedRequest:
     """A request that waits in the line.
 
     Attributes
     ----------
     asked
         What its gateway asked with, its terms included.
-    came_at, aim_at, last_call_at, gone_at
+    came_at, target_at, dispatch_by, gone_at
         Monotonic times: when it came, when its first event is late, when its gateway lets it go
         in any case, and when its caller's patience ends.
     start_tag
@@ -41,8 +41,8 @@
 
     asked: PlaceOnline
     came_at: float
-    aim_at: float
-    last_call_at: float
+    target_at: float
+    dispatch_by: float
     gone_at: float
     start_tag: float
 
@@ -57,12 +57,12 @@
         return self.asked.terms.process
 
 
-class WaitingLine:
+class PoolQueue:
     """Who waits for one pool."""
 
     def __init__(self) -> None:
         self._shares = FairShares()
-        self._waiter_by_ticket: dict[str, Waiter] = {}
+        self._waiter_by_ticket: dict[str, QueuedRequest] = {}
 
     def __len__(self) -> int:
         return len(self._waiter_by_ticket)
@@ -72,16 +72,16 @@
         """Tenants that have requests in the line."""
         return len({one.asked.terms.tenant for one in self.waiters()})
 
-    def join(self, asked: PlaceOnline, now: float) -> Waiter:
+    def join(self, asked: PlaceOnline, now: float) -> QueuedRequest:
         """Put a request into the line; one that asks again keeps its number."""
         terms = asked.terms
         before = self._waiter_by_ticket.get(terms.ticket)
         tag = before.start_tag if before else self._shares.start_tag(terms.tenant)
-        waiter = Waiter(
+        waiter = QueuedRequest(
             asked,
             now - terms.waited_s,
-            now + terms.aim_in_s,
-            now + terms.last_call_in_s,
+            now + terms.target_in_s,
+            now + terms.dispatch_by_s,
             now + terms.left_s,
             tag,
         )
@@ -92,11 +92,11 @@
         """Count a tenant's request that goes without waiting."""
         self._shares.serve(self._shares.start_tag(tenant))
 
-    def waiters(self) -> tuple[Waiter, ...]:
+    def waiters(self) -> tuple[QueuedRequest, ...]:
         """Return who waits, in no order."""
         return tuple(self._waiter_by_ticket.values())
 
-    def ordered(self, now: float) -> list[Waiter]:
+    def ordered(self, now: float) -> list[QueuedRequest]:
         """Return who waits, whose turn is next first; those past their last call are dropped.
 
         Their gateways let them go by themselves.
@@ -106,15 +106,15 @@
 
     def _forget_past(self, now: float) -> None:
         for waiter in self.waiters():
-            if waiter.last_call_at < now:
+            if waiter.dispatch_by < now:
                 self.leave(waiter)
 
-    def serve(self, waiter: Waiter) -> None:
+    def serve(self, waiter: QueuedRequest) -> None:
         """Take a request out whose turn has come."""
         self._waiter_by_ticket.pop(waiter.ticket, None)
         self._shares.serve(waiter.start_tag)
 
-    def leave(self, waiter: Waiter) -> None:
+    def leave(self, waiter: QueuedRequest) -> None:
         """Take a request out that will not be served from here."""
         self._waiter_by_ticket.pop(waiter.ticket, None)
         self._shares.take_back(waiter.asked.terms.tenant)
@@ -133,14 +133,14 @@
             self.leave(waiter)
         return len(dropped)
 
-    def wait_s(self, waiter: Waiter, slots: int, now: float) -> float:
+    def wait_s(self, waiter: QueuedRequest, slots: int, now: float) -> float:
         """Return how long a request waits at least, at the pace of ``slots`` slots."""
         service_s = waiter.asked.terms.service_s
         mine = _order(waiter, now)
         ahead = sum(_order(one, now) < mine for one in self._waiter_by_ticket.values())
         return ahead * service_s / max(1, slots)
 
-    def retry_after_s(self, waiter: Waiter, slots: int, now: float) -> float | None:
+    def retry_after_s(self, waiter: QueuedRequest, slots: int, now: float) -> float | None:
         """Return after how many seconds a request may come again; ``None`` if it may be served.
 
         It cannot be if its expected wait is ``SURE_FACTOR`` times what its caller waits yet; once
@@ -156,7 +156,9 @@
         return None if wait_s <= SURE_FACTOR * left_s else wait_s - left_s
 
 
-def _order(waiter: Waiter, now: float) -> tuple[bool, int, float, float]:
+def _order(waiter: QueuedRequest, now: float) -> tuple[bool, int, float, float]:
     terms = waiter.asked.terms
     needs_s = terms.first_byte_s + TURN_WAY_S
-    return turn_order(waiter.aim_at, terms.rank, waiter.came_at, needs_s, now, waiter.start_tag)
+    return dispatch_order(
+        waiter.target_at, terms.rank, waiter.came_at, needs_s, now, waiter.start_tag
+    )
--- a/src/quaymill/process/jobs/room_keeper.py
+++ b/src/quaymill/process/jobs/slot_allocator.py
@@ -19,23 +19,23 @@
 
 from quaymill import boot_clock
 from quaymill.connection.peer_server import PeerServer
-from quaymill.connection.room_messages import (
-    NO_LINE,
-    ClaimRoom,
+from quaymill.connection.slot_messages import (
+    NO_QUEUE,
+    ClaimSlots,
     ItemsAt,
     OnlineInFlight,
     OnlinePlaced,
     PlaceOnline,
     PoolLoads,
-    RoomGranted,
-    SlownessTold,
+    SlotsGranted,
+    SlownessReport,
     WantedItems,
 )
 from quaymill.process.jobs.engine_loads import EngineLoads, reserve_of
 from quaymill.process.jobs.engine_pool import EnginePool
 from quaymill.process.jobs.item_urgency import RoutePaces
 from quaymill.process.jobs.pool_counts import Claim, PoolCounts, RunningItems
-from quaymill.process.jobs.turn_giving import GivenTurn, TurnGiver
+from quaymill.process.jobs.slot_grants import PoolQueues, SlotGrant
 from quaymill.process.replica_set.replica import Replica, best_group
 from quaymill.process.replica_set.replica_cost import least_costly
 from quaymill.process.replica_set.table import ReplicaTable
@@ -53,23 +53,23 @@
 """Free slots by which a replica of the coordinator's zone counts as emptier."""
 
 
-OrderBack = Callable[[str, tuple[ItemsAt, ...]], None]
+PreemptCall = Callable[[str, tuple[ItemsAt, ...]], None]
 """Asks a coordinator to cut items at once; called without any lock."""
-TurnCall = Callable[[GivenTurn], None]
-"""Has a gateway told whose turn it is; called without any lock, ``turn_answered`` follows."""
+SendGrant = Callable[[SlotGrant], None]
+"""Has a gateway told whose turn it is; called without any lock, ``grant_answered`` follows."""
 
 
-class RoomKeeper:
+class SlotAllocator:
     """Answers claims for any pool; safe to use from any thread.
 
     Parameters
     ----------
-    order_back
+    preempt_items
         How coordinators are asked to give way at once; without it they hear of it with their
         next claim.
     wake
         Tells a coordinator that there is room for its items.
-    send_turn
+    send_grant
         How gateways are told whose turn it is; without it no request waits here.
     """
 
@@ -78,29 +78,29 @@
         table: ReplicaTable,
         loads: EngineLoads,
         peer_server: PeerServer | None = None,
-        order_back: OrderBack | None = None,
+        preempt_items: PreemptCall | None = None,
         wake: Callable[[str], None] = lambda coordinator: None,
-        send_turn: TurnCall | None = None,
+        send_grant: SendGrant | None = None,
     ) -> None:
         self._table = table
         self._loads = loads
-        self._order_back = order_back
+        self._order_back = preempt_items
         self._wake = wake
         self._woken_at: dict[str, float] = {}
         self._random = random.Random()
-        self._send_turn = send_turn
-        self.turns = TurnGiver(self._random)
+        self._send_turn = send_grant
+        self.turns = PoolQueues(self._random)
         self._lock = threading.Lock()
         self._counts_by_pool: dict[EnginePool, PoolCounts] = {}
         self._owed_by_coordinator: dict[str, Counter[str]] = {}
         self._paces = RoutePaces()
         self._forget_at = 0.0
         if peer_server is not None:
-            peer_server.register(ClaimRoom, self.claim)
-            peer_server.register(OnlineInFlight, self.note_online)
+            peer_server.register(ClaimSlots, self.claim)
+            peer_server.register(OnlineInFlight, self.record_online)
             peer_server.register(PlaceOnline, self.place_online)
 
-    def claim(self, message: ClaimRoom) -> RoomGranted:
+    def claim(self, message: ClaimSlots) -> SlotsGranted:
         """Take a claim, and tell what may be started and what is to be given back."""
         pool = EnginePool(message.service, message.pool, message.pools)
         self._paces.add_all(message.done)
@@ -120,17 +120,17 @@
         self._send_orders(orders)
         if to_wake and to_wake != message.coordinator:
             self._wake(to_wake)
-        return RoomGranted(_items_at(starts), _items_at(give_back), self._paces.averages())
+        return SlotsGranted(_items_at(starts), _items_at(give_back), self._paces.averages())
 
-    def note_online(self, message: OnlineInFlight) -> PoolLoads:
+    def record_online(self, message: OnlineInFlight) -> PoolLoads:
         """Count online requests, let batch items give way to them, and tell the pool's loads."""
-        self._take_told(message.told)
+        self._take_told(message.slowness_reports)
         pool = EnginePool(message.service, message.pool, message.pools)
         with self._lock:
             counts = self._counts(pool)
             in_flight = _by_replica(message.in_flight)
             counts.take_online(message.gateway, in_flight, boot_clock.now())
-            self.turns.depart(pool, message.departed)
+            self.turns.depart(pool, message.withdrawn)
             replicas = pool.members(self._table)
             turns = self._give_turns(pool, counts, replicas)
             self._share_out_excess(counts, [one for one in replicas if one.id in in_flight])
@@ -150,14 +150,14 @@
         The next request is placed by counts that hold this one, whoever asks: gateways that
         chose by themselves would all take the replica that was least busy a moment ago.
         """
-        self._take_told(message.told)
+        self._take_told(message.slowness_reports)
         pool = EnginePool(message.service, message.pool, message.pools)
         with self._lock:
             counts = self._counts(pool)
             counts.take_online(message.gateway, _by_replica(message.in_flight), boot_clock.now())
-            self.turns.depart(pool, message.departed)
+            self.turns.depart(pool, message.withdrawn)
             replicas = pool.members(self._table)
-            turns: list[GivenTurn] = []
+            turns: list[SlotGrant] = []
             if message.terms is None or self._send_turn is None:
                 answer = self._place_now(pool, counts, replicas, message)
             else:
@@ -199,7 +199,7 @@
 
     def _place_or_line_up(
         self, pool: EnginePool, counts: PoolCounts, replicas: list[Replica], message: PlaceOnline
-    ) -> tuple[OnlinePlaced, list[GivenTurn]]:
+    ) -> tuple[OnlinePlaced, list[SlotGrant]]:
         """Place a request if its turn is now, else let it wait; the lock is held."""
         now = boot_clock.now()
         if not self.turns.length(pool):
@@ -224,7 +224,7 @@
         line = self._line_length(pool)
         return OnlinePlaced("", counts.loads(replicas), line, waits, retry_after_s), turns
 
-    def turn_answered(self, turn: GivenTurn, taken: bool | None) -> None:
+    def grant_answered(self, turn: SlotGrant, taken: bool | None) -> None:
         """Take a gateway's answer to a turn; ``None`` if its process is gone, with all it held.
 
         The slot of a turn that was not taken goes to the next. One that was not answered in time
@@ -244,22 +244,22 @@
 
     def _give_turns(
         self, pool: EnginePool, counts: PoolCounts, replicas: list[Replica]
-    ) -> list[GivenTurn]:
+    ) -> list[SlotGrant]:
         """Give what is free to who waits, and let batch items give way; the lock is held."""
         turns = self.turns.give(pool, counts, replicas, boot_clock.now())
         if turns:
             self._share_out_excess(counts, [turn.replica for turn in turns])
         return turns
 
-    def _send_turns(self, turns: list[GivenTurn]) -> None:
+    def _send_turns(self, turns: list[SlotGrant]) -> None:
         for turn in turns:
             self._send_turn(turn)
 
     def _line_length(self, pool: EnginePool) -> int:
         """Return what gateways are told of the line."""
-        return NO_LINE if self._send_turn is None else self.turns.length(pool)
+        return NO_QUEUE if self._send_turn is None else self.turns.length(pool)
 
-    def _take_told(self, told: Iterable[SlownessTold]) -> None:
+    def _take_told(self, told: Iterable[SlownessReport]) -> None:
         for one in told:
             replica = self._table.get(one.replica_id)
             if replica is not None:
@@ -336,7 +336,7 @@
     def _grant(
         self,
         counts: PoolCounts,
-        message: ClaimRoom,
+        message: ClaimSlots,
         replicas: list[Replica],
     ) -> Counter[str]:
         """Grant starts, what is due first before all else, whoever coordinates it."""
--- a/src/quaymill/process/jobs/room_claims.py
+++ b/src/quaymill/process/jobs/slot_claims.py
@@ -9,22 +9,22 @@
 from quaymill import boot_clock
 from quaymill.connection.member import Member
 from quaymill.connection.peer_link import PeerClient
-from quaymill.connection.room_messages import ClaimRoom, RoomGranted
-from quaymill.process.jobs.room_keeper import RoomKeeper
+from quaymill.connection.slot_messages import ClaimSlots, SlotsGranted
+from quaymill.process.jobs.slot_allocator import SlotAllocator
 from quaymill.process.membership.ranking import rank_nodes, strongest
 
 CLAIM_TIMEOUT_S = 0.5
 AVOID_KEEPER_S = 2.0
 """How long a gateway that did not answer a claim is passed over: by then membership knows."""
 
-ClaimRoomCall = Callable[[ClaimRoom], RoomGranted | None]
+ClaimSlotsCall = Callable[[ClaimSlots], SlotsGranted | None]
 """Puts a claim to who keeps room for its pool; ``None`` if that did not answer."""
 
 ReachableOf = Callable[[Iterable[Member]], tuple[Member, ...]]
 """Returns the members in zones that can be reached; all if there is none such."""
 
 
-class KeeperChoice:
+class AllocatorChoice:
     """Finds who keeps room; safe to use from any thread.
 
     Parameters
@@ -42,7 +42,7 @@
         self._reachable = reachable
         self._avoided_until_by_name: dict[str, float] = {}
 
-    def keeper_of(self, service: str, pool: int) -> Member | None:
+    def allocator_of(self, service: str, pool: int) -> Member | None:
         """Return the gateway that keeps room for a pool; ``None`` if none is known.
 
         It is one of the strongest; the others follow while none of these answers.
@@ -62,7 +62,7 @@
         self._avoided_until_by_name[member.name] = boot_clock.now() + AVOID_KEEPER_S
 
 
-class RoomClaims:
+class SlotClaims:
     """Claims of one gateway; used by its dispatcher's thread only.
 
     A keeper that does not answer is passed over for a while, in favour of the next in rank.
@@ -78,7 +78,7 @@
     def __init__(
         self,
         own_name: str,
-        keeper: RoomKeeper,
+        keeper: SlotAllocator,
         client: PeerClient,
         gateways: Callable[[], tuple[Member, ...]],
         reachable: ReachableOf = tuple,
@@ -86,15 +86,15 @@
         self._own_name = own_name
         self._keeper = keeper
         self._client = client
-        self._keepers = KeeperChoice(gateways, reachable)
+        self._keepers = AllocatorChoice(gateways, reachable)
 
-    def claim(self, claim: ClaimRoom) -> RoomGranted | None:
+    def claim(self, claim: ClaimSlots) -> SlotsGranted | None:
         """Put a claim to the gateway that ranks first for its pool."""
-        member = self._keepers.keeper_of(claim.service, claim.pool)
+        member = self._keepers.allocator_of(claim.service, claim.pool)
         if member is None or member.name == self._own_name:
             return self._keeper.claim(claim)
-        reply = self._client.call(member.peer, claim, RoomGranted, CLAIM_TIMEOUT_S)
-        if isinstance(reply, RoomGranted):
+        reply = self._client.call(member.peer, claim, SlotsGranted, CLAIM_TIMEOUT_S)
+        if isinstance(reply, SlotsGranted):
             return reply
         self._keepers.avoid(claim.service, member)
         return None
--- a/src/quaymill/process/jobs/turn_giving.py
+++ b/src/quaymill/process/jobs/slot_grants.py
@@ -10,16 +10,16 @@
 
 import attrs
 
-from quaymill.connection.room_messages import OnlineTurn, PlaceOnline
+from quaymill.connection.slot_messages import OnlineGrant, PlaceOnline
 from quaymill.process.jobs.engine_pool import EnginePool
 from quaymill.process.jobs.pool_counts import PoolCounts
-from quaymill.process.jobs.waiting_line import Waiter, WaitingLine
+from quaymill.process.jobs.pool_queue import PoolQueue, QueuedRequest
 from quaymill.process.replica_set.replica import Replica, best_group
 from quaymill.process.replica_set.replica_cost import least_costly
 
 
 @attrs.frozen(eq=False)
-class GivenTurn:
+class SlotGrant:
     """A turn that its gateway is told; a request that asks again may be given a second one.
 
     Attributes
@@ -35,18 +35,18 @@
     replica: Replica
 
     @property
-    def message(self) -> OnlineTurn:
+    def message(self) -> OnlineGrant:
         """What the gateway is told."""
-        return OnlineTurn(self.ticket, self.replica.id)
+        return OnlineGrant(self.ticket, self.replica.id)
 
 
-class TurnGiver:
+class PoolQueues:
     """The lines of all pools that one gateway keeps room for."""
 
     def __init__(self, rng: random.Random) -> None:
         self._random = rng
-        self._line_by_pool: dict[EnginePool, WaitingLine] = {}
-        self._unanswered: set[GivenTurn] = set()
+        self._line_by_pool: dict[EnginePool, PoolQueue] = {}
+        self._unanswered: set[SlotGrant] = set()
         self.refused_early = 0
 
     def length(self, pool: EnginePool) -> int:
@@ -65,14 +65,14 @@
 
     def pass_by(self, pool: EnginePool, tenant: str | None) -> None:
         """Count a request that found nobody waiting and a slot free."""
-        self._line_by_pool.setdefault(pool, WaitingLine()).pass_by(tenant)
+        self._line_by_pool.setdefault(pool, PoolQueue()).pass_by(tenant)
 
-    def join(self, pool: EnginePool, asked: PlaceOnline, now: float) -> Waiter:
+    def join(self, pool: EnginePool, asked: PlaceOnline, now: float) -> QueuedRequest:
         """Put a request into the line of its pool."""
-        return self._line_by_pool.setdefault(pool, WaitingLine()).join(asked, now)
+        return self._line_by_pool.setdefault(pool, PoolQueue()).join(asked, now)
 
     def refuse(
-        self, pool: EnginePool, waiter: Waiter, replicas: list[Replica], now: float
+        self, pool: EnginePool, waiter: QueuedRequest, replicas: list[Replica], now: float
     ) -> float | None:
         """Take a request out that cannot be served; return when it may come again."""
         line = self._line_by_pool[pool]
@@ -89,13 +89,13 @@
 
     def give(
         self, pool: EnginePool, counts: PoolCounts, replicas: list[Replica], now: float
-    ) -> list[GivenTurn]:
+    ) -> list[SlotGrant]:
         """Give the free slots of a pool, as far as there are any, in the order of the line."""
         line = self._line_by_pool.get(pool)
         if line is None or not len(line):
             return []
         free = [one for one in replicas if counts.online_load(one) < one.slots]
-        given: list[GivenTurn] = []
+        given: list[SlotGrant] = []
         for waiter in line.ordered(now) if free else []:
             able = _able(waiter.asked, free, replicas)
             if able:
@@ -111,20 +111,20 @@
         self,
         pool: EnginePool,
         counts: PoolCounts,
-        line: WaitingLine,
-        waiter: Waiter,
+        line: PoolQueue,
+        waiter: QueuedRequest,
         able: list[Replica],
-    ) -> GivenTurn:
+    ) -> SlotGrant:
         asked = waiter.asked
         offsets = {offset.replica_id: offset.requests for offset in asked.offsets}
         chosen = least_costly(able, counts.online_load, asked.zone, offsets, self._random)
         line.serve(waiter)
         counts.promise(chosen.id)
-        turn = GivenTurn(pool, asked.gateway, waiter.process, waiter.ticket, chosen)
+        turn = SlotGrant(pool, asked.gateway, waiter.process, waiter.ticket, chosen)
         self._unanswered.add(turn)
         return turn
 
-    def answered(self, turn: GivenTurn, counts: PoolCounts, *, taken: bool) -> None:
+    def answered(self, turn: SlotGrant, counts: PoolCounts, *, taken: bool) -> None:
         """Count a turn that was taken as its gateway's request; else its slot is free again."""
         if turn not in self._unanswered:
             return
--- a/src/quaymill/process/limits/limiter.py
+++ b/src/quaymill/process/limits/limiter.py
@@ -26,8 +26,8 @@
 from quaymill.connection.peer_server import PeerServer
 from quaymill.process.limits.fleet import GatewayFleet
 from quaymill.process.limits.granter import SLOT_LEASE_S, CreditGranter, LimitRules, LimitsOf
+from quaymill.process.limits.local_credits import LocalCredits
 from quaymill.process.limits.shares import Overrun, window_of
-from quaymill.process.limits.stock import TenantStock
 from quaymill.request.outcome import NotRun
 from quaymill.version.tenants import TenantLimits
 
@@ -84,7 +84,7 @@
         self._own_part: CreditGranter | None = None
         self._avoided_until_by_name: dict[str, float] = {}
         self._lock = threading.Lock()
-        self._stock_by_tenant: dict[str, TenantStock] = {}
+        self._stock_by_tenant: dict[str, LocalCredits] = {}
         self._returns: queue.SimpleQueue[ReturnCredits | None] = queue.SimpleQueue()
         self._stopping = threading.Event()
         peer_server.register(BorrowCredits, self._answer_borrow)
@@ -110,7 +110,7 @@
         if limits is None or not limits.any_set:
             return None
         with self._lock:
-            stock = self._stock_by_tenant.setdefault(tenant, TenantStock())
+            stock = self._stock_by_tenant.setdefault(tenant, LocalCredits())
             if stock.take(limits):
                 return None
             message = BorrowCredits(
@@ -145,7 +145,7 @@
         self._returns.put(message)
 
     def _take_lent(
-        self, stock: TenantStock, limits: TenantLimits, message: BorrowCredits, lent: LentCredits
+        self, stock: LocalCredits, limits: TenantLimits, message: BorrowCredits, lent: LentCredits
     ) -> NotRun | None:
         with self._lock:
             stock.slots = max(stock.slots, lent.slots)
@@ -157,7 +157,7 @@
             stock.in_service -= 1
         return _refusal(message.tenant, limits, lent)
 
-    def _borrow_in_turn(self, stock: TenantStock, message: BorrowCredits) -> LentCredits:
+    def _borrow_in_turn(self, stock: LocalCredits, message: BorrowCredits) -> LentCredits:
         """Borrow; wait for the turn that is told where the granter has just begun."""
         until = boot_clock.now() + self._paced_patience_s
         while True:
@@ -166,7 +166,7 @@
                 return lent
             time.sleep(lent.retry_after_s)
 
-    def _borrow(self, stock: TenantStock, message: BorrowCredits) -> LentCredits:
+    def _borrow(self, stock: LocalCredits, message: BorrowCredits) -> LentCredits:
         """Ask the granter; without one, lend from this gateway's own part of the limit."""
         lent = self._ask(self._first_answering(message.tenant), message)
         if lent is not None and lent.granter:
--- a/src/quaymill/process/limits/stock.py
+++ b/src/quaymill/process/limits/local_credits.py
@@ -12,7 +12,7 @@
 lent in one window is hardly used in the next."""
 
 
-class TenantStock:
+class LocalCredits:
     """Credits of one tenant, and who granted them; its owner's lock guards it.
 
     Attributes
--- a/src/quaymill/process/membership/membership.py
+++ b/src/quaymill/process/membership/membership.py
@@ -58,7 +58,7 @@
 """Takes generation, machine list version, and when they were known to be the newest."""
 CrashListener = Callable[[str, int], None]
 """Takes a node's name and its digest of crashes."""
-WordListener = Callable[[str], None]
+DatagramListener = Callable[[str], None]
 """Takes the name of a node from which a datagram has come."""
 UNAWAITED_SEQUENCE = 0
 """Of a probe whose reply nobody waits for; those of the failure detector begin at 1."""
@@ -88,7 +88,7 @@
         self._confirmed_at: float | None = None
         self._crash_digest = 0
         self._crash_listener: CrashListener | None = None
-        self._word_listener: WordListener | None = None
+        self._word_listener: DatagramListener | None = None
         self._corrected_at_by_name: dict[str, float] = {}
         self._told_lock = threading.Lock()
         self._told_states: dict[str, tuple[MemberState, str]] = {}
@@ -153,7 +153,7 @@
         """Call ``listener`` with each digest of crashes that another node tells, and its name."""
         self._crash_listener = listener
 
-    def on_word(self, listener: WordListener) -> None:
+    def on_datagram(self, listener: DatagramListener) -> None:
         """Call ``listener`` with the sender's name of each datagram; it must not block."""
         self._word_listener = listener
 
--- a/src/quaymill/process/membership/zone_reach.py
+++ b/src/quaymill/process/membership/zone_reachability.py
@@ -151,7 +151,7 @@
     def subscribe(self, listener: Callable[[], None]) -> None:
         """Call ``listener`` after news of members."""
 
-    def on_word(self, listener: Callable[[str], None]) -> None:
+    def on_datagram(self, listener: Callable[[str], None]) -> None:
         """Call ``listener`` with the name of each sender of a datagram."""
 
     def ask(self, members: Iterable[Member]) -> None:
@@ -206,7 +206,7 @@
             self.asked_at_by_name.clear()
 
 
-class ZoneReach:
+class ZoneReachability:
     """The zones as this process reaches them; safe to use from any thread.
 
     It hears of each call to a peer (``began``, ``ended``) and of each datagram; replicas are
@@ -254,7 +254,7 @@
     def start(self) -> None:
         """Begin to tell which zones can be reached."""
         self._membership.subscribe(self._note_members_changed)
-        self._membership.on_word(self._note_word)
+        self._membership.on_datagram(self._note_word)
         self._checked_at = boot_clock.now()
         threading.Thread(target=self._run, name="zone-reach", daemon=True).start()
 
--- a/src/quaymill/process/peer_network.py
+++ b/src/quaymill/process/peer_network.py
@@ -10,7 +10,7 @@
 from quaymill.connection.peer_server import PeerServer
 from quaymill.process.job_copies import CopyRules
 from quaymill.process.membership.membership import Membership
-from quaymill.process.membership.zone_reach import ZoneReach
+from quaymill.process.membership.zone_reachability import ZoneReachability
 from quaymill.process.serving_settings import ServingSettings
 from quaymill.process.settings import MembershipSettings, NodeSettings
 
@@ -42,7 +42,7 @@
     membership: Membership
     server: PeerServer
     client: PeerClient
-    reach: ZoneReach
+    reach: ZoneReachability
     rules: CopyRules
     zones_lost_at_once: int = 0
 
@@ -64,7 +64,7 @@
         )
         link_filter = LinkFilter()
         membership = Membership(node_settings, link_filter)
-        reach = ZoneReach(settings.zone, membership)
+        reach = ZoneReachability(settings.zone, membership)
         return cls(
             membership,
             PeerServer(Endpoint(settings.address, settings.peer_port)),
--- a/src/quaymill/process/replica_set/online_queue.py
+++ b/src/quaymill/process/replica_set/online_queue.py
@@ -23,13 +23,13 @@
 from eliot import log_message
 
 from quaymill import boot_clock
-from quaymill.connection.room_messages import LineTerms
+from quaymill.connection.slot_messages import QueueTerms
 from quaymill.process.replica_set.replica import Replica
 from quaymill.process.replica_set.table import ReplicaTable
+from quaymill.request.dispatch_order import EngineState, dispatch_order, may_dispatch
 from quaymill.request.forwarded_request import ForwardedRequest
 from quaymill.request.presence import CallerPresence
 from quaymill.request.replica_choice import CannotServeInTime, ChosenReplica
-from quaymill.request.turns import EngineState, may_go, turn_order
 from quaymill.version.request_routes import RequestRoute
 
 PATIENCE_SAMPLES = 256
@@ -58,15 +58,17 @@
 """Requests held for less are not worth a line in the log."""
 
 
-class InLine(enum.Enum):
+class Queued(enum.Enum):
     """The request has its place in the keeper's line."""
 
-    IN_LINE = enum.auto()
+    QUEUED = enum.auto()
 
 
-IN_LINE = InLine.IN_LINE
+QUEUED = Queued.QUEUED
 
-AskTurn = Callable[[str, ForwardedRequest, LineTerms], Replica | InLine | CannotServeInTime | None]
+RequestSlot = Callable[
+    [str, ForwardedRequest, QueueTerms], Replica | Queued | CannotServeInTime | None
+]
 """Asks who keeps room for a place now or in line; ``None`` if it does not answer or has none."""
 
 
@@ -79,7 +81,7 @@
     NOBODY = "nobody"
 
 
-def _no_line(service: str, request: ForwardedRequest, terms: LineTerms) -> None:
+def _no_line(service: str, request: ForwardedRequest, terms: QueueTerms) -> None:
     """Stand for: there is no line."""
 
 
@@ -91,9 +93,9 @@
     ----------
     came_at
         Monotonic time.
-    aim_at
+    target_at
         When its first event is late.
-    last_call_at
+    dispatch_by
         When it is let go in any case.
     rank
         0 goes first.
@@ -112,8 +114,8 @@
     """
 
     came_at: float
-    aim_at: float
-    last_call_at: float
+    target_at: float
+    dispatch_by: float
     rank: int
     age_s: float = 0.0
     ticket: str = ""
@@ -168,7 +170,7 @@
     def __init__(
         self,
         table: ReplicaTable,
-        ask: AskTurn = _no_line,
+        ask: RequestSlot = _no_line,
         process_name: str = "",
         give_back: Callable[[ChosenReplica], None] = lambda replica: None,
         depart: Callable[[str, str], None] = lambda service, ticket: None,
@@ -189,7 +191,7 @@
         """Requests that are held now."""
         return sum(len(queue.held) for queue in self._by_service.values())
 
-    def wait_turn(
+    def wait_for_slot(
         self,
         service: str,
         route: RequestRoute,
@@ -234,7 +236,7 @@
                 request_id=request.id,
                 service=service,
                 held_s=round(held_s, 3),
-                late=boot_clock.now() > held.aim_at,
+                late=boot_clock.now() > held.target_at,
                 waiting=len(queue.held),
                 service_s=round(queue.usual_service_s, 3),
                 decided_by=held.decided_by.value,
@@ -257,7 +259,7 @@
             while not held.released.wait(HELD_CHECK_S) and not presence.gone:
                 if boot_clock.now() - held.asked_at >= ASK_AGAIN_S or not held.in_line:
                     self._ask_keeper(service, queue, held, request)
-                self.look_again()
+                self.recheck()
         finally:
             presence.detach()
 
@@ -284,25 +286,25 @@
             held.asked_at = now
             # Turns may come before this call returns.
             held.in_line = True
-            terms = LineTerms(
+            terms = QueueTerms(
                 ticket=held.ticket,
                 process=self._process_name,
                 tenant=request.tenant,
                 rank=held.rank,
                 waited_s=now - held.came_at,
-                aim_in_s=held.aim_at - now,
-                last_call_in_s=held.last_call_at - now,
+                target_in_s=held.target_at - now,
+                dispatch_by_s=held.dispatch_by - now,
                 left_s=request.deadline.remaining_s(),
                 service_s=queue.usual_service_s,
                 first_byte_s=queue.first_byte_s,
             )
         answer = self._ask(service, request, terms)
         with self._lock:
-            held.in_line = answer is IN_LINE
+            held.in_line = answer is QUEUED
             held.lined_up = held.lined_up or held.in_line
-        return None if answer is IN_LINE else answer
+        return None if answer is QUEUED else answer
 
-    def take_turn(self, ticket: str, replica_id: str) -> bool:
+    def accept_grant(self, ticket: str, replica_id: str) -> bool:
         """Let a request go whose turn in the keeper's line has come; returns whether it goes."""
         with self._lock:
             held = self._held_by_ticket.get(ticket)
@@ -315,12 +317,12 @@
             held.release(DecidedBy.LINE, replica)
             return True
 
-    def leave_line(self) -> None:
+    def leave_allocator_queue(self) -> None:
         """Let what waits in the keeper's line go by what is known here: the keeper is silent."""
         with self._lock:
             for held in self._held_by_ticket.values():
                 held.in_line = False
-        self.look_again()
+        self.recheck()
 
     def give_back(self, replica: ChosenReplica) -> None:
         """Note that a place which came with a turn is not used."""
@@ -332,9 +334,9 @@
             queue = self._by_service.setdefault(service, _ServiceQueue())
             queue.service_s = _averaged(queue.service_s, took_s)
             queue.first_byte_s = first_byte_s
-        self.look_again()
+        self.recheck()
 
-    def look_again(self) -> None:
+    def recheck(self) -> None:
         """Let go whoever may go now: loads have changed, or time has passed."""
         now = boot_clock.now()
         with self._lock:
@@ -347,21 +349,23 @@
         first_byte_s = queue.first_byte_s
         ordered = sorted(
             (held for held in queue.held if not held.released.is_set()),
-            key=lambda held: turn_order(held.aim_at, held.rank, held.came_at, first_byte_s, now),
+            key=lambda held: dispatch_order(
+                held.target_at, held.rank, held.came_at, first_byte_s, now
+            ),
         )
         going = 0
         for held in ordered:
             if self._may_go(service, queue, held, now, going):
                 going += 1
                 queue.held.remove(held)
-                last_call = now >= held.last_call_at
+                last_call = now >= held.dispatch_by
                 held.release(DecidedBy.LAST_CALL if last_call else DecidedBy.OWN)
 
     def _may_go(
         self, service: str, queue: _ServiceQueue, held: _Held, now: float, going: int
     ) -> bool:
         """Return whether a request may go, with ``going`` others let go just now."""
-        if now >= held.last_call_at:
+        if now >= held.dispatch_by:
             return True
         if held.in_line:
             return False
@@ -371,7 +375,7 @@
         engine = EngineState(
             best.load() + going, best.slots, queue.usual_service_s, queue.first_byte_s
         )
-        return may_go(engine, held.aim_at, now)
+        return may_dispatch(engine, held.target_at, now)
 
     def _least_loaded(self, service: str) -> Replica | None:
         """Return the least loaded sound replica; ``None`` unless all loads are known."""
@@ -405,9 +409,9 @@
             fresh_s = sorted(samples)[int(FRESH_QUANTILE * (len(samples) - 1))]
             age_s = max(0.0, fresh_s - left_s)
         needs_s = LAST_CALL_FACTOR * queue.usual_service_s + LAST_CALL_MARGIN_S
-        aim_at = now + route.objective_s - age_s
+        target_at = now + route.objective_s - age_s
         ticket = f"{self._process_name}/{next(self._tickets)}"
-        return _Held(now, aim_at, now + left_s - needs_s, request.priority, age_s, ticket)
+        return _Held(now, target_at, now + left_s - needs_s, request.priority, age_s, ticket)
 
 
 def _averaged(average: float, newest: float) -> float:
--- a/src/quaymill/process/replica_set/replica.py
+++ b/src/quaymill/process/replica_set/replica.py
@@ -241,7 +241,7 @@
         with self._lock:
             self._slowness.take(SlownessReading(slowness, boot_clock.now() - age_s))
 
-    def told_slowness(self) -> SlownessReading | None:
+    def reported_slowness(self) -> SlownessReading | None:
         """Return the replica's last word of its slowness; ``None`` where it tells nothing of it."""
         with self._lock:
             return self._slowness.last if self._slowness.tells else None
--- a/src/quaymill/process/replica_set/router.py
+++ b/src/quaymill/process/replica_set/router.py
@@ -36,7 +36,7 @@
 
 
 @attrs.frozen
-class PlacementWishes:
+class PlacementConstraints:
     """What a gateway wants its request's place to be chosen by.
 
     Attributes
@@ -51,7 +51,7 @@
     offsets: Mapping[str, float]
 
 
-PlaceCall = Callable[[Replica, PlacementWishes], Replica | None]
+PlaceCall = Callable[[Replica, PlacementConstraints], Replica | None]
 """Asks who keeps room for a replica's pool for a place in that pool; ``None`` if it cannot tell."""
 
 
@@ -118,9 +118,9 @@
         first, wishes = self._first_choice(candidates, sound, prompt, frozenset(excluded))
         return self._place(first, wishes) or first
 
-    def wishes_of(
+    def constraints_of(
         self, service: str, prompt: Prompt = NO_PROMPT
-    ) -> tuple[Replica, PlacementWishes] | None:
+    ) -> tuple[Replica, PlacementConstraints] | None:
         """Return what a request that has not been tried would choose, and by what.
 
         ``None`` if no replica is sound.
@@ -135,11 +135,11 @@
         sound: list[Replica],
         prompt: Prompt,
         excluded: frozenset[str],
-    ) -> tuple[Replica, PlacementWishes]:
+    ) -> tuple[Replica, PlacementConstraints]:
         offsets = self._offsets(sound, prompt)
         first = self._least_costly(sound, offsets)
         unsound = {replica.id for replica in candidates} - {replica.id for replica in sound}
-        return first, PlacementWishes(excluded | unsound, offsets)
+        return first, PlacementConstraints(excluded | unsound, offsets)
 
     def may_reach_another(self, service: str, excluded: Iterable[str]) -> bool:
         """Return whether a replica that is not in ``excluded`` lies in a zone that is reached."""
--- a/src/quaymill/request/answer_buffer.py
+++ b/src/quaymill/request/answer_buffer.py
@@ -38,7 +38,7 @@
     """The answer was ended before its caller had taken it."""
 
 
-class HeldAnswers:
+class BufferedAnswers:
     """What all callers of this process have not taken yet; safe to use from any thread.
 
     Attributes
@@ -55,15 +55,15 @@
         self.held_bytes = 0
         self.ended = 0
         self._lock = threading.Lock()
-        self._open: set[HeldAnswer] = set()
+        self._open: set[BufferedAnswer] = set()
 
     @classmethod
-    def within_memory(cls, memory_mb: float) -> HeldAnswers:
+    def within_memory(cls, memory_mb: float) -> BufferedAnswers:
         """Return one with a budget for a process of so much memory; 0 if that is not told."""
         budget_bytes = int(memory_mb * MEGABYTE * HELD_SHARE)
         return cls(budget_bytes or UNKNOWN_MEMORY_BUDGET_BYTES)
 
-    def add(self, answer: HeldAnswer, block: bytes | memoryview) -> None:
+    def add(self, answer: BufferedAnswer, block: bytes | memoryview) -> None:
         """Hold a part of an answer; over the budget the largest is ended.
 
         Raises
@@ -81,29 +81,29 @@
                 self._end(largest, "callers take too little of their answers")
         answer.raise_if_ended()
 
-    def took(self, answer: HeldAnswer, sent: int) -> None:
+    def took(self, answer: BufferedAnswer, sent: int) -> None:
         """Note that the first so many bytes of what is held have been sent."""
         with self._lock:
             if not answer.ended:
                 self._release(answer, sent)
 
-    def end(self, answer: HeldAnswer, reason: str) -> None:
+    def end(self, answer: BufferedAnswer, reason: str) -> None:
         """End an answer whose caller takes nothing."""
         with self._lock:
             self._end(answer, reason)
 
-    def drop(self, answer: HeldAnswer) -> None:
+    def drop(self, answer: BufferedAnswer) -> None:
         """Forget what is held of an answer: it is over."""
         with self._lock:
             self._release(answer, len(answer.unread))
 
-    def _release(self, answer: HeldAnswer, size: int) -> None:
+    def _release(self, answer: BufferedAnswer, size: int) -> None:
         del answer.unread[:size]
         self.held_bytes -= size
         if not answer.unread:
             self._open.discard(answer)
 
-    def _end(self, answer: HeldAnswer, reason: str) -> None:
+    def _end(self, answer: BufferedAnswer, reason: str) -> None:
         """End an answer, from whichever thread; the lock is held."""
         if answer.ended:
             return
@@ -123,7 +123,7 @@
         answer.cut()
 
 
-class HeldAnswer:
+class BufferedAnswer:
     """One answer on its way to its caller; used by the thread that serves it.
 
     Attributes
@@ -132,10 +132,10 @@
         Names the request in log lines.
     unread, ended
         What the caller has not taken, and whether the answer was ended; changed by
-        ``HeldAnswers`` alone.
+        ``BufferedAnswers`` alone.
     """
 
-    def __init__(self, all_answers: HeldAnswers, connection: socket.socket) -> None:
+    def __init__(self, all_answers: BufferedAnswers, connection: socket.socket) -> None:
         self.request_id = ""
         self.unread = bytearray()
         self.ended = False
--- a/src/quaymill/request/answer_relay.py
+++ b/src/quaymill/request/answer_relay.py
@@ -38,7 +38,7 @@
     def send_held(self, timeout_s: float, beside: int = -1) -> bool:
         """Wait until the caller takes something, or there is something to read ``beside``."""
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """End the connection without completing the answer."""
 
 
--- a/src/quaymill/request/attempt.py
+++ b/src/quaymill/request/attempt.py
@@ -18,7 +18,7 @@
 from quaymill.request.outcome import Failed, Failure, NotRun, OutcomeUnknown
 from quaymill.request.presence import CallerGoneError, CallerPresence
 from quaymill.request.retry_budget import RetryBudget
-from quaymill.request.waiting_room import WaitingRoom
+from quaymill.request.service_queue import ServiceQueue
 
 MAX_ATTEMPTS = 4
 ATTEMPT_ID_BYTES = 6
@@ -68,7 +68,7 @@
         service: str,
         request_id: str,
         presence: CallerPresence,
-        waiting_room: WaitingRoom,
+        waiting_room: ServiceQueue,
         prefix_key: str = "",
         repeatable: bool = True,
     ) -> None:
@@ -114,7 +114,7 @@
                 break
             replica = self._choose()
             if isinstance(replica, NotRun) and replica.status == 429:
-                replica = self._waiting_room.wait_for_room(
+                replica = self._waiting_room.wait_for_capacity(
                     self._choose, self.deadline, self.presence
                 )
             if isinstance(replica, NotRun):
--- a/src/quaymill/request/turns.py
+++ b/src/quaymill/request/dispatch_order.py
@@ -14,10 +14,11 @@
 WAIT_UNSURE_ENDS = 0.5
 """By how many usual times between two ends at an engine a wait may be longer than told.
 
-Part of the requests that are late (tests/turn_player, gateways' views up to 0.25 s old) at 0, 0.5,
-1.0 and 1.5: 45 engines of 6 slots in bursts of 1.27 times what they serve .247 .178 .172 .172, of
-1.15 times .118 .095 .091 .103; 6 engines of 19 slots .115 .108 .098 .087, of 8 slots .114 .104 .103
-.111. At 1.0 and more a fresh request is held that one end alone would have in time."""
+Part of the requests that are late (tests/dispatch_player, gateways' views up to 0.25 s old) at
+0, 0.5, 1.0 and 1.5: 45 engines of 6 slots in bursts of 1.27 times what they serve .247 .178 .172
+.172, of 1.15 times .118 .095 .091 .103; 6 engines of 19 slots .115 .108 .098 .087, of 8 slots
+.114 .104 .103 .111. At 1.0 and more a fresh request is held that one end alone would have in
+time."""
 
 
 @attrs.frozen
@@ -46,16 +47,16 @@
     return max(0.0, ahead) * _between_ends_s(engine)
 
 
-def may_go(engine: EngineState, aim_at: float, now: float) -> bool:
+def may_dispatch(engine: EngineState, target_at: float, now: float) -> bool:
     """Return whether a request finds a slot, or will be in time although it does not."""
     if engine.load < engine.slots:
         return True
     unsure_s = WAIT_UNSURE_ENDS * _between_ends_s(engine)
-    return now + expected_wait_s(engine) + unsure_s + engine.first_byte_s <= aim_at
+    return now + expected_wait_s(engine) + unsure_s + engine.first_byte_s <= target_at
 
 
-def turn_order(
-    aim_at: float,
+def dispatch_order(
+    target_at: float,
     rank: int,
     came_at: float,
     first_byte_s: float,
@@ -69,7 +70,7 @@
     start_tag
         By fair queueing over tenants (``FairShares``); 0 where there are none.
     """
-    is_late = aim_at - first_byte_s <= now
+    is_late = target_at - first_byte_s <= now
     return is_late, rank, start_tag, came_at
 
 
--- a/src/quaymill/request/forwarding.py
+++ b/src/quaymill/request/forwarding.py
@@ -41,12 +41,12 @@
 from quaymill.request.replica_choice import (
     CannotServeInTime,
     ChosenReplica,
+    DispatchQueue,
+    NoDispatchQueue,
     NoObserver,
     NoReplica,
-    NoTurns,
     ReplicaChooser,
     RequestObserver,
-    TurnTaker,
 )
 from quaymill.version.request_routes import RequestRoute, RouteKind
 
@@ -92,14 +92,14 @@
         connections: ReplicaConnections,
         protocol: ReplicaProtocol,
         observer: RequestObserver | None = None,
-        turns: TurnTaker | None = None,
+        turns: DispatchQueue | None = None,
         guard: PoisonGuard | None = None,
     ) -> None:
         self.router = router
         self.connections = connections
         self.protocol = protocol
         self.observer = observer or NoObserver()
-        self.turns = turns or NoTurns()
+        self.turns = turns or NoDispatchQueue()
         self.guard = guard or NoGuard()
 
     def forward(
@@ -168,7 +168,7 @@
     def run(self) -> ForwardingResult:
         if (ended := self._reason_to_end()) is not None:
             return ended
-        turn = self._turns.wait_turn(self._service, self._route, self._request, self._presence)
+        turn = self._turns.wait_for_slot(self._service, self._route, self._request, self._presence)
         if isinstance(turn, CannotServeInTime):
             return self._given_up(turn.reason, retry_after_s=turn.retry_after_s)
         if turn is not None and (ended := self._reason_to_end()) is not None:
@@ -217,7 +217,7 @@
     ) -> GivenUp | Delivered:
         """End without a success: with an error that a replica made if there is one."""
         if self._answer.started:
-            self._answer.break_off()
+            self._answer.abort()
         elif self._error is not None:
             error = self._error
             self._answer.start(
--- a/src/quaymill/request/replica_choice.py
+++ b/src/quaymill/request/replica_choice.py
@@ -88,7 +88,7 @@
     def slowness(self) -> float:
         """Return how many times as long as usual work is expected to take there now."""
 
-    def told_slowness(self) -> SlownessReading | None:
+    def reported_slowness(self) -> SlownessReading | None:
         """Return its last word of how slow it is; ``None`` where it tells nothing of it."""
 
     def record_success(self, first_byte_s: float) -> None:
@@ -133,10 +133,10 @@
         """Do nothing."""
 
 
-class TurnTaker(Protocol):
+class DispatchQueue(Protocol):
     """Says when a request may go to a replica."""
 
-    def wait_turn(
+    def wait_for_slot(
         self,
         service: str,
         route: RequestRoute,
@@ -156,10 +156,10 @@
         """Note how long a replica served a request, in seconds."""
 
 
-class NoTurns:
+class NoDispatchQueue:
     """Stands for: every request may go at once."""
 
-    def wait_turn(
+    def wait_for_slot(
         self,
         service: str,
         route: RequestRoute,
--- a/src/quaymill/request/waiting_room.py
+++ b/src/quaymill/request/service_queue.py
@@ -22,7 +22,7 @@
 Choose = Callable[[], Choice | NotRun]
 
 
-class WaitingRoom:
+class ServiceQueue:
     """The queue of one service; bounded in length and in time.
 
     A request that finds the queue full, or whose wait is likely to be longer than it may
@@ -48,7 +48,7 @@
             self._forget_old_ends()
             self._changed.notify_all()
 
-    def wait_for_room(
+    def wait_for_capacity(
         self, choose: Choose[Choice], deadline: Deadline, presence: CallerPresence
     ) -> Choice | NotRun:
         """Wait until ``choose`` finds a replica that has room.
@@ -132,15 +132,15 @@
             self._ended_at.popleft()
 
 
-class WaitingRooms:
+class ServiceQueues:
     """A waiting room for each service."""
 
     def __init__(self, limit: int) -> None:
         self._limit = limit
         self._lock = threading.Lock()
-        self._rooms: dict[str, WaitingRoom] = {}
+        self._rooms: dict[str, ServiceQueue] = {}
 
-    def of(self, service: str) -> WaitingRoom:
+    def of(self, service: str) -> ServiceQueue:
         """Return the waiting room of a service."""
         with self._lock:
-            return self._rooms.setdefault(service, WaitingRoom(self._limit))
+            return self._rooms.setdefault(service, ServiceQueue(self._limit))
--- a/tests/turn_player.py
+++ b/tests/dispatch_player.py
@@ -15,9 +15,9 @@
 
 import attrs
 
-from quaymill.connection.room_messages import LineTerms, PlaceOnline
-from quaymill.process.jobs.waiting_line import Waiter, WaitingLine
-from quaymill.request.turns import EngineState, may_go, turn_order
+from quaymill.connection.slot_messages import PlaceOnline, QueueTerms
+from quaymill.process.jobs.pool_queue import PoolQueue, QueuedRequest
+from quaymill.request.dispatch_order import EngineState, dispatch_order, may_dispatch
 
 MayGo = Callable[[EngineState, float, float], bool]
 Order = Callable[[float, int, float, float, float, float], tuple[bool, int, float, float]]
@@ -92,10 +92,12 @@
 
 
 def newest_first(
-    aim_at: float, rank: int, came_at: float, first_byte_s: float, now: float, share: float
+    target_at: float, rank: int, came_at: float, first_byte_s: float, now: float, share: float
 ) -> tuple[bool, int, float, float]:
     """Order what can be in time by its age, the newest first: a way that is not in use."""
-    is_late, rank, share, came_at = turn_order(aim_at, rank, came_at, first_byte_s, now, share)
+    is_late, rank, share, came_at = dispatch_order(
+        target_at, rank, came_at, first_byte_s, now, share
+    )
     return is_late, rank, share, came_at if is_late else -came_at
 
 
@@ -112,8 +114,8 @@
         self,
         burst: Burst,
         seed: int,
-        decide: MayGo = may_go,
-        order: Order = turn_order,
+        decide: MayGo = may_dispatch,
+        order: Order = dispatch_order,
         *,
         exact: bool = False,
     ) -> None:
@@ -269,21 +271,21 @@
 
     def __init__(self, burst: Burst, seed: int) -> None:
         super().__init__(burst, seed)
-        self._line = WaitingLine()
+        self._line = PoolQueue()
         self._counted = [0] * burst.engines
         self._request_by_ticket: dict[str, _Request] = {}
 
     def _arrive(self, request: _Request, now: float) -> None:
         burst = self._burst
         ticket = str(len(self._request_by_ticket))
-        terms = LineTerms(
+        terms = QueueTerms(
             ticket,
             str(request.gateway),
             str(request.tenant) if burst.tenants else None,
             rank=0,
             waited_s=0.0,
-            aim_in_s=burst.objective_s,
-            last_call_in_s=LAST_CALL_S,
+            target_in_s=burst.objective_s,
+            dispatch_by_s=LAST_CALL_S,
             left_s=2 * LAST_CALL_S,
             service_s=burst.service_s,
             first_byte_s=FIRST_BYTE_S,
@@ -300,7 +302,7 @@
                 return
             self._go(waiting[0], now + way_s)
 
-    def _go(self, waiter: Waiter, at: float) -> None:
+    def _go(self, waiter: QueuedRequest, at: float) -> None:
         self._line.serve(waiter)
         engine = self._least(self._counted)
         self._counted[engine] += 1
--- a/tests/test_room_orders.py
+++ b/tests/test_allocator_calls.py
@@ -12,18 +12,18 @@
 from quaymill.connection.endpoint import Endpoint
 from quaymill.connection.member import Member
 from quaymill.connection.peer_link import PeerNoReply
-from quaymill.connection.room_messages import (
-    GiveBack,
-    GivenBack,
+from quaymill.connection.slot_messages import (
+    GrantsAccepted,
     ItemsAt,
-    OnlineTurns,
-    RoomFreed,
-    RoomFreedNoted,
-    TurnsTaken,
+    ItemsPreempted,
+    OnlineGrants,
+    PreemptItems,
+    SlotsFreed,
+    SlotsFreedAcknowledged,
 )
+from quaymill.process.jobs.allocator_calls import SENDERS, AllocatorCalls, _Pending
 from quaymill.process.jobs.engine_pool import EnginePool
-from quaymill.process.jobs.room_orders import SENDERS, RoomOrders, _Pending
-from quaymill.process.jobs.turn_giving import GivenTurn
+from quaymill.process.jobs.slot_grants import SlotGrant
 
 TIMEOUT_S = 10.0
 
@@ -50,7 +50,7 @@
             self.under_way[name] -= 1
         if name.startswith("slow"):
             return PeerNoReply(endpoint, "silent")
-        return GivenBack() if isinstance(message, GiveBack) else RoomFreedNoted()
+        return ItemsPreempted() if isinstance(message, PreemptItems) else SlotsFreedAcknowledged()
 
     def told(self, name: str) -> list[object]:
         return [message for to, message in self.calls if to == name]
@@ -75,7 +75,7 @@
         self.client = SlowClient()
         self.cut: list[tuple[ItemsAt, ...]] = []
         self.claimed = 0
-        self.orders = RoomOrders(
+        self.orders = AllocatorCalls(
             "own", self.cut.append, self._claim, self.client, NoServer(), member_named
         )
         self.addCleanup(self.orders.stop)
@@ -96,25 +96,25 @@
         client = mock.Mock()
 
         def call(endpoint, message, reply_type, timeout_s):
-            if isinstance(message, OnlineTurns):
-                return TurnsTaken(("t",))
+            if isinstance(message, OnlineGrants):
+                return GrantsAccepted(("t",))
             raise ValueError("a bug")
 
         client.call = call
-        orders = RoomOrders(
+        orders = AllocatorCalls(
             "own",
             self.cut.append,
             self._claim,
             client,
             NoServer(),
             member_named,
-            turn_answered=lambda turn, taken: answered.append((turn.ticket, taken)),
+            grant_answered=lambda turn, taken: answered.append((turn.ticket, taken)),
         )
         self.addCleanup(orders.stop)
         replica = mock.Mock(id="r")
         with orders._changed:
             orders._waiting["peer"] = _Pending(Counter(r=1))
-            orders.send_turn(GivenTurn(EnginePool("s"), "g", "peer", "t", replica))
+            orders.send_grant(SlotGrant(EnginePool("s"), "g", "peer", "t", replica))
         eventually(lambda: not orders._being_told and not orders._waiting, TIMEOUT_S)
         self.assertEqual([("t", True)], answered)
 
@@ -126,7 +126,7 @@
         self.orders.send("quick", (ItemsAt("r", 2),))
         self.assertLess(time.monotonic() - began, 1.0)
         eventually(lambda: self.client.told("quick"), TIMEOUT_S)
-        self.assertEqual(self.client.told("quick"), [GiveBack((ItemsAt("r", 2),))])
+        self.assertEqual(self.client.told("quick"), [PreemptItems((ItemsAt("r", 2),))])
 
     def test_word_for_a_coordinator_that_is_being_told_goes_out_together(self):
         self.orders.send("slow", (ItemsAt("r", 1),))
@@ -136,7 +136,7 @@
             self.orders.wake("slow")
         self.client.go_on.set()
         eventually(lambda: len(self.client.told("slow")) == 2, TIMEOUT_S)
-        self.assertEqual(self.client.told("slow")[1], GiveBack((ItemsAt("r", 5),)))
+        self.assertEqual(self.client.told("slow")[1], PreemptItems((ItemsAt("r", 5),)))
         self.assertEqual(self.client.most_under_way["slow"], 1)
 
     def test_every_word_arrives_however_many_there_are(self):
@@ -145,7 +145,7 @@
             self.orders.wake(name)
         eventually(lambda: len(self.client.calls) == 200, TIMEOUT_S)
         self.assertEqual({name for name, _ in self.client.calls}, set(names))
-        self.assertTrue(all(isinstance(message, RoomFreed) for _, message in self.client.calls))
+        self.assertTrue(all(isinstance(message, SlotsFreed) for _, message in self.client.calls))
 
 
 if __name__ == "__main__":
--- a/tests/test_online_line.py
+++ b/tests/test_allocator_queue.py
@@ -17,19 +17,19 @@
 from quaymill.connection.member import Member
 from quaymill.connection.peer_link import PeerNoReply
 from quaymill.connection.replica_entry import ReplicaEntry
-from quaymill.connection.room_messages import (
-    LineTerms,
+from quaymill.connection.slot_messages import (
+    GrantsAccepted,
+    OnlineGrant,
+    OnlineGrants,
     OnlineInFlight,
-    OnlineTurn,
-    OnlineTurns,
     PlaceOnline,
-    TurnsTaken,
+    QueueTerms,
 )
 from quaymill.process.front.refusals import forwarding_refusal
-from quaymill.process.jobs.online_notices import OnlineNotices
-from quaymill.process.jobs.room_claims import KeeperChoice
-from quaymill.process.jobs.room_keeper import RoomKeeper
-from quaymill.process.jobs.room_orders import RoomOrders
+from quaymill.process.jobs.allocator_calls import AllocatorCalls
+from quaymill.process.jobs.online_reporter import OnlineReporter
+from quaymill.process.jobs.slot_allocator import SlotAllocator
+from quaymill.process.jobs.slot_claims import AllocatorChoice
 from quaymill.process.replica_set.online_queue import OnlineQueue
 from quaymill.process.replica_set.router import Router
 from quaymill.process.replica_set.table import ReplicaTable
@@ -121,20 +121,20 @@
             lambda replica: self.notices.give_back(replica),
             lambda service, ticket: self.notices.depart(service, ticket),
         )
-        self.orders = RoomOrders(
+        self.orders = AllocatorCalls(
             self.process,
             lambda items: None,
             lambda: None,
             wire,
             wire.register_for(name),
             lambda process: next((one for one in members() if process == f"{one.name}#1"), None),
-            lambda turns: self.notices.take_turns(turns),
-            lambda turn, taken: self.keeper.turn_answered(turn, taken),
+            lambda turns: self.notices.accept_grants(turns),
+            lambda turn, taken: self.keeper.grant_answered(turn, taken),
         )
-        self.keeper = RoomKeeper(
-            self.table, NoLoads(), wire.register_for(name), send_turn=self.orders.send_turn
+        self.keeper = SlotAllocator(
+            self.table, NoLoads(), wire.register_for(name), send_grant=self.orders.send_grant
         )
-        self.notices = OnlineNotices(
+        self.notices = OnlineReporter(
             name,
             "z",
             self.table,
@@ -142,17 +142,17 @@
             wire,
             members,
             lambda: {SERVICE},
-            self.queue.look_again,
-            line_lost=self.queue.leave_line,
-            release=self.queue.take_turn,
+            self.queue.recheck,
+            allocator_lost=self.queue.leave_allocator_queue,
+            release=self.queue.accept_grant,
         )
         self.router = Router(self.table, "z", name, self.notices.place)
         self.queue.record(SERVICE, 0.8, 0.05)
         self.notices.start()
 
     def ask(self, service, request, terms):
-        found = self.router.wishes_of(service, request.prompt)
-        return None if found is None else self.notices.ask_turn(*found, terms)
+        found = self.router.constraints_of(service, request.prompt)
+        return None if found is None else self.notices.request_slot(*found, terms)
 
     def begin(self, replica) -> None:
         replica.begin()
@@ -175,7 +175,7 @@
         self.wire = Wire()
         self.names = ["a", "b", "c"]
         self.gateways = {name: Gateway(name, self.wire, self.members) for name in self.names}
-        keeper = KeeperChoice(self.members).keeper_of(SERVICE, 0).name
+        keeper = AllocatorChoice(self.members).allocator_of(SERVICE, 0).name
         self.keeper = self.gateways[keeper]
         self.one, self.two = (one for one in self.gateways.values() if one.name != keeper)
         self.results: dict[str, object] = {}
@@ -211,7 +211,7 @@
         presence = self.presences[name] = CallerPresence()
 
         def run() -> None:
-            turn = gateway.queue.wait_turn(SERVICE, ROUTE, request, presence)
+            turn = gateway.queue.wait_for_slot(SERVICE, ROUTE, request, presence)
             if presence.gone:
                 if turn is not None:
                     gateway.queue.give_back(turn)
@@ -277,7 +277,7 @@
         self.fill()
         own = self.keeper
         for index in range(300):
-            terms = LineTerms(f"gone-{index}", own.process, None, 0, 0.5, 0.3, 30, 60, 0.001, 0.05)
+            terms = QueueTerms(f"gone-{index}", own.process, None, 0, 0.5, 0.3, 30, 60, 0.001, 0.05)
             own.keeper.place_online(PlaceOnline(own.name, "z", SERVICE, (), terms=terms))
         self.send("waits", self.two, patience_s=1000.0)
         self.wait_line(301)
@@ -344,7 +344,7 @@
         self.wait_line(1)
         self.wire.silent.add(self.keeper.name)
         self.names.remove(self.keeper.name)
-        self.keeper = self.gateways[KeeperChoice(self.members).keeper_of(SERVICE, 0).name]
+        self.keeper = self.gateways[AllocatorChoice(self.members).allocator_of(SERVICE, 0).name]
         # Both tell the new keeper what they have, and so learn that it keeps a line.
         self.wait_line(1)
         self.two.end()
@@ -400,9 +400,9 @@
         self.send("r", self.one)
         self.wait_line(1)
         (ticket,) = self.one.queue._held_by_ticket
-        turn = OnlineTurn(ticket, "e1")
-        self.assertEqual((ticket,), self.one.notices.take_turns([turn]))
-        self.assertEqual((), self.one.notices.take_turns([turn]))
+        turn = OnlineGrant(ticket, "e1")
+        self.assertEqual((ticket,), self.one.notices.accept_grants([turn]))
+        self.assertEqual((), self.one.notices.accept_grants([turn]))
         self.wait_gone("r")
         self.assertEqual(0, self.one.notices._placed["e1"])
         self.assertEqual(2, self.one.notices._in_flight["e1"])
@@ -423,7 +423,7 @@
             self.send("r", self.one)
             self.wait_gone("r")
         self.assertIsNone(self.results["r"])
-        self.assertEqual((), self.one.notices.take_turns([OnlineTurn(late[0], "e1")]))
+        self.assertEqual((), self.one.notices.accept_grants([OnlineGrant(late[0], "e1")]))
 
     def test_a_place_that_is_given_back_is_free_for_the_next(self) -> None:
         self.one.place_alone()
@@ -454,7 +454,7 @@
         return forwarder.forward(self.request, ROUTE, answer, self.presence, key_change)
 
     def test_what_cannot_be_served_was_not_run(self) -> None:
-        self.turns.wait_turn.return_value = CannotServeInTime("too many", 3.21)
+        self.turns.wait_for_slot.return_value = CannotServeInTime("too many", 3.21)
         refusal = forwarding_refusal(self.forward())
         self.assertEqual((503, 3.2), (refusal.status, refusal.retry_after_s))
         self.router.choose.assert_not_called()
@@ -466,12 +466,12 @@
             self.presence.leave()
             return place
 
-        self.turns.wait_turn.side_effect = leave
+        self.turns.wait_for_slot.side_effect = leave
         self.assertIsInstance(self.forward(), CallerLeft)
         self.turns.give_back.assert_called_once_with(place)
 
     def test_the_place_of_a_key_that_was_taken_away_is_given_back(self) -> None:
-        place = self.turns.wait_turn.return_value
+        place = self.turns.wait_for_slot.return_value
         changes = iter((None, KeyChanged(taken_away=True)))
         self.assertIsInstance(self.forward(lambda: next(changes)), KeyChanged)
         self.turns.give_back.assert_called_once_with(place)
@@ -485,7 +485,7 @@
         self.assertIsNone(msgspec.json.decode(old, type=PlaceOnline).terms)
 
     def test_turns_survive_the_wire(self) -> None:
-        for message in (OnlineTurns(()), TurnsTaken(("t",)), OnlineInFlight("g", "s", ())):
+        for message in (OnlineGrants(()), GrantsAccepted(("t",)), OnlineInFlight("g", "s", ())):
             line = msgspec.json.encode(message)
             self.assertEqual(message, msgspec.json.decode(line, type=type(message)))
 
--- a/tests/test_answer_buffer.py
+++ b/tests/test_answer_buffer.py
@@ -18,7 +18,7 @@
 from quaymill.process.front.http_server import HttpServer
 from quaymill.process.serving_settings import Machine, ServingSettings
 from quaymill.request import answer_buffer
-from quaymill.request.answer_buffer import HeldAnswers
+from quaymill.request.answer_buffer import BufferedAnswers
 from quaymill.request.answer_relay import AnswerRelay
 from quaymill.request.deadline import Deadline
 from quaymill.request.forwarded_request import ForwardedRequest
@@ -101,7 +101,7 @@
     def setUp(self) -> None:
         self.replica = StreamingReplica(self.answer_bytes)
         self.addCleanup(self.replica.close)
-        self.held = HeldAnswers(self.budget_bytes)
+        self.held = BufferedAnswers(self.budget_bytes)
         self.connections = ReplicaConnections(LinkFilter())
         self.endpoint = Endpoint("127.0.0.1", free_port())
         self.server = HttpServer(self.endpoint, self.handle, 40, held_answers=self.held)
@@ -262,5 +262,7 @@
 
     def test_budget(self) -> None:
         machine = Machine(memory_mb=200)
-        self.assertEqual(12.5 * MEGABYTE, HeldAnswers.within_memory(machine.memory_mb).budget_bytes)
-        self.assertGreater(HeldAnswers.within_memory(0.0).budget_bytes, 0)
+        self.assertEqual(
+            12.5 * MEGABYTE, BufferedAnswers.within_memory(machine.memory_mb).budget_bytes
+        )
+        self.assertGreater(BufferedAnswers.within_memory(0.0).budget_bytes, 0)
--- a/tests/test_turns.py
+++ b/tests/test_dispatch_order.py
@@ -7,8 +7,13 @@
 import attrs
 from nose2.tools import params
 
-from quaymill.request.turns import EngineState, expected_wait_s, may_go, turn_order
-from turn_player import Burst, BurstPlayer, LinePlayer
+from dispatch_player import Burst, BurstPlayer, LinePlayer
+from quaymill.request.dispatch_order import (
+    EngineState,
+    dispatch_order,
+    expected_wait_s,
+    may_dispatch,
+)
 
 SLOTS = 4
 SERVICE_S = 0.8
@@ -27,9 +32,11 @@
     return EngineState(load, SLOTS, SERVICE_S, first_byte_s)
 
 
-def up_to_the_last_moment(state: EngineState, aim_at: float, now: float) -> bool:
+def up_to_the_last_moment(state: EngineState, target_at: float, now: float) -> bool:
     """Let go whatever may just be in time."""
-    return state.load < state.slots or now + expected_wait_s(state) + state.first_byte_s <= aim_at
+    return (
+        state.load < state.slots or now + expected_wait_s(state) + state.first_byte_s <= target_at
+    )
 
 
 class DecisionTest(unittest.TestCase):
@@ -45,7 +52,7 @@
         ("two ahead, time enough", 5, 0.6, True),
     )
     def test_may_go(self, _, load, left_s, expected) -> None:
-        self.assertIs(expected, may_go(engine(load), 100.0 + left_s, 100.0))
+        self.assertIs(expected, may_dispatch(engine(load), 100.0 + left_s, 100.0))
 
     def test_expected_wait_grows_by_the_time_between_two_ends(self) -> None:
         waits = [expected_wait_s(engine(load)) for load in (3, 4, 5, 6)]
@@ -62,7 +69,7 @@
             "in time, old": (10.3, 1, 9.8),
             "in time, new": (10.4, 1, 9.95),
         }
-        ordered = sorted(requests, key=lambda name: turn_order(*requests[name], 0.05, now))
+        ordered = sorted(requests, key=lambda name: dispatch_order(*requests[name], 0.05, now))
         expected = [
             "in time, urgent",
             "in time, old",
--- a/tests/test_empty_pages.py
+++ b/tests/test_empty_pages.py
@@ -123,10 +123,10 @@
     def starve(self, gateway: Any) -> None:
         """Grant a gateway no more room, and wait until its running items have ended."""
         dispatcher = gateway.coordinator._dispatcher
-        claim_room = dispatcher._parts.claim_room
+        claim_slots = dispatcher._parts.claim_slots
         dispatcher._parts = attrs.evolve(
             dispatcher._parts,
-            claim_room=lambda claim: claim_room(msgspec.structs.replace(claim, wanted=())),
+            claim_slots=lambda claim: claim_slots(msgspec.structs.replace(claim, wanted=())),
         )
         job = gateway.coordinator.get("job")
         wait_until(lambda: not job.running() and not job.unlisted(), "nothing is under way")
--- a/tests/test_online_queue.py
+++ b/tests/test_online_queue.py
@@ -55,7 +55,7 @@
     def load(self, online: int, batch: int = 0) -> None:
         for replica in self.table.replicas():
             replica.take_pool_view(online, batch)
-        self.queue.look_again()
+        self.queue.recheck()
 
     def keep_loaded(self, online: int) -> None:
         """Tell the same load again and again: a keeper's word ages."""
@@ -85,7 +85,7 @@
         presence = self.presences[name] = CallerPresence()
 
         def run() -> None:
-            self.queue.wait_turn(SERVICE, ROUTE, request, presence)
+            self.queue.wait_for_slot(SERVICE, ROUTE, request, presence)
             self.gone.append(name)
 
         thread = threading.Thread(target=run)
--- a/tests/test_waiting_line.py
+++ b/tests/test_pool_queue.py
@@ -10,11 +10,11 @@
 
 from quaymill.connection.endpoint import Endpoint
 from quaymill.connection.replica_entry import ReplicaEntry
-from quaymill.connection.room_messages import LineTerms, PlaceOnline
+from quaymill.connection.slot_messages import PlaceOnline, QueueTerms
 from quaymill.process.jobs.engine_pool import EnginePool
 from quaymill.process.jobs.pool_counts import PoolCounts
-from quaymill.process.jobs.turn_giving import GivenTurn, TurnGiver
-from quaymill.process.jobs.waiting_line import SURE_FACTOR, TURN_WAY_S, WaitingLine
+from quaymill.process.jobs.pool_queue import SURE_FACTOR, TURN_WAY_S, PoolQueue
+from quaymill.process.jobs.slot_grants import PoolQueues, SlotGrant
 from quaymill.process.replica_set.replica import Replica
 from quaymill.request.fair_shares import MAX_TENANTS, FairShares
 
@@ -27,13 +27,13 @@
     given = {
         "rank": 0,
         "waited_s": 0.0,
-        "aim_in_s": 0.3,
-        "last_call_in_s": 3.0,
+        "target_in_s": 0.3,
+        "dispatch_by_s": 3.0,
         "left_s": 5.0,
         "service_s": SERVICE_S,
         "first_byte_s": 0.05,
     } | fields
-    terms = LineTerms(ticket, process, tenant, **given)
+    terms = QueueTerms(ticket, process, tenant, **given)
     return PlaceOnline(process.partition("#")[0], "x", SERVICE, (), terms=terms)
 
 
@@ -79,7 +79,7 @@
     """One line."""
 
     def setUp(self) -> None:
-        self.line = WaitingLine()
+        self.line = PoolQueue()
 
     def tickets(self, now: float) -> list[str]:
         return [one.ticket for one in self.line.ordered(now)]
@@ -87,8 +87,8 @@
     def test_order(self) -> None:
         now = 10.0
         given = [
-            asked("late", "c", aim_in_s=-1.0),
-            asked("too near its aim", "d", aim_in_s=0.05 + TURN_WAY_S),
+            asked("late", "c", target_in_s=-1.0),
+            asked("too near its aim", "d", target_in_s=0.05 + TURN_WAY_S),
             asked("first of a", "a"),
             asked("second of a", "a"),
             asked("third of a", "a"),
@@ -121,7 +121,7 @@
         self.assertEqual(2, len(self.line))
 
     def test_past_its_last_call_a_request_is_its_gateways(self) -> None:
-        self.line.join(asked("short", last_call_in_s=0.5), 1.0)
+        self.line.join(asked("short", dispatch_by_s=0.5), 1.0)
         self.line.join(asked("long"), 1.0)
         self.assertEqual(["long"], self.tickets(1.6))
 
@@ -133,13 +133,13 @@
 
     def test_requests_past_their_last_call_refuse_nobody(self) -> None:
         for index in range(40):
-            self.line.join(asked(f"gone-{index}", last_call_in_s=0.1), 1.0)
+            self.line.join(asked(f"gone-{index}", dispatch_by_s=0.1), 1.0)
         fresh = self.line.join(asked("fresh", left_s=2.0), 2.0)
         self.assertIsNone(self.line.retry_after_s(fresh, 2, 2.0))
 
     def test_what_was_never_served_costs_a_tenant_nothing(self) -> None:
         for index in range(300):
-            self.line.join(asked(f"gone-{index}", "large", last_call_in_s=0.1), 1.0)
+            self.line.join(asked(f"gone-{index}", "large", dispatch_by_s=0.1), 1.0)
         self.line.ordered(2.0)
         self.line.join(asked("small", "small"), 2.0)
         self.line.join(asked("large", "large"), 2.0)
@@ -169,9 +169,9 @@
         self.replica = Replica(ReplicaEntry("e", SERVICE, address, "x", slots=2))
         self.counts = PoolCounts()
         self.counts.take_online("g", Counter(), 1.0)
-        self.giver = TurnGiver(random.Random(1))
+        self.giver = PoolQueues(random.Random(1))
 
-    def give(self, ticket: str, now: float) -> GivenTurn:
+    def give(self, ticket: str, now: float) -> SlotGrant:
         self.giver.join(self.pool, asked(ticket), now)
         (turn,) = self.giver.give(self.pool, self.counts, [self.replica], now)
         return turn
--- a/tests/test_waiting_room.py
+++ b/tests/test_service_queue.py
@@ -8,7 +8,7 @@
 from quaymill.request.deadline import Deadline
 from quaymill.request.outcome import NotRun
 from quaymill.request.presence import CallerGoneError, CallerPresence
-from quaymill.request.waiting_room import WaitingRoom
+from quaymill.request.service_queue import ServiceQueue
 
 FULL = NotRun(429, "full", "")
 GONE = NotRun(503, "no replica", "")
@@ -34,7 +34,7 @@
         self.replicas = Replicas()
         self.served: list[tuple[int, object]] = []
 
-    def start_waiters(self, room: WaitingRoom, count: int, timeout_s: float = 9.0) -> None:
+    def start_waiters(self, room: ServiceQueue, count: int, timeout_s: float = 9.0) -> None:
         """Start waiters one by one, so that their order is known."""
         for number in range(count):
             waiting = room.waiting
@@ -44,18 +44,18 @@
             self.addCleanup(self.let_all_in, room)
             wait_until(lambda w=waiting: room.waiting == w + 1)
 
-    def let_all_in(self, room: WaitingRoom) -> None:
+    def let_all_in(self, room: ServiceQueue) -> None:
         self.replicas.free = 100
         room.record_end()
 
-    def _wait(self, room: WaitingRoom, number: int, timeout_s: float) -> None:
-        choice = room.wait_for_room(
+    def _wait(self, room: ServiceQueue, number: int, timeout_s: float) -> None:
+        choice = room.wait_for_capacity(
             self.replicas.choose, Deadline.after(timeout_s), CallerPresence()
         )
         self.served.append((number, choice))
 
     def test_first_come_first_served(self):
-        room = WaitingRoom(limit=10)
+        room = ServiceQueue(limit=10)
         self.start_waiters(room, 4)
         for expected in range(1, 5):
             self.replicas.free = 1
@@ -64,39 +64,45 @@
         self.assertEqual(self.served, [(number, "replica") for number in range(4)])
 
     def test_full_queue_refuses_at_once_with_the_time_that_the_rate_gives(self):
-        room = WaitingRoom(limit=3)
+        room = ServiceQueue(limit=3)
         for _ in range(10):
             room.record_end()
         self.start_waiters(room, 3)
         started_at = time.monotonic()
-        refusal = room.wait_for_room(self.replicas.choose, Deadline.after(60.0), CallerPresence())
+        refusal = room.wait_for_capacity(
+            self.replicas.choose, Deadline.after(60.0), CallerPresence()
+        )
         self.assertLess(time.monotonic() - started_at, 0.5)
         # Ten ended in the last five seconds, so that the fourth has its turn after two.
         self.assertEqual((refusal.status, refusal.retry_after_s), (429, 2.0))
 
     def test_wait_longer_than_the_deadline_is_refused_at_once(self):
-        room = WaitingRoom(limit=10)
+        room = ServiceQueue(limit=10)
         room.record_end()
         self.start_waiters(room, 1)
         started_at = time.monotonic()
-        refusal = room.wait_for_room(self.replicas.choose, Deadline.after(2.0), CallerPresence())
+        refusal = room.wait_for_capacity(
+            self.replicas.choose, Deadline.after(2.0), CallerPresence()
+        )
         self.assertLess(time.monotonic() - started_at, 1.0)
         self.assertEqual((refusal.status, refusal.retry_after_s), (429, 10.0))
 
     def test_deadline_ends_a_wait(self):
-        room = WaitingRoom(limit=10)
-        refusal = room.wait_for_room(self.replicas.choose, Deadline.after(0.3), CallerPresence())
+        room = ServiceQueue(limit=10)
+        refusal = room.wait_for_capacity(
+            self.replicas.choose, Deadline.after(0.3), CallerPresence()
+        )
         self.assertEqual((refusal.status, room.waiting), (429, 0))
 
     def test_other_refusal_ends_a_wait(self):
-        room = WaitingRoom(limit=10)
-        refusal = room.wait_for_room(lambda: GONE, Deadline.after(5.0), CallerPresence())
+        room = ServiceQueue(limit=10)
+        refusal = room.wait_for_capacity(lambda: GONE, Deadline.after(5.0), CallerPresence())
         self.assertEqual(refusal, GONE)
 
     def test_caller_that_leaves_frees_its_place(self):
-        room = WaitingRoom(limit=10)
+        room = ServiceQueue(limit=10)
         presence = CallerPresence()
         threading.Timer(0.1, presence.leave).start()
         with self.assertRaises(CallerGoneError):
-            room.wait_for_room(self.replicas.choose, Deadline.after(5.0), presence)
+            room.wait_for_capacity(self.replicas.choose, Deadline.after(5.0), presence)
         self.assertEqual(room.waiting, 0)
--- a/tests/test_job_room.py
+++ b/tests/test_slot_allocator.py
@@ -16,42 +16,42 @@
 from quaymill.connection.member import Member
 from quaymill.connection.peer_link import PeerNoReply
 from quaymill.connection.replica_entry import ReplicaEntry
-from quaymill.connection.room_messages import (
-    ClaimRoom,
+from quaymill.connection.slot_messages import (
+    ClaimSlots,
     ItemsAt,
     LoadOffset,
     OnlineInFlight,
     OnlinePlaced,
     PlaceOnline,
     PoolLoads,
-    RoomGranted,
     RoutePace,
     RunningAt,
+    SlotsGranted,
     WantedItems,
 )
 from quaymill.process.jobs.coordinated_job import CoordinatedJob
 from quaymill.process.jobs.engine_pool import pools_of
 from quaymill.process.jobs.item_urgency import (
-    HOPELESS_DUE_S,
+    INFEASIBLE_DUE_S,
     RoutePaces,
     RunPace,
     time_left_s,
 )
-from quaymill.process.jobs.online_notices import PLACE_PAUSE_S, OnlineNotices
-from quaymill.process.jobs.room_claims import AVOID_KEEPER_S, KeeperChoice, RoomClaims
-from quaymill.process.jobs.room_keeper import (
+from quaymill.process.jobs.online_reporter import PLACE_PAUSE_S, OnlineReporter
+from quaymill.process.jobs.slot_allocator import (
     CLAIM_LIFETIME_S,
     ONLINE_LIFETIME_S,
     WAKE_INTERVAL_S,
-    RoomKeeper,
+    SlotAllocator,
 )
+from quaymill.process.jobs.slot_claims import AVOID_KEEPER_S, AllocatorChoice, SlotClaims
 from quaymill.process.membership.ranking import strongest
-from quaymill.process.replica_set.router import PlacementWishes
+from quaymill.process.replica_set.router import PlacementConstraints
 from quaymill.process.replica_set.table import ReplicaTable
 from quaymill.version.request_routes import RequestRoute, RouteKind, WeightedService
 
 SERVICE = "engine"
-NO_WISHES = PlacementWishes(frozenset(), {})
+NO_WISHES = PlacementConstraints(frozenset(), {})
 EVERY_ITEM = WantedItems(reserve_share=0.0, items=100, tokens=10)
 
 
@@ -81,7 +81,7 @@
 
 def claim(coordinator, *wanted, zone="x", running=(), avoided=(), service=SERVICE):
     at = tuple(RunningAt(*one) for one in running)
-    return ClaimRoom(coordinator, zone, service, at, wanted, avoided)
+    return ClaimSlots(coordinator, zone, service, at, wanted, avoided)
 
 
 def items(granted_at) -> dict[str, int]:
@@ -99,7 +99,7 @@
         patch.start()
         self.addCleanup(patch.stop)
 
-    def keeper(self, **free_by_replica: int) -> RoomKeeper:
+    def keeper(self, **free_by_replica: int) -> SlotAllocator:
         self.lost_zones: set[str] = set()
         table = ReplicaTable(is_unreachable=self.lost_zones.__contains__)
         entries = [
@@ -109,7 +109,7 @@
         entries.append(ReplicaEntry("o1", "other", Endpoint("127.0.0.1", 1), "o", 8))
         table.replace_all(entries, 1)
         self.loads = FixedLoads(**free_by_replica)
-        return RoomKeeper(table, self.loads)
+        return SlotAllocator(table, self.loads)
 
 
 class RoomKeeperTest(KeeperCase):
@@ -155,10 +155,10 @@
         keeper.claim(claim("b", running=[("x1", 2)]))
         self.loads.excess_by_replica["x1"] = 6
         granted = keeper.claim(claim("b", running=[("x1", 2)]))
-        self.assertEqual({"x1": 1}, items(granted.give_back))
+        self.assertEqual({"x1": 1}, items(granted.preempt))
         granted = keeper.claim(claim("a", running=[("x1", 5)]))
-        self.assertEqual({"x1": 5}, items(granted.give_back))
-        self.assertEqual({}, items(keeper.claim(claim("a", running=[("x1", 5)])).give_back))
+        self.assertEqual({"x1": 5}, items(granted.preempt))
+        self.assertEqual({}, items(keeper.claim(claim("a", running=[("x1", 5)])).preempt))
 
     def test_replicas_of_the_zone_come_first_among_those_as_free(self) -> None:
         granted = self.keeper(x1=2, y1=2).claim(claim("a", WantedItems(0.0, 1, 10), zone="y"))
@@ -181,14 +181,14 @@
         super().setUp()
         self.orders: list[tuple[str, dict[str, int]]] = []
 
-    def keeper(self, **free_by_replica: int) -> RoomKeeper:
+    def keeper(self, **free_by_replica: int) -> SlotAllocator:
         keeper = super().keeper(**free_by_replica)
         keeper._order_back = lambda name, at: self.orders.append((name, items(at)))
         return keeper
 
-    def tell(self, keeper: RoomKeeper, gateway: str, **in_flight: int) -> PoolLoads:
+    def tell(self, keeper: SlotAllocator, gateway: str, **in_flight: int) -> PoolLoads:
         told = tuple(ItemsAt(*one) for one in in_flight.items())
-        return keeper.note_online(OnlineInFlight(gateway, SERVICE, told))
+        return keeper.record_online(OnlineInFlight(gateway, SERVICE, told))
 
     def test_excess_is_owed_by_those_with_most_items_there_and_only_once(self) -> None:
         keeper = self.keeper(x1=0)
@@ -225,7 +225,7 @@
         self.assertEqual((4, 0), (loads["x1"].online, loads["x1"].batch))
         self.assertEqual((0, 2), (loads["y1"].online, loads["y1"].batch))
 
-    def place(self, keeper: RoomKeeper, gateway: str, **fields) -> OnlinePlaced:
+    def place(self, keeper: SlotAllocator, gateway: str, **fields) -> OnlinePlaced:
         return keeper.place_online(PlaceOnline(gateway, "x", SERVICE, **fields))
 
     def test_requests_of_many_gateways_are_placed_evenly(self) -> None:
@@ -282,7 +282,7 @@
         self.room = self.keeper(x1=0, y1=0)
         self.batch_services = {SERVICE}
         own = member("me", 1)
-        self.notices = OnlineNotices(
+        self.notices = OnlineReporter(
             "me",
             "x",
             self.room._table,
@@ -337,7 +337,7 @@
 
     def test_a_keeper_that_is_silent_is_not_asked_again_at_once(self) -> None:
         other = member("other", 2)
-        self.notices._keepers = KeeperChoice(lambda: (other,))
+        self.notices._keepers = AllocatorChoice(lambda: (other,))
         self.notices._client.call.return_value = PeerNoReply(other.peer, "silent")
         for _ in range(2):
             self.assertIsNone(self.notices.place(self.room._table.get("x1"), NO_WISHES))
@@ -366,7 +366,7 @@
         self.woken: list[str] = []
         self.orders: list[tuple[str, dict[str, int]]] = []
 
-    def keeper(self, **free_by_replica: int) -> RoomKeeper:
+    def keeper(self, **free_by_replica: int) -> SlotAllocator:
         keeper = super().keeper(**free_by_replica)
         keeper._wake = self.woken.append
         keeper._order_back = lambda name, at: self.orders.append((name, items(at)))
@@ -394,19 +394,19 @@
 
     def test_what_is_due_last_gives_way_first(self) -> None:
         keeper = self.keeper(x1=0)
-        keeper.claim(claim("a", running=[("x1", 2, 3.0), ("x1", 1, HOPELESS_DUE_S)]))
+        keeper.claim(claim("a", running=[("x1", 2, 3.0), ("x1", 1, INFEASIBLE_DUE_S)]))
         keeper.claim(claim("b", running=[("x1", 4, 9.0)]))
-        keeper.note_online(OnlineInFlight("g", SERVICE, (ItemsAt("x1", 4),)))
+        keeper.record_online(OnlineInFlight("g", SERVICE, (ItemsAt("x1", 4),)))
         self.assertEqual([("a", {"x1": 1}), ("b", {"x1": 2})], sorted(self.orders))
 
     def test_who_waits_longest_due_hears_of_room_when_online_requests_end(self) -> None:
         keeper = self.keeper(x1=0)
-        keeper.note_online(OnlineInFlight("g", SERVICE, (ItemsAt("x1", 8),)))
+        keeper.record_online(OnlineInFlight("g", SERVICE, (ItemsAt("x1", 8),)))
         keeper.claim(claim("late", self.due(15.0)))
         keeper.claim(claim("early", self.due(5.0)))
         self.now += 2 * WAKE_INTERVAL_S
         self.assertEqual([], self.woken)
-        keeper.note_online(OnlineInFlight("g", SERVICE, (ItemsAt("x1", 5),)))
+        keeper.record_online(OnlineInFlight("g", SERVICE, (ItemsAt("x1", 5),)))
         self.assertEqual(["early"], self.woken)
 
 
@@ -434,14 +434,14 @@
 
     def test_nothing_is_hopeless_before_it_is_due_while_no_pace_is_known(self) -> None:
         self.assertAlmostEqual(0.5, self.left_s(17.5))
-        self.assertEqual(HOPELESS_DUE_S, self.left_s(18.1))
+        self.assertEqual(INFEASIBLE_DUE_S, self.left_s(18.1))
 
     @params((11.9, 0, False), (12.1, 0, True), (13.0, 0, True), (15.5, 0, True), (15.5, 150, False))
     def test_what_cannot_be_done_in_time_is_hopeless(self, after_s, events, expected) -> None:
         # Two hundred events at 25 ms: five seconds for a whole item, six with the margin.
         self.record(200, 100, 2.5)
         self.item.take_events(["x"] * events, str(events))
-        self.assertEqual(expected, self.left_s(after_s) == HOPELESS_DUE_S)
+        self.assertEqual(expected, self.left_s(after_s) == INFEASIBLE_DUE_S)
 
     def test_averages_follow_the_items(self) -> None:
         self.record(200, 200, 5.0)
@@ -452,16 +452,16 @@
 
     def test_a_coordinator_learns_the_pace_of_others_from_the_keeper(self) -> None:
         """With more gateways than jobs most have seen no item end; all seemed doable to them."""
-        keeper = RoomKeeper(ReplicaTable(), FixedLoads())
+        keeper = SlotAllocator(ReplicaTable(), FixedLoads())
         quick, other = RoutePaces(), RoutePaces()
         for _ in range(30):
             quick.record("jobs", 200, 200, 5.0)
-        keeper.claim(msgspec.structs.replace(claim("a"), done=quick.take_untold()))
-        self.assertEqual((), quick.take_untold())
+        keeper.claim(msgspec.structs.replace(claim("a"), done=quick.take_unreported()))
+        self.assertEqual((), quick.take_unreported())
         self.assertEqual(1.0, self.left_s(17.0))
         other.adopt(keeper.claim(claim("b")).paces)
         self.paces = other
-        self.assertEqual(HOPELESS_DUE_S, self.left_s(17.0))
+        self.assertEqual(INFEASIBLE_DUE_S, self.left_s(17.0))
         self.assertAlmostEqual(5.0, self.pace.remaining_s(0), delta=0.1)
 
     def test_routes_have_paces_of_their_own(self) -> None:
@@ -513,7 +513,7 @@
         loads.want = wanted.extend
         pool = pools_of(SERVICE, table)[1]
         message = msgspec.structs.replace(claim("a", EVERY_ITEM), pool=pool.index, pools=pool.pools)
-        granted = RoomKeeper(table, loads).claim(message)
+        granted = SlotAllocator(table, loads).claim(message)
         members = {replica.id for replica in pool.members(table)}
         self.assertEqual(members, set(items(granted.starts)))
         self.assertEqual(members, {replica.id for replica in wanted})
@@ -533,14 +533,16 @@
         self.keeper = mock.Mock()
         self.keeper.claim.side_effect = lambda message: self.answer("own")
 
-    def answer(self, name: str) -> RoomGranted | PeerNoReply:
+    def answer(self, name: str) -> SlotsGranted | PeerNoReply:
         self.asked.append(name)
-        return PeerNoReply(self.members[0].peer, "silent") if name in self.silent else RoomGranted()
+        return (
+            PeerNoReply(self.members[0].peer, "silent") if name in self.silent else SlotsGranted()
+        )
 
-    def claims(self, own_name: str) -> RoomClaims:
+    def claims(self, own_name: str) -> SlotClaims:
         client = mock.Mock()
         client.call.side_effect = lambda peer, *_: self.answer(self.name_of(peer))
-        return RoomClaims(own_name, self.keeper, client, lambda: self.members)
+        return SlotClaims(own_name, self.keeper, client, lambda: self.members)
 
     def name_of(self, peer: Endpoint) -> str:
         return next(one.name for one in self.members if one.peer == peer)
@@ -548,8 +550,8 @@
     def test_a_weak_gateway_keeps_no_room_for_all(self) -> None:
         members = [msgspec.structs.replace(one, cores=0.5) for one in self.members]
         members[1:] = [msgspec.structs.replace(one, cores=2.0) for one in members[1:]]
-        choice = KeeperChoice(lambda: tuple(members))
-        keepers = {choice.keeper_of(f"service-{n}", 0).name for n in range(50)}
+        choice = AllocatorChoice(lambda: tuple(members))
+        keepers = {choice.allocator_of(f"service-{n}", 0).name for n in range(50)}
         self.assertEqual({"b", "c"}, keepers)
 
     def test_keeper_is_one_that_is_reached(self) -> None:
@@ -559,21 +561,21 @@
             members = tuple(members)
             return tuple(one for one in members if one.name not in lost) or members
 
-        choice = KeeperChoice(lambda: self.members, reachable)
-        first = choice.keeper_of(SERVICE, 0).name
+        choice = AllocatorChoice(lambda: self.members, reachable)
+        first = choice.allocator_of(SERVICE, 0).name
         lost.add(first)
-        second = choice.keeper_of(SERVICE, 0).name
+        second = choice.allocator_of(SERVICE, 0).name
         self.assertNotEqual(first, second)
         lost |= {one.name for one in self.members}
-        self.assertEqual(first, choice.keeper_of(SERVICE, 0).name)
+        self.assertEqual(first, choice.allocator_of(SERVICE, 0).name)
 
     def test_the_others_keep_room_while_no_strong_one_answers(self) -> None:
         members = [msgspec.structs.replace(one, cores=0.5) for one in self.members]
         members[1:] = [msgspec.structs.replace(one, cores=2.0) for one in members[1:]]
-        choice = KeeperChoice(lambda: tuple(members))
+        choice = AllocatorChoice(lambda: tuple(members))
         for one in members[1:]:
             choice.avoid(SERVICE, one)
-        self.assertEqual("a", choice.keeper_of(SERVICE, 0).name)
+        self.assertEqual("a", choice.allocator_of(SERVICE, 0).name)
 
     @params(
         ("all alike", [1.0, 1.0, 1.0], 3),
--- a/tests/test_slow_callers.py
+++ b/tests/test_slow_callers.py
@@ -38,7 +38,7 @@
         name = request.header("Request-Id")
         if request.presence.gone:
             self.found_gone.append(name)
-            writer.break_off()
+            writer.abort()
             return
         self.handled.append(name)
         if name == "wait":
--- a/tests/test_slow_replicas.py
+++ b/tests/test_slow_replicas.py
@@ -59,7 +59,7 @@
     def write(self, block: bytes) -> None:
         self.body += block
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """Do nothing."""
 
 
--- a/tests/test_uneven_replicas.py
+++ b/tests/test_uneven_replicas.py
@@ -14,15 +14,15 @@
 from quaymill.connection.member import Member
 from quaymill.connection.peer_link import PeerMessage
 from quaymill.connection.replica_entry import ReplicaEntry, ReportedLoad, SlownessReading
-from quaymill.connection.room_messages import (
+from quaymill.connection.slot_messages import (
     ItemsAt,
     OnlineInFlight,
     PlaceOnline,
-    SlownessTold,
+    SlownessReport,
 )
 from quaymill.process.jobs.engine_loads import EngineLoads
-from quaymill.process.jobs.online_notices import OnlineNotices
-from quaymill.process.jobs.room_keeper import RoomKeeper
+from quaymill.process.jobs.online_reporter import OnlineReporter
+from quaymill.process.jobs.slot_allocator import SlotAllocator
 from quaymill.process.replica_set.replica import Replica
 from quaymill.process.replica_set.replica_cost import (
     OTHER_ZONE_KEPT_LOAD,
@@ -30,7 +30,7 @@
     expected_cost,
     least_costly,
 )
-from quaymill.process.replica_set.router import PlacementWishes
+from quaymill.process.replica_set.router import PlacementConstraints
 from quaymill.process.replica_set.slowness import SlownessRecord
 from quaymill.process.replica_set.table import ReplicaTable
 from uneven_player import UnevenLoad, UnevenOutcome, UnevenPlayer
@@ -142,16 +142,16 @@
             ReplicaEntry(name, SERVICE, Endpoint("127.0.0.1", 1), "a", 8) for name in ("x1", "x2")
         ]
         self.table.replace_all(entries, 1)
-        self.keeper = RoomKeeper(self.table, _loads())
+        self.keeper = SlotAllocator(self.table, _loads())
 
     @params("notice", "question")
     def test_slow_one_is_passed_over(self, how: str) -> None:
-        told = (SlownessTold("x1", 2.5, 0.01), SlownessTold("gone", 2.5, 0.01))
+        told = (SlownessReport("x1", 2.5, 0.01), SlownessReport("gone", 2.5, 0.01))
         if how == "notice":
-            self.keeper.note_online(OnlineInFlight("g", SERVICE, (), told=told))
+            self.keeper.record_online(OnlineInFlight("g", SERVICE, (), slowness_reports=told))
             told = ()
         placed = self.keeper.place_online(
-            PlaceOnline("g", "a", SERVICE, (ItemsAt("x2", 3),), told=told)
+            PlaceOnline("g", "a", SERVICE, (ItemsAt("x2", 3),), slowness_reports=told)
         )
         self.assertEqual("x2", placed.replica_id)
 
@@ -161,17 +161,17 @@
         client.call.side_effect = lambda peer, message, *rest: sent.append(message)
         peer = Endpoint("127.0.0.1", 1)
         other = Member("other", "z", "r", peer, peer)
-        notices = OnlineNotices(
+        notices = OnlineReporter(
             "g", "a", self.table, self.keeper, client, lambda: (other,), lambda: (SERVICE,)
         )
         slow = self.table.get("x1")
         notices.began(slow)
         slow.take_report(ReportedLoad(1, 0, 8, 2.5))
         notices.ended(slow)
-        notices.place(slow, PlacementWishes(frozenset(), {}))
+        notices.place(slow, PlacementConstraints(frozenset(), {}))
         notices._place_again_at = 0.0
-        notices.place(slow, PlacementWishes(frozenset(), {}))
-        (told,), none = (message.told for message in sent)
+        notices.place(slow, PlacementConstraints(frozenset(), {}))
+        (told,), none = (message.slowness_reports for message in sent)
         self.assertEqual(("x1", 2.5), (told.replica_id, told.slowness))
         self.assertEqual((), none)
 
@@ -184,7 +184,7 @@
             in_flight: tuple = ()
 
         sent = msgspec.json.encode(Sent("OnlineInFlight", "g", SERVICE))
-        self.assertEqual((), msgspec.json.decode(sent, type=OnlineInFlight).told)
+        self.assertEqual((), msgspec.json.decode(sent, type=OnlineInFlight).slowness_reports)
         self.assertNotIn(b"told", msgspec.json.encode(OnlineInFlight("g", SERVICE, ())))
         self.assertTrue(issubclass(OnlineInFlight, PeerMessage))
 
--- a/tests/test_zone_reach.py
+++ b/tests/test_zone_reachability.py
@@ -17,14 +17,14 @@
 from quaymill.connection.member import Member, MemberState
 from quaymill.connection.peer_link import PeerNoReply, PeerRefusal, PeerUnreachable
 from quaymill.process.limits.fleet import GatewayFleet
-from quaymill.process.membership.zone_reach import (
+from quaymill.process.membership.zone_reachability import (
     ASK_AGAIN_AFTER_S,
     ASK_UNREACHABLE_S,
     CHECK_INTERVAL_S,
     PEERS_ASKED_AT_ONCE,
     Evidence,
     Verdict,
-    ZoneReach,
+    ZoneReachability,
     judge,
 )
 from quaymill.process.peer_network import PeerNetwork
@@ -126,7 +126,7 @@
         self._take_word: Callable[[str], None] = lambda name: None
         self._checked_at = self.now
         self.replicas: list[FakeReplica] = []
-        self.reach = ZoneReach(OWN, self)
+        self.reach = ZoneReachability(OWN, self)
         self.reach._random = random.Random(1)
         self.reach.watch_replicas(lambda: self.replicas)
 
@@ -149,7 +149,7 @@
     def subscribe(self, listener: Callable[[], None]) -> None:
         pass
 
-    def on_word(self, listener: Callable[[str], None]) -> None:
+    def on_datagram(self, listener: Callable[[str], None]) -> None:
         self._take_word = listener
 
     def ask(self, members: Iterable[Member]) -> None:
