--- a/src/quaymill/connection/peer_link.py
+++ b/src/quaymill/connection/peer_link.py
@@ -175,7 +175,7 @@
             log_message(
                 "peer:kept_connection_failed",
                 peer=str(endpoint),
-                kind=type(message).__name__,
+                kind=type(message).__struct_config__.tag,
                 reason=reply.reason,
             )
             if not may_repeat:
--- a/src/quaymill/connection/peer_server.py
+++ b/src/quaymill/connection/peer_server.py
@@ -268,10 +268,14 @@
             return PeerRefusal(reason=f"message not understood: {error}")
         handler = self._handlers.get(type(message))
         if handler is None:
-            return PeerRefusal(reason=f"no handler for {type(message).__name__} on this node")
+            return PeerRefusal(
+                reason=f"no handler for {type(message).__struct_config__.tag} on this node"
+            )
         try:
             return handler(message)
         except Exception as error:  # A bug in one handler must not end the other peers' service.
-            log_message("peer:handler_error", kind=type(message).__name__, error=repr(error))
+            log_message(
+                "peer:handler_error", kind=type(message).__struct_config__.tag, error=repr(error)
+            )
             # A refusal would promise that nothing was done; without a reply the peer knows less.
             return None
