--- a/src/quaymill/request/dispatch_order.py
+++ b/src/quaymill/request/dispatch_order.py
@@ -1,10 +1,10 @@
-"""Which online requests go to an engine now, and which wait: decisions only, time is a parameter.
+"""Decides which online requests are dispatched to an engine now, and which stay queued.
 
-The load they answer: bursts above what the engines serve. An engine works on a fixed number of
-requests at once and takes the rest in the order of their arrival, so whatever is let go to a full
-engine makes all that follow later. Let go up to the last moment, half of the requests at that
-limit are late, since nobody knows when a slot comes free; held back a little earlier, the same
-engines serve more of them in time, and those that are late already lose nothing that they had.
+An engine has a fixed number of slots and serves further requests in the order of their arrival. In
+a burst above its capacity, each request that is dispatched to a full engine delays all that follow.
+Requests are therefore queued at the gateway, and requests that can still meet their latency target
+are dispatched before those that are already late. The functions are pure; the current time is a
+parameter.
 """
 
 from __future__ import annotations
@@ -12,27 +12,23 @@
 import attrs
 
 WAIT_UNSURE_ENDS = 0.5
-"""By how many usual times between two ends at an engine a wait may be longer than told.
+"""Safety margin on the expected wait, as a multiple of the mean time between two completions.
 
-Part of the requests that are late (tests/dispatch_player, gateways' views up to 0.25 s old) at
-0, 0.5, 1.0 and 1.5: 45 engines of 6 slots in bursts of 1.27 times what they serve .247 .178 .172
-.172, of 1.15 times .118 .095 .091 .103; 6 engines of 19 slots .115 .108 .098 .087, of 8 slots
-.114 .104 .103 .111. At 1.0 and more a fresh request is held that one end alone would have in
-time."""
+From 1.0 on, requests would be queued that a single completion would serve in time."""
 
 
 @attrs.frozen
 class EngineState:
-    """The least loaded engine of a service, as a gateway sees it.
+    """The least loaded engine of a service, as known to a gateway.
 
     Attributes
     ----------
     load
-        Requests that count there, those included that were let go just now.
+        Requests at the engine, including those that have just been dispatched.
     service_s
-        How long a request is served.
+        Mean service time of a request in seconds.
     first_byte_s
-        From its start to its first event.
+        Mean time from the start of a request to its first event in seconds.
     """
 
     load: float
@@ -42,13 +38,13 @@
 
 
 def expected_wait_s(engine: EngineState) -> float:
-    """Return how long a request that comes now waits for a slot."""
+    """Return the expected wait for a slot, in seconds, of a request that arrives now."""
     ahead = engine.load - engine.slots + 1
     return max(0.0, ahead) * _between_ends_s(engine)
 
 
 def may_dispatch(engine: EngineState, target_at: float, now: float) -> bool:
-    """Return whether a request finds a slot, or will be in time although it does not."""
+    """Return whether a slot is free, or the request meets its target even if it waits for one."""
     if engine.load < engine.slots:
         return True
     unsure_s = WAIT_UNSURE_ENDS * _between_ends_s(engine)
@@ -63,12 +59,12 @@
     now: float,
     start_tag: float = 0.0,
 ) -> tuple[bool, int, float, float]:
-    """Return the sort key of a waiting request: what can be in time, by rank, tag and age.
+    """Return the sort key of a queued request: on-time requests first, then by rank, tag and age.
 
     Parameters
     ----------
     start_tag
-        By fair queueing over tenants (``FairShares``); 0 where there are none.
+        Start tag of fair queueing among tenants (``FairShares``); 0 without tenants.
     """
     is_late = target_at - first_byte_s <= now
     return is_late, rank, start_tag, came_at
--- a/src/quaymill/request/forwarding.py
+++ b/src/quaymill/request/forwarding.py
@@ -1,10 +1,10 @@
 """Sends one opaque request to replicas until one has answered, and relays the answer.
 
-A refusal that says "not executed", and a connection that could not be made, lead to another
-replica. Anything else does so only if the route may be repeated, and never on more replicas
-than the route allows. An error that a replica made goes to the caller if no other replica does
-better. The caller's connection is ended without the end mark when an answer
-that was begun cannot be completed.
+Another replica is tried after a "not executed" refusal or a failed connection. After any other
+failure, another replica is tried only if the route is repeatable and its maximum number of
+attempts has not been reached. If no replica succeeds, the caller receives the last error answer of
+a replica, if there is one. If an answer has been started and cannot be completed, the caller's
+connection is closed without the end mark.
 """
 
 from __future__ import annotations
@@ -51,33 +51,34 @@
 from quaymill.version.request_routes import RequestRoute, RouteKind
 
 MAX_REFUSALS = 8
-"""Replicas that may say "not executed" before the caller is told to come back."""
+"""Maximum number of replicas that may answer "not executed" before the request is given up."""
 MAX_ERROR_BYTES = 64 * 1024
-"""Longest answer with an error that is kept while another replica is tried."""
+"""Maximum size of an error answer that is kept while another replica is tried."""
 ERROR_BODY_PATIENCE_S = 0.1
-"""Wait for the body of such an answer: it follows its head at once, and the caller waits for the
-other replica meanwhile."""
+"""Timeout for the body of an error answer; short, since the next attempt waits for it."""
 IDLE_LIMIT_NOT_REPEATABLE_S = 5.0
-"""An idle connection may be closed just as a request goes out, which then cannot be repeated."""
+"""Maximum idle time of a connection that is reused for a request that cannot be repeated.
+
+Shorter than ``IDLE_LIMIT_S``, since the replica may close an idle connection while the request is
+being sent."""
 IDLE_LIMIT_S = 20.0
 FIRST_EVENT_PATIENCE_S = 2.0
 SILENCE_PATIENCE_S = 0.6
-"""Wait at a replica from which nothing at all comes, if another may be tried."""
+"""Time to wait for a replica that sends nothing at all, if another replica may be tried."""
 SILENCE_CHECK_S = 0.1
 MIN_SEND_PATIENCE_S = 1.0
-"""Wait for a replica that does not read a request, if another may be tried: as long as for an event
-of a stream that has begun."""
+"""Minimum time that a replica has to read a request, if another replica may be tried."""
 SLOWEST_SEND_BYTES_PER_S = 1024 * 1024
-"""Speed at which a large request is sent over the slowest links of gateways."""
+"""Assumed throughput of the slowest gateway links, for sending large requests."""
 UNREACHABLE_WEIGHT = 2.0
-"""Failures that a connection which could not be made counts for: no request can be served there."""
+"""Weight of a failed connection in the replica's failure count; an ordinary failure counts 1."""
 ANSWER_PATIENCE_FACTOR = 8.0
 MIN_ANSWER_PATIENCE_S = 0.5
 
 
 @attrs.frozen
 class ReplicaProtocol:
-    """How requests are put to replicas, and the heads of their answers are read."""
+    """Builds the requests to replicas and reads the heads of their answers."""
 
     build_request: Callable[[ForwardedRequest, str, float, str | None], ReplicaRequest]
     read_answer_head: Callable[[Exchange], AnswerHead]
@@ -110,24 +111,28 @@
         presence: CallerPresence,
         key_change: Callable[[], KeyChanged | None] = lambda: None,
     ) -> ForwardingResult:
-        """Forward one request; the caller has its answer, or none was begun, on return.
+        """Forward one request and relay its answer.
+
+        If the result is ``GivenUp`` or ``KeyChanged`` and ``answer`` has not been started, the
+        calling code must answer the caller.
 
         Parameters
         ----------
         key_change
-            Returns what has become of the request's key if it has changed hands since.
+            Returns a ``KeyChanged`` if the request's API key has been revoked or assigned to
+            another tenant since the request was accepted, else ``None``.
 
         Raises
         ------
         OSError
-            The caller's connection broke while the answer was written.
+            The caller's connection failed while the answer was being written.
         """
         return _Forwarding(self, request, route, answer, presence, key_change).run()
 
 
 @attrs.frozen
 class _ReplicaError:
-    """A whole answer with an error, kept while another replica is tried."""
+    """A complete error answer, kept while another replica is tried."""
 
     head: AnswerHead
     body: bytes
@@ -135,7 +140,7 @@
 
 
 class _Forwarding:
-    """The state of one request on its way."""
+    """The state of one request that is being forwarded."""
 
     def __init__(
         self,
@@ -177,7 +182,7 @@
         return self._try_replicas(turn)
 
     def _try_replicas(self, first: ChosenReplica | None) -> ForwardingResult:
-        """Try one replica after another; ``first`` came with the request's turn."""
+        """Try one replica after another, beginning with ``granted`` if the slot grant named one."""
         while True:
             if first is None and (ended := self._reason_to_end()) is not None:
                 return ended
@@ -201,21 +206,23 @@
                 return self._given_up(result.reason)
 
     def _reason_to_end(self) -> ForwardingResult | None:
-        """Return how the request ends if no attempt must follow."""
+        """Return the final result if no further attempt may be made, else ``None``."""
         if self._presence.gone:
             return CallerLeft()
         if self._request.deadline.passed():
-            return self._given_up("the time of the request ran out", timed_out=True)
+            return self._given_up("the request's deadline has passed", timed_out=True)
         barred_s = self._guard.barred_for_s(self._content)
         if barred_s > 0:
-            return self._given_up("replicas crashed under this request", retry_after_s=barred_s)
-        # What has begun to run under a key goes on, whatever becomes of the key.
+            return self._given_up(
+                "replicas crashed while running this request", retry_after_s=barred_s
+            )
+        # A request that may have run already is continued even if its key has changed.
         return None if self._runs else self._key_change()
 
     def _given_up(
         self, reason: str, timed_out: bool = False, retry_after_s: float | None = None
     ) -> GivenUp | Delivered:
-        """End without a success: with an error that a replica made if there is one."""
+        """End without a success; deliver the kept error answer of a replica if there is one."""
         if self._answer.started:
             self._answer.abort()
         elif self._error is not None:
@@ -261,7 +268,7 @@
         return result
 
     def _judge(self, replica: ChosenReplica, result: AttemptResult, took_s: float) -> None:
-        """Let the records know how the attempt ended."""
+        """Record the result of an attempt with the replica, the dispatch queue and the guard."""
         if isinstance(result, Broken):
             replica.record_failure()
             if result.connection_closed:
@@ -303,7 +310,7 @@
             replica.end_answer()
 
     def _send_patience_s(self, size: int) -> float:
-        """Return how long a replica may take to read the request."""
+        """Return the maximum time for sending a request with a body of ``size`` bytes."""
         if not self._may_try_another():
             return SEND_TIMEOUT_S
         return min(SEND_TIMEOUT_S, MIN_SEND_PATIENCE_S + size / SLOWEST_SEND_BYTES_PER_S)
@@ -321,7 +328,11 @@
     def _wait_for_answer(
         self, exchange: Exchange, replica: ChosenReplica, began: float
     ) -> Broken | None:
-        """Wait for the first byte; a replica that stays silent is given up if that may help."""
+        """Wait for the first byte of the answer; return ``None`` once it has arrived.
+
+        The wait ends early for a replica that is unreachable or sends nothing, if another may be
+        tried.
+        """
         may_try_another = self._may_try_another()
         patience_s = self._request.deadline.remaining_s()
         if may_try_another:
@@ -332,14 +343,14 @@
                 return None
             if may_try_another and self._is_lost(replica):
                 exchange.give_up()
-                return Broken("its zone cannot be reached any more")
+                return Broken("the replica's zone is unreachable")
             if may_try_another and replica.silent and boot_clock.now() - began > SILENCE_PATIENCE_S:
                 break
         exchange.give_up()
-        return Broken(f"nothing came for {boot_clock.now() - began:.2f} s")
+        return Broken(f"the replica sent nothing for {boot_clock.now() - began:.2f} s")
 
     def _is_lost(self, replica: ChosenReplica) -> bool:
-        """Return whether a replica is not reached any more, and another one is."""
+        """Return whether the replica is unreachable while another replica may be reachable."""
         if not replica.unreachable:
             return False
         return self._router.may_reach_another(self._service, self._tried | {replica.id})
@@ -362,7 +373,7 @@
             return self._take_refusal(exchange, replica, head)
         if head.request_id != self._request.id:
             exchange.abandon()
-            return Broken(f"the answer belongs to request {head.request_id or 'without an id'}")
+            return Broken(f"the answer's request id does not match: {head.request_id or 'no id'}")
         if head.status >= 500 and self._may_try_another():
             self._keep_error(exchange, replica, head)
             return Broken(f"the replica answered {head.status}")
@@ -371,7 +382,7 @@
         return self._relay.pass_on(exchange, replica, head)
 
     def _keep_error(self, exchange: Exchange, replica: ChosenReplica, head: AnswerHead) -> None:
-        """Read an error whole, for the caller, should another replica fail as well."""
+        """Read a complete error answer, to deliver it if the other replicas fail as well."""
         wait_s = min(ERROR_BODY_PATIENCE_S, self._request.deadline.remaining_s())
         body = exchange.read_body(MAX_ERROR_BYTES, boot_clock.now() + wait_s)
         if isinstance(body, OutcomeUnknown):
--- a/src/quaymill/request/forwarding_result.py
+++ b/src/quaymill/request/forwarding_result.py
@@ -1,4 +1,4 @@
-"""What came of forwarding a request, and of each attempt at a replica."""
+"""Results of forwarding a request, and of each attempt at a replica."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @attrs.frozen
 class Delivered:
-    """The caller got a replica's whole answer."""
+    """The caller received the complete answer of a replica."""
 
     status: int
     replica_id: str
@@ -17,21 +17,21 @@
 
 @attrs.frozen
 class CallerLeft:
-    """The caller left before the answer was whole."""
+    """The caller disconnected before the answer was complete."""
 
 
 @attrs.frozen
 class GivenUp:
-    """No replica's answer can be delivered.
+    """No complete answer of a replica could be delivered.
 
     Attributes
     ----------
     may_have_run
         Whether a replica may have run the request.
     timed_out
-        Whether the time of the request ran out.
+        Whether the request's deadline passed.
     retry_after_s
-        Time until it may be served; ``None`` if that is not known.
+        Seconds until it may be served; ``None`` if unknown.
     """
 
     reason: str
@@ -42,12 +42,12 @@
 
 @attrs.frozen
 class KeyChanged:
-    """The request was not run: its key has another holder now, or none.
+    """The request was not run, since its API key no longer belongs to the tenant that sent it.
 
     Attributes
     ----------
-    taken_away
-        Whether the key has no holder any more.
+    revoked
+        Whether the key was revoked; otherwise it belongs to another tenant now.
     """
 
     taken_away: bool
@@ -58,19 +58,19 @@
 
 @attrs.frozen
 class Refused:
-    """The attempt did not run at the replica."""
+    """The replica did not run the attempt."""
 
     reason: str
 
 
 @attrs.frozen
 class Broken:
-    """The attempt may have run, and its answer is no good.
+    """The attempt may have run, but its answer is missing, incomplete or an error.
 
     Attributes
     ----------
     connection_closed
-        Whether the replica's side closed the connection before the answer was whole.
+        Whether the replica closed the connection before the answer was complete.
     """
 
     reason: str
@@ -81,5 +81,5 @@
 
 
 def broken_by(failure: OutcomeUnknown) -> Broken:
-    """Return what a failure of the exchange makes of the attempt."""
+    """Return the result of an attempt whose exchange failed."""
     return Broken(failure.reason, failure.connection_closed)
--- a/src/quaymill/request/replica_choice.py
+++ b/src/quaymill/request/replica_choice.py
@@ -1,4 +1,4 @@
-"""What a request needs of the replicas: one to go to, and a place to note how that went."""
+"""Interfaces through which a request chooses a replica, waits for a slot and records results."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @attrs.frozen
 class NoReplica:
-    """No replica of the service may take a request now."""
+    """No replica of the service can currently accept a request."""
 
     service: str
     reason: str
@@ -24,12 +24,12 @@
 
 @attrs.frozen
 class CannotServeInTime:
-    """The request is refused: by the line before it, it cannot be served in its caller's time.
+    """The request is refused: given the queue ahead of it, it would miss its caller's timeout.
 
     Attributes
     ----------
     retry_after_s
-        Seconds after which its caller may try again.
+        Seconds after which the caller may retry.
     """
 
     reason: str
@@ -37,17 +37,23 @@
 
 
 class ChosenReplica(Protocol):
-    """One replica, as a request sees it."""
+    """One replica, as the forwarding of a request uses it.
+
+    Attributes
+    ----------
+    misdirected
+        Set when another process answered at the replica's address.
+    """
 
     misdirected: bool
 
     @property
     def id(self) -> str:
-        """Identity of this incarnation."""
+        """Id of this start of the replica."""
 
     @property
     def entry(self) -> ReplicaEntry:
-        """What the replica says of itself."""
+        """The replica's entry in the control store."""
 
     @property
     def first_byte_s(self) -> float:
@@ -55,20 +61,20 @@
 
     @property
     def silent(self) -> bool:
-        """Whether the replica owes answers and nothing at all comes from it."""
+        """Whether the replica has outstanding requests and sends nothing at all."""
 
     @property
     def unreachable(self) -> bool:
-        """Whether its zone cannot be reached now."""
+        """Whether the replica's zone is currently unreachable."""
 
     def hear(self) -> None:
-        """Note that something came from the replica."""
+        """Record that data was received from the replica."""
 
     def begin_answer(self) -> None:
-        """Count a request whose answer has begun to come."""
+        """Count a request whose answer has started to arrive."""
 
     def end_answer(self) -> None:
-        """Stop counting a request whose answer had begun."""
+        """Stop counting a request whose answer had started to arrive."""
 
     def begin(self) -> None:
         """Count a request that is being sent."""
@@ -80,51 +86,51 @@
         """Return the estimated number of requests at the replica."""
 
     def report_age_s(self) -> float:
-        """Return the age of the last report in seconds."""
+        """Return the age of the last load report in seconds."""
 
     def take_report(self, load: ReportedLoad) -> None:
-        """Take what the replica told of its load."""
+        """Record a load report of the replica."""
 
     def slowness(self) -> float:
-        """Return how many times as long as usual work is expected to take there now."""
+        """Return the expected service time as a multiple of the usual one."""
 
     def reported_slowness(self) -> SlownessReading | None:
-        """Return its last word of how slow it is; ``None`` where it tells nothing of it."""
+        """Return the last slowness that the replica reported; ``None`` if it reports none."""
 
     def record_success(self, first_byte_s: float) -> None:
-        """Note a timely answer."""
+        """Record a successful answer and the time to its first byte."""
 
     def record_failure(self, weight: float = 1.0) -> None:
-        """Note a failure."""
+        """Record a failure; ``weight`` 1 is an ordinary one."""
 
 
 class ReplicaChooser(Protocol):
-    """Chooses where a request goes."""
+    """Chooses the service and the replica for a request."""
 
     def choose_service(self, route: RequestRoute) -> str:
-        """Return the service that takes this request of a route."""
+        """Return the service for one request of the route."""
 
     def choose(
         self, service: str, prompt: Prompt, excluded: Iterable[str]
     ) -> ChosenReplica | NoReplica:
-        """Return the best replica, leaving out those whose identity is in ``excluded``."""
+        """Return the best replica whose id is not in ``excluded``."""
 
     def may_reach_another(self, service: str, excluded: Iterable[str]) -> bool:
-        """Return whether a replica that is not in ``excluded`` lies in a zone that is reached."""
+        """Return whether a replica that is not in ``excluded`` is in a reachable zone."""
 
 
 class RequestObserver(Protocol):
-    """Hears of every request that goes to a replica."""
+    """Is notified of every request that is sent to a replica."""
 
     def began(self, replica: ChosenReplica) -> None:
-        """Take note before the request is sent."""
+        """Called before the request is sent."""
 
     def ended(self, replica: ChosenReplica) -> None:
-        """Take note once the replica has nothing more to do for it."""
+        """Called once the replica no longer works on the request."""
 
 
 class NoObserver:
-    """Stands for: nobody wants to hear."""
+    """A ``RequestObserver`` that does nothing."""
 
     def began(self, replica: ChosenReplica) -> None:
         """Do nothing."""
@@ -134,7 +140,7 @@
 
 
 class DispatchQueue(Protocol):
-    """Says when a request may go to a replica."""
+    """Decides when a request may be dispatched to a replica."""
 
     def wait_for_slot(
         self,
@@ -143,21 +149,24 @@
         request: ForwardedRequest,
         presence: CallerPresence,
     ) -> ChosenReplica | CannotServeInTime | None:
-        """Return when a request may go, or its caller has left.
+        """Wait until the request may be dispatched or its caller has disconnected.
 
-        Returns the replica that it was given a slot of, if its turn came with one: it is counted
-        there, so either it goes there or ``give_back`` is called.
+        Returns
+        -------
+        The replica of which the request was granted a slot; ``None`` if any replica may be
+        chosen. The request is already counted at a granted replica, so it must be sent there or
+        the slot released with ``give_back``.
         """
 
     def give_back(self, replica: ChosenReplica) -> None:
-        """Note that a request whose turn came with a replica does not go there."""
+        """Release the slot of a granted replica to which the request is not sent."""
 
     def record(self, service: str, took_s: float, first_byte_s: float) -> None:
-        """Note how long a replica served a request, in seconds."""
+        """Record the service time and the time to the first byte of a request, in seconds."""
 
 
 class NoDispatchQueue:
-    """Stands for: every request may go at once."""
+    """A ``DispatchQueue`` that dispatches every request at once."""
 
     def wait_for_slot(
         self,
--- a/tests/test_zone_cut.py
+++ b/tests/test_zone_cut.py
@@ -192,7 +192,7 @@
             for line in self.lines_of("third")
             if line["message_type"] == "request:attempt"
         ]
-        lost = (other.id, "its zone cannot be reached any more")
+        lost = (other.id, "the replica's zone is unreachable")
         self.assertEqual([lost, (own.id, "")], attempts)
         self.assertLess(third.result().took_s, GONE_ON_WITHIN_S)
 
