--- a/src/quaymill/request/answer_buffer.py
+++ b/src/quaymill/request/answer_buffer.py
@@ -1,9 +1,10 @@
-"""Keeps what callers have not taken yet of their answers, within a part of the process's memory.
+"""Buffers answers for callers that read slowly, within a share of the process's memory.
 
-A caller may read an answer slower than its replica sends it. Reading on from the replica frees its
-slot, and keeps it from cutting the answer off; what the caller has not taken is held here
-meanwhile. Nothing is held for callers that keep up. Over the budget the largest answer is ended:
-its caller sees that it is incomplete, and all others get theirs.
+A caller may read an answer more slowly than its replica sends it. Reading the whole answer from the
+replica frees its slot and keeps the replica from aborting a stalled connection; data that the
+caller has not read is buffered here. Nothing is buffered for callers that keep up. When the budget
+is exceeded, the largest buffered answer is ended: its caller sees an incomplete answer, and all
+others are delivered.
 """
 
 from __future__ import annotations
@@ -18,35 +19,40 @@
 
 MEGABYTE = 1024 * 1024
 HELD_SHARE = 1 / 16
-"""Part of the process's memory that may be held for slow callers: as much again may be on its way
-through the library's buffers, and the rest is needed for requests in service."""
+"""Share of the process's memory that may be buffered for slow callers.
+
+The buffers of the HTTP library may take as much again; the rest is needed for requests in service.
+"""
 UNKNOWN_MEMORY_BUDGET_BYTES = 16 * MEGABYTE
-"""Where the process is not told how much memory it has."""
+"""Budget if the memory of the process is unknown."""
 ONE_ANSWER_SHARE = 1 / 8
-"""Part of the budget that one answer may take: some slow callers at once are served whole."""
+"""Share of the budget that one answer may take, so that several slow callers fit at once."""
 FULL_ANSWER_PATIENCE_S = 2.0
-"""How long a caller with so much of its answer unread may take nothing. The replica's side is not
-read meanwhile, and a replica cuts an answer off that is unread for some seconds."""
+"""How long a caller with a full buffer may read nothing.
+
+The replica's connection is not read meanwhile, and a replica aborts an answer that is not read for
+some seconds."""
 UNREAD_PATIENCE_S = 25.0
-"""How long a caller may take nothing of an answer that has come whole, unless its connection has a
-limit of its own: as long as a connection may lie idle."""
+"""How long a caller may read nothing of an answer that has been received completely.
+
+Applies only if the caller's connection has no timeout; the same as for idle connections."""
 SEND_BYTES = 64 * 1024
 MILLISECONDS = 1000.0
 
 
 class AnswerEndedError(OSError):
-    """The answer was ended before its caller had taken it."""
+    """The answer was ended before its caller had read all of it."""
 
 
 class BufferedAnswers:
-    """What all callers of this process have not taken yet; safe to use from any thread.
+    """The buffered answers of all callers of this process; thread-safe.
 
     Attributes
     ----------
     held_bytes
-        What is held now.
+        Bytes that are buffered now.
     ended
-        Answers that were ended since the start.
+        Number of answers that were ended early since the start.
     """
 
     def __init__(self, budget_bytes: int) -> None:
@@ -59,17 +65,17 @@
 
     @classmethod
     def within_memory(cls, memory_mb: float) -> BufferedAnswers:
-        """Return one with a budget for a process of so much memory; 0 if that is not told."""
+        """Return an instance with a budget for a process with ``memory_mb`` MB; 0 if unknown."""
         budget_bytes = int(memory_mb * MEGABYTE * HELD_SHARE)
         return cls(budget_bytes or UNKNOWN_MEMORY_BUDGET_BYTES)
 
     def add(self, answer: BufferedAnswer, block: bytes | memoryview) -> None:
-        """Hold a part of an answer; over the budget the largest is ended.
+        """Buffer a block of an answer; end the largest answers while the budget is exceeded.
 
         Raises
         ------
         AnswerEndedError
-            This answer has been ended.
+            This answer was ended.
         """
         with self._lock:
             if not answer.ended:
@@ -78,22 +84,22 @@
                 self._open.add(answer)
             while self.held_bytes > self.budget_bytes:
                 largest = max(self._open, key=lambda one: len(one.unread))
-                self._end(largest, "callers take too little of their answers")
+                self._end(largest, "the answer buffer is full, and this answer is the largest")
         answer.raise_if_ended()
 
     def took(self, answer: BufferedAnswer, sent: int) -> None:
-        """Note that the first so many bytes of what is held have been sent."""
+        """Record that the first ``sent`` bytes of the buffer have been sent."""
         with self._lock:
             if not answer.ended:
                 self._release(answer, sent)
 
     def end(self, answer: BufferedAnswer, reason: str) -> None:
-        """End an answer whose caller takes nothing."""
+        """End an answer whose caller reads nothing."""
         with self._lock:
             self._end(answer, reason)
 
     def drop(self, answer: BufferedAnswer) -> None:
-        """Forget what is held of an answer: it is over."""
+        """Discard the buffer of an answer that is finished."""
         with self._lock:
             self._release(answer, len(answer.unread))
 
@@ -104,7 +110,7 @@
             self._open.discard(answer)
 
     def _end(self, answer: BufferedAnswer, reason: str) -> None:
-        """End an answer, from whichever thread; the lock is held."""
+        """End an answer, from any thread; the lock must be held."""
         if answer.ended:
             return
         self.ended += 1
@@ -118,21 +124,21 @@
         )
         answer.ended = True
         self._release(answer, len(answer.unread))
-        # Wakes the thread that serves the caller. The connection cannot have gone on to another
-        # request: something was held of this one.
+        # Wakes the thread that serves the caller. Since some of the answer was still buffered, the
+        # connection cannot be in use for a later request.
         answer.cut()
 
 
 class BufferedAnswer:
-    """One answer on its way to its caller; used by the thread that serves it.
+    """The buffer of one answer; used by the thread that serves its caller.
 
     Attributes
     ----------
     request_id
-        Names the request in log lines.
+        Id of the request, for log lines.
     unread, ended
-        What the caller has not taken, and whether the answer was ended; changed by
-        ``BufferedAnswers`` alone.
+        Data that has not been sent to the caller, and whether the answer was ended; changed only
+        by ``BufferedAnswers``.
     """
 
     def __init__(self, all_answers: BufferedAnswers, connection: socket.socket) -> None:
@@ -144,18 +150,18 @@
 
     @property
     def pending(self) -> bool:
-        """Whether the caller has not taken all yet."""
+        """Whether some data has not been sent to the caller yet."""
         return bool(self.unread)
 
     def send(self, data: bytes) -> None:
-        """Send what the caller takes at once, and hold the rest.
+        """Send what the caller's connection accepts at once, and buffer the rest.
 
         Raises
         ------
         AnswerEndedError
-            The answer has been ended.
+            The answer was ended.
         OSError
-            The caller's connection broke.
+            The caller's connection failed.
         """
         self.raise_if_ended()
         rest: bytes | memoryview = data
@@ -170,16 +176,16 @@
             self._wait_or_end(FULL_ANSWER_PATIENCE_S)
 
     def send_held(self, timeout_s: float, beside: int = -1) -> bool:
-        """Wait until the caller takes something, or there is something to read elsewhere.
+        """Send buffered data as soon as the caller accepts some, or return once data can be read.
 
         Parameters
         ----------
-        beside
-            Descriptor of that other connection.
+        readable
+            Descriptor of the connection that is watched for data to read; -1 for none.
 
         Returns
         -------
-        Whether either came true within the timeout.
+        Whether one of the connections became ready within the timeout.
         """
         descriptor = self._connection.fileno()
         poll = select.poll()
@@ -192,41 +198,41 @@
         return bool(ready)
 
     def finish(self) -> None:
-        """Return once the caller has taken all.
+        """Wait until all buffered data has been sent to the caller.
 
         Raises
         ------
         AnswerEndedError
-            It takes nothing, or the answer has been ended for the budget's sake.
+            The caller read nothing for too long, or the budget was exceeded.
         OSError
-            The caller's connection broke.
+            The caller's connection failed.
         """
         while self.pending:
             self._wait_or_end(self._connection.gettimeout() or UNREAD_PATIENCE_S)
         self.raise_if_ended()
 
     def drop(self) -> None:
-        """Forget what is held."""
+        """Discard the buffer."""
         if self.pending:
             self._all.drop(self)
 
     def cut(self) -> None:
-        """End the caller's connection."""
+        """Shut down the caller's connection."""
         with contextlib.suppress(OSError):
             self._connection.shutdown(socket.SHUT_RDWR)
 
     def raise_if_ended(self) -> None:
-        """Raise ``AnswerEndedError`` if the answer has been ended."""
+        """Raise ``AnswerEndedError`` if the answer was ended."""
         if self.ended:
-            raise AnswerEndedError("the answer was ended before its caller had taken it")
+            raise AnswerEndedError("the answer was ended before its caller had read all of it")
 
     def _wait_or_end(self, patience_s: float) -> None:
         if not self.send_held(patience_s):
-            self._all.end(self, f"the caller took nothing for {patience_s:g} s")
+            self._all.end(self, f"the caller read nothing for {patience_s:g} s")
         self.raise_if_ended()
 
     def _send_some(self) -> None:
-        """Send as much as the caller takes now."""
+        """Send as much as the caller's connection accepts now."""
         while block := bytes(self.unread[:SEND_BYTES]):
             sent = self._write(block)
             self._all.took(self, sent)
@@ -234,7 +240,8 @@
                 return
 
     def _write(self, data: bytes | memoryview) -> int:
-        # A connection with a timeout does not block below the library, which would wait.
+        # ``socket.send`` would wait up to the connection's timeout; the descriptor of a connection
+        # with a timeout is non-blocking.
         try:
             return os.write(self._connection.fileno(), data)
         except BlockingIOError:
--- a/src/quaymill/request/answer_relay.py
+++ b/src/quaymill/request/answer_relay.py
@@ -1,4 +1,4 @@
-"""Passes a replica's answer on to the caller: whole, or event by event as it comes."""
+"""Relays a replica's answer to the caller, either whole or as a stream of events."""
 
 from __future__ import annotations
 
@@ -21,34 +21,40 @@
 
 
 class AnswerWriter(Protocol):
-    """Where the answer for the caller goes."""
+    """Writes the answer to the caller.
+
+    Attributes
+    ----------
+    started
+        Whether the head has been sent.
+    """
 
     started: bool
 
     @property
     def pending(self) -> bool:
-        """Whether something is held that the caller has not taken yet."""
+        """Whether some data is buffered that has not been sent to the caller yet."""
 
     def start(self, status: int, reason: str, headers: Headers, length: int | None = None) -> None:
         """Send the head."""
 
     def write(self, block: bytes) -> None:
-        """Send a part of the body."""
+        """Send a block of the body."""
 
     def send_held(self, timeout_s: float, beside: int = -1) -> bool:
-        """Wait until the caller takes something, or there is something to read ``beside``."""
+        """Send buffered data; return early once the descriptor ``readable`` has data to read."""
 
     def abort(self) -> None:
-        """End the connection without completing the answer."""
+        """Close the connection without completing the answer."""
 
 
 class AnswerRelay:
-    """What of one request's answer has reached the caller, over all attempts.
+    """Relays the answer of one request over all its attempts.
 
     Parameters
     ----------
     may_try_another
-        Returns whether another replica is tried if the answer breaks off.
+        Returns whether another replica is tried if the answer is incomplete.
     """
 
     def __init__(
@@ -66,23 +72,23 @@
 
     @property
     def last_event_id(self) -> str | None:
-        """Id of the last event that the caller has."""
+        """Id of the last event that was sent to the caller."""
         return self._framer.last_id
 
     def pass_on(
         self, exchange: Exchange, replica: ChosenReplica, head: AnswerHead
     ) -> AttemptResult:
-        """Pass an answer on from its head.
+        """Relay the answer whose head has been read.
 
         Raises
         ------
         OSError
-            The caller's connection broke.
+            The caller's connection failed.
         """
         is_stream = _is_stream(head)
         if self._answer.started and not is_stream:
             exchange.abandon()
-            return Broken(f"the replica answered {head.status} instead of going on")
+            return Broken(f"the replica answered {head.status} instead of resuming the stream")
         relay = self._relay_events if is_stream else self._relay_whole
         try:
             return relay(exchange, replica, head)
@@ -93,7 +99,7 @@
     def _relay_whole(
         self, exchange: Exchange, replica: ChosenReplica, head: AnswerHead
     ) -> AttemptResult:
-        """Read the answer before any of it is sent, unless it is long."""
+        """Relay an answer; unless it is large, send nothing before it has been read completely."""
         blocks: list[bytes] = []
         buffered_bytes = 0
         while True:
@@ -120,7 +126,7 @@
     def _relay_events(
         self, exchange: Exchange, replica: ChosenReplica, head: AnswerHead
     ) -> AttemptResult:
-        """Pass events on as they come; of a resumable stream only whole ones."""
+        """Relay events as they arrive; of a resumable stream, only complete events."""
         resumable = self._route.resumable
         self._framer.rest = b""
         while True:
@@ -143,7 +149,7 @@
         return Delivered(head.status, replica.id)
 
     def _read_block(self, exchange: Exchange, patience_s: float) -> bytes | OutcomeUnknown:
-        """Read what comes next; meanwhile the caller takes what is held for it."""
+        """Read the next block; while waiting for it, send buffered data to the caller."""
         until = boot_clock.now() + patience_s
         while self._answer.pending and not exchange.has_arrived():
             if not self._answer.send_held(until - boot_clock.now(), exchange.descriptor):
@@ -157,7 +163,7 @@
 
 
 def release(exchange: Exchange, head: AnswerHead) -> None:
-    """Keep the connection of an answer that was read whole, as long as its replica allows."""
+    """Keep the connection for reuse as long as the replica allows, after a complete answer."""
     if head.keep_s > 0:
         exchange.release(head.keep_s)
     else:
--- a/src/quaymill/request/fair_shares.py
+++ b/src/quaymill/request/fair_shares.py
@@ -1,22 +1,21 @@
-"""Whose request is next where several tenants wait: decisions only.
+"""Start-time fair queueing of requests among tenants, with equal shares.
 
-The load it answers: a tenant that sends many times its usual, within its limit, beside many small
-ones. In the order of arrival its requests stand before everybody who comes later. Here they
-go by start-time fair queueing with equal shares: a request's start tag is one more than that of the
-request before it of its tenant, or the virtual time, whichever is later.
+It prevents a tenant that suddenly sends many requests from delaying all others, as it would in the
+order of arrival. The start tag of a request is one more than the tag of the tenant's previous
+request, or the virtual time if that is larger. Requests are served in the order of their tags.
 """
 
 from __future__ import annotations
 
 MAX_TENANTS = 4096
-"""Tenants that are remembered before those without a share in use are forgotten."""
+"""Number of tenants from which on idle tenants are removed."""
 
 
 class FairShares:
-    """Gives requests their start tags; guarded by its user's lock.
+    """Assigns start tags to requests; not thread-safe, the caller must hold a lock.
 
-    A tenant that was idle gains nothing by it: its next request gets the virtual time as its tag,
-    which is the largest tag that has been served.
+    The virtual time is the largest tag that has been served. The next request of an idle tenant
+    gets the virtual time as its tag, so a tenant cannot save up shares while it is idle.
     """
 
     def __init__(self) -> None:
@@ -24,7 +23,7 @@
         self._next_tag_by_tenant: dict[str, float] = {}
 
     def start_tag(self, tenant: str | None) -> float:
-        """Return the start tag of a tenant's new request; without tenants all are alike."""
+        """Return the start tag of a tenant's new request; always 0 without a tenant."""
         if tenant is None:
             return 0.0
         tag = max(self._virtual_time, self._next_tag_by_tenant.get(tenant, 0.0))
@@ -34,11 +33,11 @@
         return tag
 
     def serve(self, tag: float) -> None:
-        """Note that the request with this tag goes to an engine."""
+        """Record that the request with this tag is dispatched to an engine."""
         self._virtual_time = max(self._virtual_time, tag)
 
     def take_back(self, tenant: str | None) -> None:
-        """Note that a request that has a tag will not be served: it costs its tenant nothing."""
+        """Undo ``start_tag`` for a request that will not be served."""
         if tenant in self._next_tag_by_tenant:
             following = self._next_tag_by_tenant[tenant] - 1.0
             self._next_tag_by_tenant[tenant] = max(self._virtual_time, following)
--- a/src/quaymill/request/poison.py
+++ b/src/quaymill/request/poison.py
@@ -1,11 +1,11 @@
-"""Requests that crash the replicas that run them: what is remembered, and when one is refused.
+"""Records crashes of replicas by request content, and decides when a content is refused.
 
-A caller sends such a request again and again, under new ids and at any gateway. Without a memory
-of the request itself each sending costs a replica, with all that it was running: on a recorded day
-two requests ended 37 replicas of six places within 70 s, and a third of the streams beside them.
+Callers repeat a request that crashes replicas under new ids and at any gateway, and each run ends
+a replica with all the requests that it was serving. Requests are therefore identified by a content
+digest, and a content is refused ("barred") after it has crashed several replicas.
 
-The functions and records here decide; time is a parameter. ``process/poison`` finds out whether a
-replica has crashed, and shares the records between gateways.
+This module only decides; the current time is a parameter. ``process/poison`` detects crashes and
+shares the records among gateways.
 """
 
 from __future__ import annotations
@@ -21,36 +21,37 @@
 from quaymill.connection.endpoint import Endpoint
 
 MAX_CRASHES = 3
-"""Replicas that may crash under one request: the operators' figure, who allow three runs more for
-gateways that could not be told yet. At 2 a crashing request cuts fewer streams beside it (391
-instead of 644 in 40 plays), but of 83,986 beside replicas that end for other reasons 997 instead
-of 69 would be refused that another replica could serve (``tests/test_poison_load.py``)."""
+"""Number of crashed replicas from which on a content is refused.
+
+A smaller number would refuse many requests that ran at replicas which crashed for other reasons."""
 BARRED_S = 3600.0
-"""How long a request is refused after its last crash: operators who mend a model or roll it back
-take minutes, and a request that still crashes then costs ``MAX_CRASHES`` replicas an hour."""
+"""How long a content is refused after its last crash; long enough to fix or roll back a model."""
 SUSPECT_S = 600.0
-"""How long fewer crashes are remembered: callers that repeat a request by hand come back within
-minutes."""
+"""How long fewer than ``MAX_CRASHES`` crashes are remembered; covers repeats by hand."""
 MAX_RECORDS = 1024
-"""Requests remembered at once, 150 bytes each; every crash adds what ran at the replica (19 slots
-at most on the deployments known), so 50 crashes within ``SUSPECT_S`` fit."""
+"""Maximum number of recorded contents, about 150 bytes each.
+
+Every crash adds a record for each request that was running at the replica."""
 
 
 class PoisonGuard(Protocol):
-    """What a request or a batch item needs to know of earlier runs of its content."""
+    """Tells a request or batch item whether earlier runs of its content crashed replicas.
+
+    ``content`` is a content digest, see ``ForwardedRequest``.
+    """
 
     def barred_for_s(self, content: str) -> float:
-        """Return for how long a content must not be run; 0 if it may be."""
+        """Return for how many seconds a content must not be run; 0 if it may be run."""
 
     def note_closed(self, content: str, incarnation: str, address: Endpoint) -> None:
-        """Note that a replica closed the connection before the answer to a content was whole."""
+        """Record that a replica closed the connection before its answer was complete."""
 
     def note_served(self, content: str) -> None:
-        """Note that a replica has run a content to its end."""
+        """Record that a replica has served the content completely."""
 
 
 class NoGuard:
-    """Stands for: nothing is remembered."""
+    """A ``PoisonGuard`` that records nothing."""
 
     def barred_for_s(self, content: str) -> float:
         """Return 0."""
@@ -65,16 +66,16 @@
 
 @attrs.define
 class _Crashes:
-    """What is known of one content.
+    """The known crashes of one content.
 
     Attributes
     ----------
     replicas
-        Starts of replicas that crashed while they ran it.
-    excused
-        Those of them after which it was served here: they crashed of something else.
+        Incarnations of replicas that crashed while running it.
+    unrelated
+        Those that do not count, since the content was served here after they had crashed.
     last_at
-        Monotonic time of the last crash.
+        Monotonic time of the last crash in seconds.
     """
 
     replicas: frozenset[str]
@@ -87,15 +88,15 @@
 
 
 class PoisonRecords:
-    """Crashes by content; safe to use from any thread.
+    """Crashes by content; thread-safe.
 
-    Records of two gateways are merged by union, so that they come out alike in whatever order
-    they arrive. That a content was served is kept to the gateway that saw it.
+    Records of several gateways are merged by union, so the result does not depend on the order in
+    which they arrive. That a content was served is recorded only locally.
 
     Parameters
     ----------
     max_crashes
-        Crashes from which on a content is refused.
+        Number of crashes from which on a content is refused.
     """
 
     def __init__(self, max_crashes: int = MAX_CRASHES) -> None:
@@ -104,19 +105,19 @@
         self._by_content: dict[str, _Crashes] = {}
 
     def barred_for_s(self, content: str, now: float) -> float:
-        """Return for how long a content must not be run; 0 if it may be."""
+        """Return for how many seconds a content must not be run; 0 if it may be run."""
         crashes = self._by_content.get(content)
         if crashes is None or not self._is_barred(crashes):
             return 0.0
         return max(0.0, self._left_s(crashes, now))
 
     def add(self, content: str, incarnation: str, now: float) -> CrashRecord | None:
-        """Note a crash; return the record, or ``None`` if it was known."""
+        """Record a crash; return the changed record, or ``None`` if the crash was known."""
         changed = self.merge([CrashRecord(content, (incarnation,), 0.0)], now)
         return changed[0] if changed else None
 
     def excuse(self, content: str) -> None:
-        """Note that a content was served: the replicas before crashed of something else."""
+        """Record that a content was served; earlier crashes no longer count against it."""
         if content not in self._by_content:
             return
         with self._lock:
@@ -125,7 +126,7 @@
                 crashes.excused = crashes.replicas
 
     def merge(self, records: Iterable[CrashRecord], now: float) -> list[CrashRecord]:
-        """Take records; return those that stand otherwise than before."""
+        """Merge records of another gateway; return those that have changed."""
         with self._lock:
             self._forget(now)
             changed = [record.content for record in records if self._take(record, now)]
@@ -135,7 +136,7 @@
             ]
 
     def records(self, now: float) -> tuple[CrashRecord, ...]:
-        """Return all that is remembered."""
+        """Return all records."""
         with self._lock:
             self._forget(now)
             return tuple(self._record(content, now) for content in self._by_content)
@@ -151,13 +152,13 @@
             return total
 
     def count(self, *, barred: bool) -> int:
-        """Return how many contents are refused, or have crashed fewer replicas."""
+        """Return how many contents are barred, or how many have crashes but are not barred."""
         return sum(
             self._is_barred(crashes) is barred for crashes in list(self._by_content.values())
         )
 
     def crashes_of(self, content: str) -> int:
-        """Return how many replicas have crashed under a content, as far as is known here."""
+        """Return how many replicas are known to have crashed while running a content."""
         crashes = self._by_content.get(content)
         return 0 if crashes is None else crashes.count
 
@@ -165,12 +166,12 @@
         return crashes.count >= self._max_crashes
 
     def _left_s(self, crashes: _Crashes, now: float) -> float:
-        """Return for how long crashes are still remembered."""
+        """Return for how many seconds the record is still kept."""
         kept_s = BARRED_S if self._is_barred(crashes) else SUSPECT_S
         return kept_s - (now - crashes.last_at)
 
     def _take(self, record: CrashRecord, now: float) -> bool:
-        """Merge one record; return whether it brought a crash that was not known."""
+        """Merge one record; return whether it added a crash."""
         known = self._by_content.get(record.content)
         before = known.replicas if known else frozenset()
         taken = _Crashes(
@@ -189,7 +190,7 @@
         return CrashRecord(content, tuple(sorted(crashes.replicas)), age_s)
 
     def _forget(self, now: float) -> None:
-        """Drop what has been remembered for long enough."""
+        """Drop expired records."""
         self._by_content = {
             content: crashes
             for content, crashes in self._by_content.items()
@@ -197,7 +198,7 @@
         }
 
     def _drop_beyond_bound(self) -> None:
-        """Drop the oldest beyond the bound, those that are refused last."""
+        """Drop the oldest records above ``MAX_RECORDS``; barred contents are dropped last."""
         held = self._by_content
         if len(held) > MAX_RECORDS:
             ranked = sorted(
--- a/src/quaymill/request/service_queue.py
+++ b/src/quaymill/request/service_queue.py
@@ -1,4 +1,4 @@
-"""Requests that wait for a replica below its online limit, first come first served."""
+"""A bounded first-in, first-out queue of requests that wait for a replica below its limit."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 
 
 class ServiceQueue:
-    """The queue of one service; bounded in length and in time.
+    """The queue of one service, limited in length and in waiting time.
 
-    A request that finds the queue full, or whose wait is likely to be longer than it may
-    take, is refused at once with the time after which there is likely to be room. That time
-    follows from the requests ahead and from how many ended in the last seconds.
+    A request is refused at once if the queue is full or if its expected wait exceeds its limit.
+    The refusal contains the time after which capacity is expected, which is estimated from the
+    queue length and the rate at which requests ended recently.
     """
 
     def __init__(self, limit: int) -> None:
@@ -38,11 +38,11 @@
 
     @property
     def waiting(self) -> int:
-        """Requests that wait now."""
+        """Number of queued requests."""
         return len(self._waiting)
 
     def record_end(self) -> None:
-        """Note that a request of the service has ended, so that there may be room."""
+        """Record that a request of the service has ended, which may have freed a slot."""
         with self._changed:
             self._ended_at.append(boot_clock.now())
             self._forget_old_ends()
@@ -51,15 +51,15 @@
     def wait_for_capacity(
         self, choose: Choose[Choice], deadline: Deadline, presence: CallerPresence
     ) -> Choice | NotRun:
-        """Wait until ``choose`` finds a replica that has room.
+        """Wait until ``choose`` finds a replica with a free slot.
 
-        ``choose`` returns a refusal with status 429 while there is none; another refusal
-        ends the wait.
+        ``choose`` returns a refusal with status 429 while there is none; any other refusal
+        ends the wait and is returned.
 
         Raises
         ------
         CallerGoneError
-            The caller left while it waited.
+            The caller disconnected while its request was queued.
         """
         ticket = object()
         with self._changed:
@@ -94,9 +94,9 @@
                 if not (isinstance(choice, NotRun) and choice.status == 429):
                     return choice
             with self._changed:
-                # Room may also come from other nodes' requests, which only reports show.
+                # Slots are also freed by requests of other nodes, which only load reports show.
                 self._changed.wait(min(RECHECK_INTERVAL_S, patience.remaining_s()))
-        return self._refusal("no replica had room in time")
+        return self._refusal("no replica had a free slot in time")
 
     def _wake(self) -> None:
         with self._changed:
@@ -104,9 +104,9 @@
 
     def _refuse_wait(self, deadline: Deadline) -> NotRun | None:
         if len(self._waiting) >= self._limit:
-            return self._refusal(f"{len(self._waiting)} requests wait already")
+            return self._refusal(f"{len(self._waiting)} requests are queued already")
         if self._ended_at and self._likely_wait_s() > min(MAX_WAIT_S, deadline.remaining_s()):
-            return self._refusal("the wait is likely to be too long")
+            return self._refusal("the expected wait is too long")
         return None
 
     def _refusal(self, reason: str) -> NotRun:
@@ -114,12 +114,12 @@
         return NotRun(
             429,
             f"all replicas are at their online limit, and {reason}",
-            "come back after the time given, or raise online_limit of the routes",
+            "retry after the given time, or raise online_limit of the routes",
             wait_s,
         )
 
     def _likely_wait_s(self) -> float:
-        """Seconds until a request that comes now has its turn, at the rate of late."""
+        """Return the expected wait of a new request in seconds, at the recent rate."""
         self._forget_old_ends()
         ended_per_s = len(self._ended_at) / RATE_WINDOW_S
         if ended_per_s == 0.0:
@@ -133,7 +133,7 @@
 
 
 class ServiceQueues:
-    """A waiting room for each service."""
+    """The queues of all services; thread-safe."""
 
     def __init__(self, limit: int) -> None:
         self._limit = limit
@@ -141,6 +141,6 @@
         self._rooms: dict[str, ServiceQueue] = {}
 
     def of(self, service: str) -> ServiceQueue:
-        """Return the waiting room of a service."""
+        """Return the queue of a service."""
         with self._lock:
             return self._rooms.setdefault(service, ServiceQueue(self._limit))
