--- a/src/quaymill/request/__init__.py
+++ b/src/quaymill/request/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one request."""
+"""Handling of a single request: queueing, choice of a replica, forwarding, relaying."""
--- a/src/quaymill/request/admission.py
+++ b/src/quaymill/request/admission.py
@@ -1,4 +1,4 @@
-"""Bounds the requests in service at once; refuses at once what is over the limit."""
+"""Limits the number of concurrent requests; refuses requests above the limit at once."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class Admission:
-    """Counts requests in service.
+    """Counts requests in service; thread-safe.
 
-    The limit lies below the number of the server's threads, so that health checks and
-    refusals always find a free thread.
+    The limit must be smaller than the server's number of threads, so that a thread is always free
+    for health checks and refusals.
     """
 
     def __init__(self, limit: int) -> None:
@@ -27,27 +27,27 @@
 
     @property
     def in_service(self) -> int:
-        """Requests in service now."""
+        """Number of requests in service."""
         return self._in_service
 
     def enter(self) -> NotRun | None:
-        """Take a place, or refuse with the time until one is likely to be free."""
+        """Count a request, or refuse it with the time after which capacity is expected."""
         with self._changed:
             if self._in_service < self._limit:
                 self._in_service += 1
                 return None
-            # Places come free one after the other, each after a mean service time / limit;
-            # a caller that comes back after a few of these finds room.
+            # One request ends every mean service time / limit, so half of the mean service time
+            # is enough for several requests to end.
             wait_s = min(MAX_RETRY_AFTER_S, self._mean_service_s / 2)
         return NotRun(
             503,
             f"{self._limit} requests are in service on this node, which is its limit",
-            "send the request again after the time given, or to another node",
+            "send the request again after the given time, or to another node",
             wait_s,
         )
 
     def leave(self, started_at: float) -> None:
-        """Give a place back; ``started_at`` is the monotonic time of ``enter``."""
+        """Stop counting a request; ``started_at`` is the monotonic time of ``enter``."""
         service_s = boot_clock.now() - started_at
         with self._changed:
             self._in_service -= 1
@@ -55,6 +55,6 @@
             self._changed.notify_all()
 
     def wait_until_idle(self, timeout_s: float) -> bool:
-        """Wait until nothing is in service; return whether that came true."""
+        """Wait until no request is in service; return ``False`` after the timeout."""
         with self._changed:
             return self._changed.wait_for(lambda: self._in_service == 0, timeout_s)
--- a/src/quaymill/request/attempt.py
+++ b/src/quaymill/request/attempt.py
@@ -1,7 +1,6 @@
-"""Attempts of one request at replicas, one after the other, and what they add up to.
+"""Tries replicas for one request, one after the other, and merges the failures.
 
-The kinds of failure of several attempts are merged so that none is lost: ``NotRun`` remains
-only if every attempt was ``NotRun``.
+The merged failure is ``NotRun`` only if every attempt was ``NotRun``.
 """
 
 from __future__ import annotations
@@ -25,7 +24,7 @@
 
 
 class Replica(Protocol):
-    """What an attempt needs of a replica view."""
+    """The part of a replica's interface that an attempt uses."""
 
     @property
     def name(self) -> str: ...  # noqa: D102
@@ -36,7 +35,7 @@
 
 
 class Chooser(Protocol):
-    """What attempts need of the router."""
+    """The part of the router's interface that attempts use."""
 
     def choose(  # noqa: D102
         self, service: str, prefix_key: str = "", exclude: frozenset[str] = frozenset()
@@ -55,9 +54,9 @@
     Parameters
     ----------
     request_id
-        The attempt ids begin with it, so that one search finds all of them.
+        Prefix of the attempt ids, so that a log search for it finds all attempts.
     repeatable
-        Whether a new attempt may follow one that may have run.
+        Whether another attempt is allowed after one that may have run.
     """
 
     def __init__(
@@ -86,20 +85,20 @@
         self._failure: Failure | None = None
 
     def run(self, send_once: SendOnce[Answer], *, progressed: bool = False) -> Answer | Failure:
-        """Try replicas until one answers, or no further attempt is allowed.
+        """Try replicas until one answers or no further attempt is allowed.
 
         Parameters
         ----------
         send_once
-            Makes one attempt; is given the replica and the attempt's id.
+            Makes one attempt, given the replica and the attempt's id.
         progressed
-            The attempt before brought part of the answer, so that the next one is a
-            continuation, which the retry budget does not pay for.
+            Whether the previous attempt returned a part of the answer; the next attempt then
+            does not draw on the retry budget.
 
         Raises
         ------
         CallerGoneError
-            The caller has left; no further attempt is made.
+            The caller has disconnected; no further attempt is made.
         """
         free_retry = progressed
         while self._made < MAX_ATTEMPTS:
@@ -130,7 +129,7 @@
         return self._failure
 
     def note_cut(self, replica: Replica, failure: OutcomeUnknown) -> None:
-        """Note that the answer of an attempt broke off after it had begun."""
+        """Record that the answer of an attempt failed after it had started."""
         if self.presence.gone:
             return
         self._chooser.record_failure(replica, failure)
@@ -138,7 +137,7 @@
         self._note(failure)
 
     def end(self, replica: Replica, ticket: int) -> None:
-        """Stop counting an attempt at its replica; one that waits may take its place."""
+        """Stop counting an attempt at its replica, and wake the queued requests."""
         replica.end(ticket)
         self._waiting_room.record_end()
 
@@ -181,7 +180,7 @@
 
 
 def merge_failures(earlier: Failure | None, later: Failure) -> Failure:
-    """Return what two attempts that failed add up to; the less certain kind prevails."""
+    """Merge the failures of two attempts; the less certain kind of failure is kept."""
     if earlier is None:
         return later
     if isinstance(later, NotRun) and not isinstance(earlier, NotRun):
@@ -203,4 +202,4 @@
 
 
 def _deadline_passed() -> NotRun:
-    return NotRun(504, "the deadline of the request has passed", "allow more time")
+    return NotRun(504, "the request's deadline has passed", "allow more time")
--- a/src/quaymill/request/deadline.py
+++ b/src/quaymill/request/deadline.py
@@ -1,4 +1,4 @@
-"""The time by which a request must have ended."""
+"""The time by which a request must be completed."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 
 
 class Deadline(msgspec.Struct, frozen=True):
-    """A point on this process's monotonic clock."""
+    """A point in time on this process's monotonic clock."""
 
     at_s: float
 
     @classmethod
     def after(cls, seconds: float) -> Deadline:
-        """Return the deadline that lies ``seconds`` from now."""
+        """Return the deadline ``seconds`` from now."""
         return cls(boot_clock.now() + seconds)
 
     def remaining_s(self) -> float:
-        """Seconds left; never below 0."""
+        """Return the seconds left; never below 0."""
         return max(0.0, self.at_s - boot_clock.now())
 
     def passed(self) -> bool:
-        """Return whether the deadline lies in the past."""
+        """Return whether the deadline has passed."""
         return boot_clock.now() >= self.at_s
 
 
 def deadline_from_header(value: str | None) -> Deadline | NotRun:
-    """Read the caller's header ``Quaymill-Timeout-S``; a refusal names what is wrong."""
+    """Return the deadline for the value of a ``Quaymill-Timeout-S`` header, or a refusal."""
     if value is None:
         return Deadline.after(DEFAULT_TIMEOUT_S)
     try:
--- a/src/quaymill/request/event_stream.py
+++ b/src/quaymill/request/event_stream.py
@@ -1,4 +1,4 @@
-"""Framing of event streams: whole events only, and the id of the last one."""
+"""Splits event streams (``text/event-stream``) into complete events and reads their ids."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class EventFramer:
-    """Cuts a stream of bytes into whole events.
+    """Splits a stream of bytes into complete events, and leaves out repeated ones.
 
     Attributes
     ----------
     last_id
-        Id of the last whole event handed out; ``None`` before the first one with an id.
-    rest
-        Bytes of an event that is not whole yet.
+        Id of the last complete event returned; ``None`` before the first event with an id.
+    partial
+        Bytes of the event that is still incomplete.
     """
 
     def __init__(self, last_id: str | None = None) -> None:
@@ -26,7 +26,7 @@
         self.rest = b""
 
     def take(self, block: bytes) -> bytes:
-        """Add a block; return the events that are whole now, leaving out repeated ones."""
+        """Add a block; return the events that it completes, without repeated ones."""
         data = self.rest + block if self.rest else block
         end = data.rfind(EVENT_END) + len(EVENT_END)
         if end < len(EVENT_END):
@@ -56,7 +56,10 @@
 
 
 def is_later(event_id: str, other_id: str) -> bool:
-    """Return whether an event id follows another; numbers are compared as numbers."""
+    """Return whether an event id is later than another.
+
+    Ids that are not numbers count as later if they differ.
+    """
     try:
         return int(event_id) > int(other_id)
     except ValueError:
@@ -64,7 +67,7 @@
 
 
 def data_of_events(events: bytes) -> list[str]:
-    """Return the data of each event; the lines of one event are joined by line feeds."""
+    """Return the data of each event; its data lines are joined by line feeds."""
     data = []
     for event in events.split(EVENT_END)[:-1]:
         lines = [line.decode() for line in _DATA_LINE.findall(event)]
--- a/src/quaymill/request/first_byte_wait.py
+++ b/src/quaymill/request/first_byte_wait.py
@@ -1,4 +1,4 @@
-"""How long an attempt waits for the first byte of a replica's answer."""
+"""Waits for the first byte of a replica's answer, and detects frozen replicas."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 class WaitedReplica(Protocol):
-    """What the wait needs of a replica view."""
+    """The part of a replica's interface that the wait uses."""
 
     @property
     def reachable(self) -> bool:
-        """Whether the last poll was answered."""
+        """Whether the replica answered the last poll."""
 
     def is_busy_since(self, sent_at: float) -> bool:
         """Return whether a report after ``sent_at`` explains a late first byte."""
@@ -28,13 +28,17 @@
 def wait_for_first_byte(
     exchange: Exchange, replica: WaitedReplica, deadline: Deadline, *, whole: bool = False
 ) -> OutcomeUnknown | None:
-    """Wait until the replica sends something; a frozen one is given up and abandoned.
+    """Wait until the replica sends something; abandon the exchange if the replica is frozen.
 
     Parameters
     ----------
     whole
-        The first byte may rightly take as long as the whole answer; such a replica is given
-        up only when its polls are not answered either.
+        Whether the replica sends the first byte only when the whole answer is ready. Then it
+        counts as frozen only if it does not answer its polls either.
+
+    Returns
+    -------
+    The failure, or ``None`` once data can be read.
     """
     sent_at = boot_clock.now()
     while not exchange.wait_readable(min(WAIT_SLICE_S, deadline.remaining_s())):
--- a/src/quaymill/request/forwarded_request.py
+++ b/src/quaymill/request/forwarded_request.py
@@ -1,4 +1,4 @@
-"""A caller's request on its way to a replica, whatever the interface it came by."""
+"""A caller's request as it is forwarded to replicas, independent of the caller interface."""
 
 from __future__ import annotations
 
@@ -9,28 +9,28 @@
 from quaymill.request.prompt import NO_PROMPT, Prompt
 
 Headers = tuple[tuple[str, str], ...]
-"""Names and values in the order received, repeated names kept."""
+"""Names and values in the order received; names may repeat."""
 
 
 @attrs.frozen
 class ForwardedRequest:
-    """An opaque request: it reaches a replica with method, target and body unchanged.
+    """An opaque request, whose method, target and body are forwarded unchanged.
 
     Attributes
     ----------
     id
-        The caller's id for this sending; replicas echo it.
+        The caller's id for this transmission of the request; replicas echo it.
     target
         Path and query as sent.
     deadline
-        When the caller stops waiting, or the route's timeout ends, whichever comes first.
+        The caller's timeout or the route's timeout, whichever ends first.
     last_event_id
-        The event after which the answer is to go on; ``None`` from the beginning.
+        Id of the event after which the answer is resumed; ``None`` for the whole answer.
     tenant
-        Who sends it, as replicas are told in place of its key; empty for nobody known, ``None``
-        where there are no tenants and headers mean nothing of the kind.
+        Name of the tenant, sent to replicas in place of its API key. Empty if the tenant is
+        unknown; ``None`` if tenants are not in use.
     priority
-        Rank of its tenant, or else of its route; 0 goes first.
+        Rank of the tenant, or else of the route; 0 is served first.
     """
 
     id: str
@@ -46,17 +46,17 @@
 
     @property
     def content(self) -> str:
-        """Names what is asked for: the same for each sending, whatever its id."""
+        """Content digest: the same whenever the same request is sent again, under any id."""
         return content_of(self.host, self.method, self.target, self.body)
 
     @property
     def host(self) -> str:
-        """The ``Host`` header as sent; empty without one."""
+        """Value of the ``Host`` header; empty if there is none."""
         return next((value for name, value in self.headers if name.lower() == "host"), "")
 
 
 def content_of(host: str, method: str, target: str, body: bytes) -> str:
-    """Return a digest of what a request asks for; two that ask for the same have the same."""
+    """Return the content digest of a request; the host is case-insensitive."""
     digest = xxhash.xxh3_128(f"{host.lower()}\0{method}\0{target}\0".encode())
     digest.update(body)
     return digest.hexdigest()
--- a/src/quaymill/request/outcome.py
+++ b/src/quaymill/request/outcome.py
@@ -1,8 +1,8 @@
-"""The three kinds of failure of a request, which are never mixed.
+"""The three kinds of failure of a request.
 
-``NotRun`` is a promise: no part of the request was executed anywhere. ``OutcomeUnknown``
-says that bytes left for a back end and no whole answer came. ``Failed`` says that the
-request ran and reported an error. Callers read the kind in the header
+``NotRun`` guarantees that no part of the request was executed anywhere. ``OutcomeUnknown`` means
+that bytes were sent to a back end and no complete answer was received. ``Failed`` means that the
+request was executed and returned an error. Callers receive the kind in the header
 ``Quaymill-Outcome``.
 """
 
@@ -17,20 +17,20 @@
 
 
 class NotRun(msgspec.Struct, frozen=True, tag="not-run"):
-    """The request was not executed, and it is safe to send it again.
+    """The request was not executed, so it is safe to send it again.
 
     Attributes
     ----------
     status
         HTTP status code for the caller.
     reason
-        What stood in the way, for a person.
+        Human-readable cause.
     remedy
-        What the caller or the operator can do about it.
+        Human-readable advice for the caller or the operator.
     retry_after_s
-        Seconds until a new try makes sense; ``None`` if a new try cannot help.
+        Seconds after which to retry; ``None`` if a retry cannot help.
     by_replica
-        Whether a replica said so itself, as one that is draining does.
+        Whether a replica refused the request itself, for example while draining.
     """
 
     status: int
@@ -41,12 +41,12 @@
 
 
 class OutcomeUnknown(msgspec.Struct, frozen=True, tag="unknown"):
-    """The request may have been executed; no whole answer came back.
+    """The request may have been executed; no complete answer was received.
 
     Attributes
     ----------
     connection_closed
-        Whether the back end's side closed the connection, and not a time-out here.
+        Whether the back end closed the connection, as opposed to a timeout here.
     """
 
     status: int
@@ -57,7 +57,7 @@
 
 
 class Failed(msgspec.Struct, frozen=True, tag="failed"):
-    """The request was executed and the back end reported an error."""
+    """The request was executed, and the back end returned an error."""
 
     status: int
     reason: str
--- a/src/quaymill/request/presence.py
+++ b/src/quaymill/request/presence.py
@@ -1,4 +1,4 @@
-"""Whether the caller of a request still waits, and what to cancel when it leaves."""
+"""Tracks whether the caller of a request is still connected; cancels its attempt if it is not."""
 
 from __future__ import annotations
 
@@ -7,17 +7,16 @@
 
 
 class CallerGoneError(Exception):
-    """The caller has left, so that nobody waits for the answer."""
+    """The caller has disconnected, so its answer is no longer needed."""
 
 
 class CallerPresence:
-    """Present until ``leave`` is called, by the watch of the caller's connection.
+    """Whether the caller of one request is still connected; thread-safe.
 
-    ``interrupt`` is called when the node stops before the request has ended: its attempt is
-    cancelled, no other follows, and the caller, who still waits, is told.
-
-    A request attaches what cancels its present attempt. ``leave`` may come from another
-    thread at any moment; what is attached later is cancelled at once.
+    A request attaches a function that cancels its current attempt. The watch of the caller's
+    connection calls ``leave`` when the caller disconnects. ``interrupt`` is called when the node
+    stops: the attempt is cancelled, no other is made, and the caller gets an error. Both may be
+    called from any thread; what is attached afterwards is cancelled at once.
     """
 
     def __init__(self) -> None:
@@ -28,16 +27,16 @@
 
     @property
     def interrupted(self) -> bool:
-        """Whether the node stops, so that no further attempt may be made."""
+        """Whether the node is stopping, so that no further attempt may be made."""
         return self._interrupted
 
     @property
     def gone(self) -> bool:
-        """Whether the caller has left."""
+        """Whether the caller has disconnected."""
         return self._gone
 
     def attach(self, cancel: Callable[[], None]) -> None:
-        """Call ``cancel`` when the caller leaves, instead of what was attached before."""
+        """Set the function to call when the caller disconnects or the node stops."""
         with self._lock:
             self._cancel = cancel
             ended = self._gone or self._interrupted
@@ -45,17 +44,17 @@
             cancel()
 
     def detach(self) -> None:
-        """Cancel nothing any more."""
+        """Remove the attached function."""
         with self._lock:
             self._cancel = None
 
     def leave(self) -> None:
-        """Note that the caller has left, and cancel what is attached."""
+        """Record that the caller has disconnected, and cancel the current attempt."""
         self._gone = True
         self._cancel_attached()
 
     def interrupt(self) -> None:
-        """Cancel what is attached, because the node stops."""
+        """Cancel the current attempt, because the node is stopping."""
         self._interrupted = True
         self._cancel_attached()
 
--- a/src/quaymill/request/prompt.py
+++ b/src/quaymill/request/prompt.py
@@ -1,4 +1,4 @@
-"""What a request tells of its prompt: its size, and the parts it shares with other requests."""
+"""Describes a request's prompt: its size, and the parts it shares with other requests."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @attrs.frozen
 class PromptPart:
-    """One part of a prompt; parts with the same ``id`` are the same text."""
+    """One part of a prompt; parts with the same ``id`` contain the same text."""
 
     id: str
     tokens: int
@@ -15,12 +15,14 @@
 
 @attrs.frozen
 class Prompt:
-    """The parts in order; the last one belongs to the request or its session.
+    """The size and the parts of a prompt.
 
     Attributes
     ----------
-    input_tokens, most_output_tokens
-        Size of the prompt and bound of the answer; 0 if not told.
+    parts
+        In order; the last part is specific to the request or its session.
+    input_tokens, max_output_tokens
+        Size of the prompt and maximum size of the answer; 0 if unknown.
     """
 
     parts: tuple[PromptPart, ...] = ()
@@ -29,7 +31,7 @@
     most_output_tokens: int = 0
 
     def largest_shared_part(self) -> PromptPart | None:
-        """Return the largest part that other requests may share, the last part left out."""
+        """Return the largest part that other requests may share; ``None`` if there is none."""
         return max(self.parts[:-1], key=lambda part: part.tokens, default=None)
 
 
--- a/src/quaymill/request/relay.py
+++ b/src/quaymill/request/relay.py
@@ -1,8 +1,7 @@
-"""Relays a streamed answer to its caller, whole or ended by an explicit error event.
+"""Relays a streamed completion to its caller; an incomplete one ends with an error event.
 
-A stream that breaks off is resumed on another replica from the tokens already relayed. The
-events relayed are kept as bytes, so that short answers are parsed only when a resume needs
-their tokens.
+A stream that fails is resumed on another replica from the tokens already relayed. Relayed events
+are kept as bytes and parsed only when a resume needs their tokens or many have accumulated.
 """
 
 from __future__ import annotations
@@ -17,18 +16,18 @@
 from quaymill.request.presence import CallerPresence
 
 MAX_UNPARSED_BLOCKS = 1024
-"""Most blocks of one stream kept as bytes; bounds the memory of a long answer."""
+"""Maximum number of blocks of one stream kept as bytes; limits the memory of long answers."""
 
 
 class OpenStream(msgspec.Struct):
-    """A stream that has begun.
+    """A stream that has started.
 
     Attributes
     ----------
     first_events
-        What has been read of it.
+        The events that have been read already.
     ended
-        Ends the attempt's accounting; is given the failure, if there was one.
+        Called once when the stream ends, with its failure or ``None``.
     """
 
     stream: EngineStream
@@ -38,7 +37,7 @@
 
 
 class _RelayedTokens:
-    """The tokens of the events relayed so far, parsed late and kept in four bytes each."""
+    """The tokens of the events relayed so far; parsed lazily."""
 
     def __init__(self) -> None:
         self.event_count = 0
@@ -66,7 +65,7 @@
 
 
 class StreamRelay:
-    """Iterates over blocks of whole events for the caller.
+    """Iterates over blocks of complete events for the caller.
 
     Parameters
     ----------
@@ -76,7 +75,12 @@
         Opens a stream that continues after the given tokens; ``None`` if this request
         cannot be resumed.
     format_error
-        Makes the event that ends a stream which cannot be completed.
+        Returns the error event that ends an incomplete stream.
+
+    Attributes
+    ----------
+    failure
+        Why the stream could not be completed; ``None`` if it was, or has not ended.
     """
 
     def __init__(
@@ -97,7 +101,7 @@
 
     @property
     def token_count(self) -> int:
-        """Events relayed so far; an engine sends one for each token, and one or two more."""
+        """Number of events relayed so far; approximately the number of tokens."""
         return self._relayed.event_count
 
     def __iter__(self) -> Iterator[bytes]:
@@ -114,7 +118,7 @@
                 yield self._format_error(failure)
 
     def close(self) -> None:
-        """Cancel what still runs: the caller has left, or the stream has ended."""
+        """Cancel the stream that is still open, if any."""
         if self._current is not None:
             self._current.stream.abandon()
             self._end_current(None)
@@ -130,7 +134,7 @@
         return None
 
     def _for_caller(self, events: bytes, current: OpenStream) -> bytes:
-        """Remember events; make those of a later attempt look like those of the first."""
+        """Record events; replace the attempt id and usage in events of a resumed stream."""
         attempt_id = current.attempt_id.encode()
         if attempt_id != self._first_id:
             events = events.replace(attempt_id, self._first_id)
@@ -139,7 +143,7 @@
         return events
 
     def _reopen(self, failure: OutcomeUnknown) -> Failure | None:
-        """Continue on another replica; return the failure if that cannot be."""
+        """Resume on another replica; return the failure if that is not possible."""
         if self._resume is None:
             return failure
         tokens = self._relayed.tokens()
--- a/src/quaymill/request/retry_budget.py
+++ b/src/quaymill/request/retry_budget.py
@@ -1,4 +1,4 @@
-"""Bounds the retries of a process to a share of its traffic."""
+"""Limits the retries of a process to a share of its traffic."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class RetryBudget:
-    """A balance that each request adds to and each retry draws from.
+    """A balance that each request increases and each retry decreases; thread-safe.
 
-    When every replica is down, retries add at most the share to the load, after a first
-    burst. The small floor lets a process with little traffic retry at all.
+    When all replicas are down, retries add at most ``share`` to the load, after an initial burst.
+    ``floor_per_s`` is a minimum rate of retries for processes with little traffic.
     """
 
     def __init__(
@@ -37,7 +37,7 @@
             self._balance = min(self._burst, self._balance + self._share)
 
     def take_retry(self) -> bool:
-        """Draw one retry; ``False`` if the budget is spent."""
+        """Take one retry from the budget; return ``False`` if it is exhausted."""
         with self._lock:
             now = boot_clock.now()
             refill = (now - self._refilled_at) * self._floor_per_s
--- a/src/quaymill/request/whole_answer.py
+++ b/src/quaymill/request/whole_answer.py
@@ -1,7 +1,7 @@
-"""Puts the chunks of a streamed completion together to the whole answer.
+"""Assembles the chunks of a streamed completion into a whole answer.
 
-The gateway asks engines for streams also when its caller wants a whole answer: only so are
-a frozen replica and a broken answer noticed early, and resumed from the tokens that came.
+The gateway requests a stream from the engine even if the caller wants a whole answer. This way it
+detects frozen replicas and failed answers early, and can resume from the tokens received.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 _DATA = b"data: "
 _WHOLE_OBJECTS = {"chat.completion.chunk": "chat.completion"}
 _KEPT_KEYS = frozenset({"index", "role", "type", "id"})
-"""Fields whose later values replace the earlier ones; other texts are joined."""
+"""Fields whose later values replace earlier ones; other strings are concatenated."""
 _DROPPED_KEYS = frozenset({"token_ids"})
 
 
 def assemble(blocks: Iterable[bytes], *, keep_token_ids: bool = False) -> dict[str, Any]:
-    """Return the whole answer that the events in ``blocks`` make up."""
+    """Return the whole answer assembled from the events in ``blocks``."""
     answer: dict[str, Any] = {}
     choices: dict[int, dict[str, Any]] = {}
     for chunk in _chunks(blocks):
@@ -53,7 +53,7 @@
 
 
 def _merge(whole: dict[str, Any], part: dict[str, Any]) -> None:
-    """Add the fields of a chunk: texts and lists grow, objects are merged field by field."""
+    """Merge the fields of a chunk: strings and lists are extended, objects merged recursively."""
     for name, value in part.items():
         held = whole.get(name)
         if held is None or name in _KEPT_KEYS:
@@ -71,7 +71,7 @@
 
 
 def _merge_list(held: list[Any], value: list[Any]) -> None:
-    """Append elements; those with an ``index`` (tool calls) are merged with their like."""
+    """Append elements; those with the same ``index`` (tool calls) are merged."""
     by_index = {one["index"]: one for one in held if isinstance(one, dict) and "index" in one}
     for one in value:
         if isinstance(one, dict) and one.get("index") in by_index:
