--- a/src/quaymill/request/answer_relay.py
+++ b/src/quaymill/request/answer_relay.py
@@ -10,7 +10,7 @@
 from quaymill.connection.replica_connection import Exchange
 from quaymill.request.event_stream import EventFramer
 from quaymill.request.forwarded_request import ForwardedRequest, Headers
-from quaymill.request.forwarding_result import AttemptResult, Broken, Delivered, broken_by
+from quaymill.request.forwarding_result import AttemptResult, Broken, Delivered, broken_attempt
 from quaymill.request.outcome import OutcomeUnknown
 from quaymill.request.replica_choice import ChosenReplica
 from quaymill.version.request_routes import RequestRoute
@@ -75,7 +75,7 @@
         """Id of the last event that was sent to the caller."""
         return self._framer.last_id
 
-    def pass_on(
+    def relay_answer(
         self, exchange: Exchange, replica: ChosenReplica, head: AnswerHead
     ) -> AttemptResult:
         """Relay the answer whose head has been read.
@@ -105,7 +105,7 @@
         while True:
             block = self._read_block(exchange, self._request.deadline.remaining_s())
             if isinstance(block, OutcomeUnknown):
-                return broken_by(block)
+                return broken_attempt(block)
             if not block:
                 break
             blocks.append(block)
@@ -116,7 +116,7 @@
                 self._answer.write(b"".join(blocks))
                 blocks.clear()
                 buffered_bytes = 0
-        release(exchange, head)
+        release_connection(exchange, head)
         body = b"".join(blocks)
         if not self._answer.started:
             self._answer.start(head.status, head.reason, head.headers, len(body))
@@ -132,7 +132,7 @@
         while True:
             block = self._read_block(exchange, self._gap_patience_s())
             if isinstance(block, OutcomeUnknown):
-                return broken_by(block)
+                return broken_attempt(block)
             replica.hear()
             if not block:
                 break
@@ -143,7 +143,7 @@
         if resumable and self._framer.rest:
             exchange.abandon()
             return Broken("the stream ended in the middle of an event", connection_closed=True)
-        release(exchange, head)
+        release_connection(exchange, head)
         if not self._answer.started:
             self._answer.start(head.status, head.reason, head.headers)
         return Delivered(head.status, replica.id)
@@ -162,7 +162,7 @@
         return min(remaining_s, EVENT_GAP_PATIENCE_S) if self._may_try_another() else remaining_s
 
 
-def release(exchange: Exchange, head: AnswerHead) -> None:
+def release_connection(exchange: Exchange, head: AnswerHead) -> None:
     """Keep the connection for reuse as long as the replica allows, after a complete answer."""
     if head.keep_s > 0:
         exchange.release(head.keep_s)
--- a/src/quaymill/request/forwarded_request.py
+++ b/src/quaymill/request/forwarded_request.py
@@ -45,7 +45,7 @@
     priority: int = 0
 
     @property
-    def content(self) -> str:
+    def content_digest(self) -> str:
         """Content digest: the same whenever the same request is sent again, under any id."""
         return content_of(self.host, self.method, self.target, self.body)
 
--- a/src/quaymill/request/forwarding.py
+++ b/src/quaymill/request/forwarding.py
@@ -22,7 +22,7 @@
     ReplicaConnections,
     ReplicaRequest,
 )
-from quaymill.request.answer_relay import AnswerRelay, AnswerWriter, release
+from quaymill.request.answer_relay import AnswerRelay, AnswerWriter, release_connection
 from quaymill.request.forwarded_request import ForwardedRequest
 from quaymill.request.forwarding_result import (
     AttemptResult,
@@ -33,7 +33,7 @@
     GivenUp,
     KeyChanged,
     Refused,
-    broken_by,
+    broken_attempt,
 )
 from quaymill.request.outcome import NotRun, OutcomeUnknown
 from quaymill.request.poison import NoGuard, PoisonGuard
@@ -54,7 +54,7 @@
 """Maximum number of replicas that may answer "not executed" before the request is given up."""
 MAX_ERROR_BYTES = 64 * 1024
 """Maximum size of an error answer that is kept while another replica is tried."""
-ERROR_BODY_PATIENCE_S = 0.1
+ERROR_BODY_TIMEOUT_S = 0.1
 """Timeout for the body of an error answer; short, since the next attempt waits for it."""
 IDLE_LIMIT_NOT_REPEATABLE_S = 5.0
 """Maximum idle time of a connection that is reused for a request that cannot be repeated.
@@ -66,14 +66,14 @@
 SILENCE_PATIENCE_S = 0.6
 """Time to wait for a replica that sends nothing at all, if another replica may be tried."""
 SILENCE_CHECK_S = 0.1
-MIN_SEND_PATIENCE_S = 1.0
+MIN_SEND_TIMEOUT_S = 1.0
 """Minimum time that a replica has to read a request, if another replica may be tried."""
-SLOWEST_SEND_BYTES_PER_S = 1024 * 1024
+MIN_SEND_BYTES_PER_S = 1024 * 1024
 """Assumed throughput of the slowest gateway links, for sending large requests."""
 UNREACHABLE_WEIGHT = 2.0
 """Weight of a failed connection in the replica's failure count; an ordinary failure counts 1."""
-ANSWER_PATIENCE_FACTOR = 8.0
-MIN_ANSWER_PATIENCE_S = 0.5
+FIRST_BYTE_TIMEOUT_FACTOR = 8.0
+MIN_FIRST_BYTE_TIMEOUT_S = 0.5
 
 
 @attrs.frozen
@@ -93,14 +93,14 @@
         connections: ReplicaConnections,
         protocol: ReplicaProtocol,
         observer: RequestObserver | None = None,
-        turns: DispatchQueue | None = None,
+        dispatch_queue: DispatchQueue | None = None,
         guard: PoisonGuard | None = None,
     ) -> None:
         self.router = router
         self.connections = connections
         self.protocol = protocol
         self.observer = observer or NoObserver()
-        self.turns = turns or NoDispatchQueue()
+        self.dispatch_queue = dispatch_queue or NoDispatchQueue()
         self.guard = guard or NoGuard()
 
     def forward(
@@ -155,78 +155,82 @@
         self._connections = forwarder.connections
         self._protocol = forwarder.protocol
         self._observer = forwarder.observer
-        self._turns = forwarder.turns
+        self._dispatch_queue = forwarder.dispatch_queue
         self._guard = forwarder.guard
         self._request = request
-        self._content = request.content
+        self._content_digest = request.content_digest
         self._route = route
         self._answer = answer
         self._presence = presence
         self._key_change = key_change
         self._service = self._router.choose_service(route)
         self._relay = AnswerRelay(request, route, answer, self._may_try_another)
-        self._tried: set[str] = set()
+        self._tried_ids: set[str] = set()
         self._refusals = 0
         self._runs = 0
-        self._error: _ReplicaError | None = None
+        self._kept_error: _ReplicaError | None = None
 
     def run(self) -> ForwardingResult:
-        if (ended := self._reason_to_end()) is not None:
+        if (ended := self._result_if_ended()) is not None:
             return ended
-        turn = self._turns.wait_for_slot(self._service, self._route, self._request, self._presence)
-        if isinstance(turn, CannotServeInTime):
-            return self._given_up(turn.reason, retry_after_s=turn.retry_after_s)
-        if turn is not None and (ended := self._reason_to_end()) is not None:
-            self._turns.give_back(turn)
+        granted = self._dispatch_queue.wait_for_slot(
+            self._service, self._route, self._request, self._presence
+        )
+        if isinstance(granted, CannotServeInTime):
+            return self._give_up(granted.reason, retry_after_s=granted.retry_after_s)
+        if granted is not None and (ended := self._result_if_ended()) is not None:
+            self._dispatch_queue.give_back(granted)
             return ended
-        return self._try_replicas(turn)
+        return self._try_replicas(granted)
 
-    def _try_replicas(self, first: ChosenReplica | None) -> ForwardingResult:
+    def _try_replicas(self, granted: ChosenReplica | None) -> ForwardingResult:
         """Try one replica after another, beginning with ``granted`` if the slot grant named one."""
         while True:
-            if first is None and (ended := self._reason_to_end()) is not None:
+            if granted is None and (ended := self._result_if_ended()) is not None:
                 return ended
-            replica = first or self._router.choose(self._service, self._request.prompt, self._tried)
-            first = None
+            replica = granted or self._router.choose(
+                self._service, self._request.prompt, self._tried_ids
+            )
+            granted = None
             if isinstance(replica, NoReplica):
-                return self._given_up(replica.reason)
+                return self._give_up(replica.reason)
             result = self._attempt(replica)
             if isinstance(result, Delivered | CallerLeft):
                 return result
-            self._tried.add(replica.id)
+            self._tried_ids.add(replica.id)
             if isinstance(result, Refused):
                 self._refusals += 1
                 if self._refusals >= MAX_REFUSALS:
-                    return self._given_up(result.reason)
+                    return self._give_up(result.reason)
                 continue
             self._runs += 1
             if self._request.deadline.passed():
-                return self._given_up(result.reason, timed_out=True)
+                return self._give_up(result.reason, timed_out=True)
             if not self._route.repeatable or self._runs >= self._route.max_attempts:
-                return self._given_up(result.reason)
+                return self._give_up(result.reason)
 
-    def _reason_to_end(self) -> ForwardingResult | None:
+    def _result_if_ended(self) -> ForwardingResult | None:
         """Return the final result if no further attempt may be made, else ``None``."""
         if self._presence.gone:
             return CallerLeft()
         if self._request.deadline.passed():
-            return self._given_up("the request's deadline has passed", timed_out=True)
-        barred_s = self._guard.barred_for_s(self._content)
+            return self._give_up("the request's deadline has passed", timed_out=True)
+        barred_s = self._guard.barred_for_s(self._content_digest)
         if barred_s > 0:
-            return self._given_up(
+            return self._give_up(
                 "replicas crashed while running this request", retry_after_s=barred_s
             )
         # A request that may have run already is continued even if its key has changed.
         return None if self._runs else self._key_change()
 
-    def _given_up(
+    def _give_up(
         self, reason: str, timed_out: bool = False, retry_after_s: float | None = None
     ) -> GivenUp | Delivered:
         """End without a success; deliver the kept error answer of a replica if there is one."""
         if self._answer.started:
             self._answer.abort()
-        elif self._error is not None:
-            error = self._error
+        elif self._kept_error is not None:
+            error = self._kept_error
             self._answer.start(
                 error.head.status, error.head.reason, error.head.headers, len(error.body)
             )
@@ -250,11 +254,11 @@
         if self._presence.gone and not isinstance(result, Delivered):
             result = CallerLeft()
         took_s = boot_clock.now() - began
-        self._judge(replica, result, took_s)
+        self._record_result(replica, result, took_s)
         log_message(
             "request:attempt",
             request_id=self._request.id,
-            content=self._content,
+            content=self._content_digest,
             replica=replica.id,
             service=self._service,
             load=round(load, 1),
@@ -267,20 +271,20 @@
         )
         return result
 
-    def _judge(self, replica: ChosenReplica, result: AttemptResult, took_s: float) -> None:
+    def _record_result(self, replica: ChosenReplica, result: AttemptResult, took_s: float) -> None:
         """Record the result of an attempt with the replica, the dispatch queue and the guard."""
         if isinstance(result, Broken):
             replica.record_failure()
             if result.connection_closed:
-                self._note_closed(replica)
+                self._record_connection_closed(replica)
         elif isinstance(result, Delivered):
-            self._turns.record(self._service, took_s, replica.first_byte_s)
+            self._dispatch_queue.record(self._service, took_s, replica.first_byte_s)
             if result.status < 500:
-                self._guard.note_served(self._content)
+                self._guard.note_served(self._content_digest)
 
-    def _note_closed(self, replica: ChosenReplica) -> None:
+    def _record_connection_closed(self, replica: ChosenReplica) -> None:
         entry = replica.entry
-        self._guard.note_closed(self._content, entry.incarnation, entry.address)
+        self._guard.note_closed(self._content_digest, entry.incarnation, entry.address)
 
     def _send(self, replica: ChosenReplica, began: float) -> AttemptResult:
         remaining_s = self._request.deadline.remaining_s()
@@ -292,15 +296,15 @@
             replica.entry.address,
             message,
             max_idle_s=IDLE_LIMIT_S if repeatable else IDLE_LIMIT_NOT_REPEATABLE_S,
-            send_timeout_s=self._send_patience_s(len(message.body)),
+            send_timeout_s=self._send_timeout_s(len(message.body)),
         )
         if isinstance(exchange, NotRun):
             replica.record_failure(UNREACHABLE_WEIGHT)
             return Refused(exchange.reason)
         if isinstance(exchange, OutcomeUnknown):
-            return broken_by(exchange)
+            return broken_attempt(exchange)
         self._presence.attach(exchange.cancel)
-        broken = self._wait_for_answer(exchange, replica, began)
+        broken = self._wait_for_first_byte(exchange, replica, began)
         if broken is not None:
             return broken
         replica.begin_answer()
@@ -309,23 +313,23 @@
         finally:
             replica.end_answer()
 
-    def _send_patience_s(self, size: int) -> float:
+    def _send_timeout_s(self, size: int) -> float:
         """Return the maximum time for sending a request with a body of ``size`` bytes."""
         if not self._may_try_another():
             return SEND_TIMEOUT_S
-        return min(SEND_TIMEOUT_S, MIN_SEND_PATIENCE_S + size / SLOWEST_SEND_BYTES_PER_S)
+        return min(SEND_TIMEOUT_S, MIN_SEND_TIMEOUT_S + size / MIN_SEND_BYTES_PER_S)
 
     def _read_answer(
         self, exchange: Exchange, replica: ChosenReplica, began: float
     ) -> AttemptResult:
         failure = exchange.read_head(max(0.05, self._request.deadline.remaining_s()))
         if failure is not None:
-            return broken_by(failure)
+            return broken_attempt(failure)
         replica.hear()
         head = self._protocol.read_answer_head(exchange)
-        return self._take_answer(exchange, replica, head, began)
+        return self._handle_answer(exchange, replica, head, began)
 
-    def _wait_for_answer(
+    def _wait_for_first_byte(
         self, exchange: Exchange, replica: ChosenReplica, began: float
     ) -> Broken | None:
         """Wait for the first byte of the answer; return ``None`` once it has arrived.
@@ -334,14 +338,14 @@
         tried.
         """
         may_try_another = self._may_try_another()
-        patience_s = self._request.deadline.remaining_s()
+        timeout_s = self._request.deadline.remaining_s()
         if may_try_another:
-            patience_s = min(patience_s, self._answer_patience_s(replica))
-        until = boot_clock.now() + patience_s
-        while (left_s := until - boot_clock.now()) > 0:
+            timeout_s = min(timeout_s, self._first_byte_timeout_s(replica))
+        give_up_at = boot_clock.now() + timeout_s
+        while (left_s := give_up_at - boot_clock.now()) > 0:
             if exchange.wait_readable(min(left_s, SILENCE_CHECK_S)):
                 return None
-            if may_try_another and self._is_lost(replica):
+            if may_try_another and self._is_unreachable_with_alternative(replica):
                 exchange.give_up()
                 return Broken("the replica's zone is unreachable")
             if may_try_another and replica.silent and boot_clock.now() - began > SILENCE_PATIENCE_S:
@@ -349,28 +353,28 @@
         exchange.give_up()
         return Broken(f"the replica sent nothing for {boot_clock.now() - began:.2f} s")
 
-    def _is_lost(self, replica: ChosenReplica) -> bool:
+    def _is_unreachable_with_alternative(self, replica: ChosenReplica) -> bool:
         """Return whether the replica is unreachable while another replica may be reachable."""
         if not replica.unreachable:
             return False
-        return self._router.may_reach_another(self._service, self._tried | {replica.id})
+        return self._router.may_reach_another(self._service, self._tried_ids | {replica.id})
 
     def _may_try_another(self) -> bool:
         return self._route.repeatable and self._runs + 1 < self._route.max_attempts
 
-    def _answer_patience_s(self, replica: ChosenReplica) -> float:
+    def _first_byte_timeout_s(self, replica: ChosenReplica) -> float:
         if self._route.kind is RouteKind.STREAMING:
             return FIRST_EVENT_PATIENCE_S
         usual_s = max(replica.first_byte_s, self._route.objective_s / 2)
-        return max(MIN_ANSWER_PATIENCE_S, ANSWER_PATIENCE_FACTOR * usual_s)
+        return max(MIN_FIRST_BYTE_TIMEOUT_S, FIRST_BYTE_TIMEOUT_FACTOR * usual_s)
 
-    def _take_answer(
+    def _handle_answer(
         self, exchange: Exchange, replica: ChosenReplica, head: AnswerHead, began: float
     ) -> AttemptResult:
         if head.load is not None:
             replica.take_report(head.load)
         if head.not_executed:
-            return self._take_refusal(exchange, replica, head)
+            return self._handle_refusal(exchange, replica, head)
         if head.request_id != self._request.id:
             exchange.abandon()
             return Broken(f"the answer's request id does not match: {head.request_id or 'no id'}")
@@ -379,18 +383,18 @@
             return Broken(f"the replica answered {head.status}")
         if head.status < 500:
             replica.record_success(boot_clock.now() - began)
-        return self._relay.pass_on(exchange, replica, head)
+        return self._relay.relay_answer(exchange, replica, head)
 
     def _keep_error(self, exchange: Exchange, replica: ChosenReplica, head: AnswerHead) -> None:
         """Read a complete error answer, to deliver it if the other replicas fail as well."""
-        wait_s = min(ERROR_BODY_PATIENCE_S, self._request.deadline.remaining_s())
+        wait_s = min(ERROR_BODY_TIMEOUT_S, self._request.deadline.remaining_s())
         body = exchange.read_body(MAX_ERROR_BYTES, boot_clock.now() + wait_s)
         if isinstance(body, OutcomeUnknown):
             return
-        self._error = _ReplicaError(head, body, replica.id)
-        release(exchange, head)
+        self._kept_error = _ReplicaError(head, body, replica.id)
+        release_connection(exchange, head)
 
-    def _take_refusal(
+    def _handle_refusal(
         self, exchange: Exchange, replica: ChosenReplica, head: AnswerHead
     ) -> AttemptResult:
         if head.misdirected:
--- a/src/quaymill/request/forwarding_result.py
+++ b/src/quaymill/request/forwarding_result.py
@@ -80,6 +80,6 @@
 AttemptResult = Delivered | CallerLeft | Refused | Broken
 
 
-def broken_by(failure: OutcomeUnknown) -> Broken:
+def broken_attempt(failure: OutcomeUnknown) -> Broken:
     """Return the result of an attempt whose exchange failed."""
     return Broken(failure.reason, failure.connection_closed)
--- a/tests/test_answer_buffer.py
+++ b/tests/test_answer_buffer.py
@@ -121,7 +121,7 @@
         )
         writer.name_request("q")
         relay = AnswerRelay(forwarded, ROUTE, writer, lambda: False)
-        relay.pass_on(exchange, mock.Mock(), read_answer_head(exchange))
+        relay.relay_answer(exchange, mock.Mock(), read_answer_head(exchange))
 
     def ask(self) -> socket.socket:
         """Send a request over a connection that takes little by itself."""
--- a/tests/test_slow_replicas.py
+++ b/tests/test_slow_replicas.py
@@ -16,7 +16,7 @@
 from quaymill.process.replica_set.table import ReplicaTable
 from quaymill.request.deadline import Deadline
 from quaymill.request.forwarded_request import ForwardedRequest
-from quaymill.request.forwarding import MIN_SEND_PATIENCE_S, Forwarder
+from quaymill.request.forwarding import MIN_SEND_TIMEOUT_S, Forwarder
 from quaymill.request.forwarding_result import Delivered, GivenUp
 from quaymill.request.presence import CallerPresence
 from quaymill.version.request_routes import RequestRoute, RouteKind, WeightedService
@@ -113,11 +113,11 @@
     def test_another_is_tried_soon(self) -> None:
         result, took_s = self.send(RouteKind.IDEMPOTENT)
         self.assertEqual(Delivered(200, "far"), result)
-        self.assertGreater(took_s, MIN_SEND_PATIENCE_S)
-        self.assertLess(took_s, MIN_SEND_PATIENCE_S + MARGIN_S)
+        self.assertGreater(took_s, MIN_SEND_TIMEOUT_S)
+        self.assertLess(took_s, MIN_SEND_TIMEOUT_S + MARGIN_S)
 
     def test_what_may_not_be_repeated_waits_longer_and_may_have_run(self) -> None:
         result, took_s = self.send(RouteKind.NON_IDEMPOTENT)
         self.assertIsInstance(result, GivenUp)
         self.assertTrue(result.may_have_run)
-        self.assertGreater(took_s, MIN_SEND_PATIENCE_S + MARGIN_S)
+        self.assertGreater(took_s, MIN_SEND_TIMEOUT_S + MARGIN_S)
