--- a/src/quaymill/request/admission.py
+++ b/src/quaymill/request/admission.py
@@ -7,8 +7,8 @@
 from quaymill import boot_clock
 from quaymill.request.outcome import NotRun
 
-SMOOTHING = 0.1
-FIRST_SERVICE_TIME_S = 1.0
+SERVICE_TIME_SMOOTHING = 0.1
+INITIAL_SERVICE_TIME_S = 1.0
 MAX_RETRY_AFTER_S = 30.0
 
 
@@ -22,7 +22,7 @@
     def __init__(self, limit: int) -> None:
         self._limit = limit
         self._in_service = 0
-        self._mean_service_s = FIRST_SERVICE_TIME_S
+        self._mean_service_s = INITIAL_SERVICE_TIME_S
         self._changed = threading.Condition()
 
     @property
@@ -51,7 +51,7 @@
         service_s = boot_clock.now() - started_at
         with self._changed:
             self._in_service -= 1
-            self._mean_service_s += SMOOTHING * (service_s - self._mean_service_s)
+            self._mean_service_s += SERVICE_TIME_SMOOTHING * (service_s - self._mean_service_s)
             self._changed.notify_all()
 
     def wait_until_idle(self, timeout_s: float) -> bool:
--- a/src/quaymill/request/answer_buffer.py
+++ b/src/quaymill/request/answer_buffer.py
@@ -18,21 +18,21 @@
 from eliot import log_message
 
 MEGABYTE = 1024 * 1024
-HELD_SHARE = 1 / 16
+BUFFER_MEMORY_SHARE = 1 / 16
 """Share of the process's memory that may be buffered for slow callers.
 
 The buffers of the HTTP library may take as much again; the rest is needed for requests in service.
 """
-UNKNOWN_MEMORY_BUDGET_BYTES = 16 * MEGABYTE
+DEFAULT_BUDGET_BYTES = 16 * MEGABYTE
 """Budget if the memory of the process is unknown."""
-ONE_ANSWER_SHARE = 1 / 8
+MAX_ANSWER_SHARE = 1 / 8
 """Share of the budget that one answer may take, so that several slow callers fit at once."""
-FULL_ANSWER_PATIENCE_S = 2.0
+FULL_BUFFER_TIMEOUT_S = 2.0
 """How long a caller with a full buffer may read nothing.
 
 The replica's connection is not read meanwhile, and a replica aborts an answer that is not read for
 some seconds."""
-UNREAD_PATIENCE_S = 25.0
+UNREAD_TIMEOUT_S = 25.0
 """How long a caller may read nothing of an answer that has been received completely.
 
 Applies only if the caller's connection has no timeout; the same as for idle connections."""
@@ -57,17 +57,17 @@
 
     def __init__(self, budget_bytes: int) -> None:
         self.budget_bytes = budget_bytes
-        self.one_answer_bytes = int(budget_bytes * ONE_ANSWER_SHARE)
+        self.max_answer_bytes = int(budget_bytes * MAX_ANSWER_SHARE)
         self.held_bytes = 0
         self.ended = 0
         self._lock = threading.Lock()
-        self._open: set[BufferedAnswer] = set()
+        self._with_unread: set[BufferedAnswer] = set()
 
     @classmethod
     def within_memory(cls, memory_mb: float) -> BufferedAnswers:
         """Return an instance with a budget for a process with ``memory_mb`` MB; 0 if unknown."""
-        budget_bytes = int(memory_mb * MEGABYTE * HELD_SHARE)
-        return cls(budget_bytes or UNKNOWN_MEMORY_BUDGET_BYTES)
+        budget_bytes = int(memory_mb * MEGABYTE * BUFFER_MEMORY_SHARE)
+        return cls(budget_bytes or DEFAULT_BUDGET_BYTES)
 
     def add(self, answer: BufferedAnswer, block: bytes | memoryview) -> None:
         """Buffer a block of an answer; end the largest answers while the budget is exceeded.
@@ -81,13 +81,13 @@
             if not answer.ended:
                 answer.unread += block
                 self.held_bytes += len(block)
-                self._open.add(answer)
+                self._with_unread.add(answer)
             while self.held_bytes > self.budget_bytes:
-                largest = max(self._open, key=lambda one: len(one.unread))
+                largest = max(self._with_unread, key=lambda buffered: len(buffered.unread))
                 self._end(largest, "the answer buffer is full, and this answer is the largest")
         answer.raise_if_ended()
 
-    def took(self, answer: BufferedAnswer, sent: int) -> None:
+    def record_sent(self, answer: BufferedAnswer, sent: int) -> None:
         """Record that the first ``sent`` bytes of the buffer have been sent."""
         with self._lock:
             if not answer.ended:
@@ -107,7 +107,7 @@
         del answer.unread[:size]
         self.held_bytes -= size
         if not answer.unread:
-            self._open.discard(answer)
+            self._with_unread.discard(answer)
 
     def _end(self, answer: BufferedAnswer, reason: str) -> None:
         """End an answer, from any thread; the lock must be held."""
@@ -126,7 +126,7 @@
         self._release(answer, len(answer.unread))
         # Wakes the thread that serves the caller. Since some of the answer was still buffered, the
         # connection cannot be in use for a later request.
-        answer.cut()
+        answer.shut_down()
 
 
 class BufferedAnswer:
@@ -141,11 +141,11 @@
         by ``BufferedAnswers``.
     """
 
-    def __init__(self, all_answers: BufferedAnswers, connection: socket.socket) -> None:
+    def __init__(self, buffers: BufferedAnswers, connection: socket.socket) -> None:
         self.request_id = ""
         self.unread = bytearray()
         self.ended = False
-        self._all = all_answers
+        self._buffers = buffers
         self._connection = connection
 
     @property
@@ -164,18 +164,18 @@
             The caller's connection failed.
         """
         self.raise_if_ended()
-        rest: bytes | memoryview = data
+        unsent: bytes | memoryview = data
         if not self.pending:
             sent = self._write(data)
             if sent == len(data):
                 return
-            rest = memoryview(data)[sent:]
-        self._all.add(self, rest)
+            unsent = memoryview(data)[sent:]
+        self._buffers.add(self, unsent)
         self._send_some()
-        while len(self.unread) > self._all.one_answer_bytes:
-            self._wait_or_end(FULL_ANSWER_PATIENCE_S)
+        while len(self.unread) > self._buffers.max_answer_bytes:
+            self._wait_or_end(FULL_BUFFER_TIMEOUT_S)
 
-    def send_held(self, timeout_s: float, beside: int = -1) -> bool:
+    def send_held(self, timeout_s: float, readable: int = -1) -> bool:
         """Send buffered data as soon as the caller accepts some, or return once data can be read.
 
         Parameters
@@ -190,10 +190,10 @@
         descriptor = self._connection.fileno()
         poll = select.poll()
         poll.register(descriptor, select.POLLOUT)
-        if beside >= 0:
-            poll.register(beside, select.POLLIN)
+        if readable >= 0:
+            poll.register(readable, select.POLLIN)
         ready = poll.poll(max(timeout_s, 0.0) * MILLISECONDS)
-        if any(found == descriptor for found, _ in ready):
+        if any(ready_descriptor == descriptor for ready_descriptor, _ in ready):
             self._send_some()
         return bool(ready)
 
@@ -208,15 +208,15 @@
             The caller's connection failed.
         """
         while self.pending:
-            self._wait_or_end(self._connection.gettimeout() or UNREAD_PATIENCE_S)
+            self._wait_or_end(self._connection.gettimeout() or UNREAD_TIMEOUT_S)
         self.raise_if_ended()
 
     def drop(self) -> None:
         """Discard the buffer."""
         if self.pending:
-            self._all.drop(self)
+            self._buffers.drop(self)
 
-    def cut(self) -> None:
+    def shut_down(self) -> None:
         """Shut down the caller's connection."""
         with contextlib.suppress(OSError):
             self._connection.shutdown(socket.SHUT_RDWR)
@@ -226,16 +226,16 @@
         if self.ended:
             raise AnswerEndedError("the answer was ended before its caller had read all of it")
 
-    def _wait_or_end(self, patience_s: float) -> None:
-        if not self.send_held(patience_s):
-            self._all.end(self, f"the caller read nothing for {patience_s:g} s")
+    def _wait_or_end(self, timeout_s: float) -> None:
+        if not self.send_held(timeout_s):
+            self._buffers.end(self, f"the caller read nothing for {timeout_s:g} s")
         self.raise_if_ended()
 
     def _send_some(self) -> None:
         """Send as much as the caller's connection accepts now."""
         while block := bytes(self.unread[:SEND_BYTES]):
             sent = self._write(block)
-            self._all.took(self, sent)
+            self._buffers.record_sent(self, sent)
             if sent < len(block):
                 return
 
--- a/src/quaymill/request/answer_relay.py
+++ b/src/quaymill/request/answer_relay.py
@@ -41,7 +41,7 @@
     def write(self, block: bytes) -> None:
         """Send a block of the body."""
 
-    def send_held(self, timeout_s: float, beside: int = -1) -> bool:
+    def send_held(self, timeout_s: float, readable: int = -1) -> bool:
         """Send buffered data; return early once the descriptor ``readable`` has data to read."""
 
     def abort(self) -> None:
@@ -130,7 +130,7 @@
         resumable = self._route.resumable
         self._framer.rest = b""
         while True:
-            block = self._read_block(exchange, self._gap_patience_s())
+            block = self._read_block(exchange, self._gap_timeout_s())
             if isinstance(block, OutcomeUnknown):
                 return broken_attempt(block)
             replica.hear()
@@ -148,16 +148,16 @@
             self._answer.start(head.status, head.reason, head.headers)
         return Delivered(head.status, replica.id)
 
-    def _read_block(self, exchange: Exchange, patience_s: float) -> bytes | OutcomeUnknown:
+    def _read_block(self, exchange: Exchange, timeout_s: float) -> bytes | OutcomeUnknown:
         """Read the next block; while waiting for it, send buffered data to the caller."""
-        until = boot_clock.now() + patience_s
+        give_up_at = boot_clock.now() + timeout_s
         while self._answer.pending and not exchange.has_arrived():
-            if not self._answer.send_held(until - boot_clock.now(), exchange.descriptor):
+            if not self._answer.send_held(give_up_at - boot_clock.now(), exchange.descriptor):
                 break
-        exchange.set_read_timeout(until - boot_clock.now())
+        exchange.set_read_timeout(give_up_at - boot_clock.now())
         return exchange.read_block()
 
-    def _gap_patience_s(self) -> float:
+    def _gap_timeout_s(self) -> float:
         remaining_s = self._request.deadline.remaining_s()
         return min(remaining_s, EVENT_GAP_PATIENCE_S) if self._may_try_another() else remaining_s
 
--- a/src/quaymill/request/attempt.py
+++ b/src/quaymill/request/attempt.py
@@ -67,13 +67,13 @@
         service: str,
         request_id: str,
         presence: CallerPresence,
-        waiting_room: ServiceQueue,
+        service_queue: ServiceQueue,
         prefix_key: str = "",
         repeatable: bool = True,
     ) -> None:
         self.deadline = deadline
         self.presence = presence
-        self._waiting_room = waiting_room
+        self._service_queue = service_queue
         self._chooser = chooser
         self._budget = budget
         self._service = service
@@ -81,7 +81,7 @@
         self._prefix_key = prefix_key
         self._repeatable = repeatable
         self._excluded: frozenset[str] = frozenset()
-        self._made = 0
+        self._attempt_count = 0
         self._failure: Failure | None = None
 
     def run(self, send_once: SendOnce[Answer], *, progressed: bool = False) -> Answer | Failure:
@@ -101,30 +101,30 @@
             The caller has disconnected; no further attempt is made.
         """
         free_retry = progressed
-        while self._made < MAX_ATTEMPTS:
-            if self._made > 0 and not free_retry and not self._budget.take_retry():
+        while self._attempt_count < MAX_ATTEMPTS:
+            if self._attempt_count > 0 and not free_retry and not self._budget.take_retry():
                 break
             free_retry = False
             if self.presence.interrupted:
-                self._note(_node_stops())
+                self._merge_failure(_node_stopping())
                 break
             if self.deadline.passed():
-                self._note(_deadline_passed())
+                self._merge_failure(_deadline_passed())
                 break
-            replica = self._choose()
+            replica = self._choose_replica()
             if isinstance(replica, NotRun) and replica.status == 429:
-                replica = self._waiting_room.wait_for_capacity(
-                    self._choose, self.deadline, self.presence
+                replica = self._service_queue.wait_for_capacity(
+                    self._choose_replica, self.deadline, self.presence
                 )
             if isinstance(replica, NotRun):
-                self._note(replica)
+                self._merge_failure(replica)
                 break
             result = self._attempt(replica, send_once)
             if not isinstance(result, NotRun | OutcomeUnknown | Failed):
                 return result
             if self.presence.gone:
                 raise CallerGoneError
-            if not self._may_follow(result):
+            if not self._may_retry(result):
                 break
         return self._failure
 
@@ -134,18 +134,18 @@
             return
         self._chooser.record_failure(replica, failure)
         self._excluded |= {replica.name}
-        self._note(failure)
+        self._merge_failure(failure)
 
     def end(self, replica: Replica, ticket: int) -> None:
         """Stop counting an attempt at its replica, and wake the queued requests."""
         replica.end(ticket)
-        self._waiting_room.record_end()
+        self._service_queue.record_end()
 
-    def _choose(self) -> Replica | NotRun:
+    def _choose_replica(self) -> Replica | NotRun:
         return self._chooser.choose(self._service, self._prefix_key, self._excluded)
 
     def _attempt(self, replica: Replica, send_once: SendOnce[Answer]) -> Answer | Failure:
-        self._made += 1
+        self._attempt_count += 1
         attempt_id = f"{self._request_id}.{secrets.token_hex(ATTEMPT_ID_BYTES)}"
         with start_action(
             action_type="request:attempt",
@@ -163,19 +163,19 @@
                 )
                 self._chooser.record_failure(replica, result)
                 self._excluded |= {replica.name}
-                self._note(result)
+                self._merge_failure(result)
             else:
                 self._chooser.record_success(replica, boot_clock.now() - sent_at)
         return result
 
-    def _may_follow(self, failure: Failure) -> bool:
+    def _may_retry(self, failure: Failure) -> bool:
         if isinstance(failure, NotRun):
             return True
         if isinstance(failure, Failed) and failure.status < 500 and failure.status != 429:
             return False
         return self._repeatable
 
-    def _note(self, failure: Failure) -> None:
+    def _merge_failure(self, failure: Failure) -> None:
         self._failure = merge_failures(self._failure, failure)
 
 
@@ -197,7 +197,7 @@
     return later
 
 
-def _node_stops() -> NotRun:
+def _node_stopping() -> NotRun:
     return NotRun(503, "the node stops", "send the request to another node", 1.0)
 
 
--- a/src/quaymill/request/dispatch_order.py
+++ b/src/quaymill/request/dispatch_order.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-WAIT_UNSURE_ENDS = 0.5
+WAIT_MARGIN_COMPLETIONS = 0.5
 """Safety margin on the expected wait, as a multiple of the mean time between two completions.
 
 From 1.0 on, requests would be queued that a single completion would serve in time."""
@@ -39,16 +39,16 @@
 
 def expected_wait_s(engine: EngineState) -> float:
     """Return the expected wait for a slot, in seconds, of a request that arrives now."""
-    ahead = engine.load - engine.slots + 1
-    return max(0.0, ahead) * _between_ends_s(engine)
+    requests_ahead = engine.load - engine.slots + 1
+    return max(0.0, requests_ahead) * _completion_interval_s(engine)
 
 
 def may_dispatch(engine: EngineState, target_at: float, now: float) -> bool:
     """Return whether a slot is free, or the request meets its target even if it waits for one."""
     if engine.load < engine.slots:
         return True
-    unsure_s = WAIT_UNSURE_ENDS * _between_ends_s(engine)
-    return now + expected_wait_s(engine) + unsure_s + engine.first_byte_s <= target_at
+    margin_s = WAIT_MARGIN_COMPLETIONS * _completion_interval_s(engine)
+    return now + expected_wait_s(engine) + margin_s + engine.first_byte_s <= target_at
 
 
 def dispatch_order(
@@ -70,5 +70,5 @@
     return is_late, rank, start_tag, came_at
 
 
-def _between_ends_s(engine: EngineState) -> float:
+def _completion_interval_s(engine: EngineState) -> float:
     return engine.service_s / engine.slots
--- a/src/quaymill/request/event_stream.py
+++ b/src/quaymill/request/event_stream.py
@@ -47,12 +47,12 @@
         return events
 
     def _later_events(self, events: bytes) -> bytes:
-        kept = []
+        later = []
         for event in events.split(EVENT_END)[:-1]:
             found = _ID_LINE.search(event)
             if found is None or is_later(found[1].decode(), self.last_id or ""):
-                kept.append(event + EVENT_END)
-        return b"".join(kept)
+                later.append(event + EVENT_END)
+        return b"".join(later)
 
 
 def is_later(event_id: str, other_id: str) -> bool:
--- a/src/quaymill/request/fair_shares.py
+++ b/src/quaymill/request/fair_shares.py
@@ -39,8 +39,8 @@
     def take_back(self, tenant: str | None) -> None:
         """Undo ``start_tag`` for a request that will not be served."""
         if tenant in self._next_tag_by_tenant:
-            following = self._next_tag_by_tenant[tenant] - 1.0
-            self._next_tag_by_tenant[tenant] = max(self._virtual_time, following)
+            next_tag = self._next_tag_by_tenant[tenant] - 1.0
+            self._next_tag_by_tenant[tenant] = max(self._virtual_time, next_tag)
 
     def _forget_idle(self) -> None:
         self._next_tag_by_tenant = {
--- a/src/quaymill/request/first_byte_wait.py
+++ b/src/quaymill/request/first_byte_wait.py
@@ -14,7 +14,7 @@
 FIRST_BYTE_PATIENCE_BUSY_S = 10.0
 
 
-class WaitedReplica(Protocol):
+class AwaitedReplica(Protocol):
     """The part of a replica's interface that the wait uses."""
 
     @property
@@ -26,7 +26,7 @@
 
 
 def wait_for_first_byte(
-    exchange: Exchange, replica: WaitedReplica, deadline: Deadline, *, whole: bool = False
+    exchange: Exchange, replica: AwaitedReplica, deadline: Deadline, *, whole: bool = False
 ) -> OutcomeUnknown | None:
     """Wait until the replica sends something; abandon the exchange if the replica is frozen.
 
@@ -61,7 +61,7 @@
     return None
 
 
-def _is_frozen(replica: WaitedReplica, sent_at: float, waited_s: float, whole: bool) -> bool:
+def _is_frozen(replica: AwaitedReplica, sent_at: float, waited_s: float, whole: bool) -> bool:
     if waited_s < FIRST_BYTE_PATIENCE_S:
         return False
     if not replica.reachable:
--- a/src/quaymill/request/poison.py
+++ b/src/quaymill/request/poison.py
@@ -74,17 +74,17 @@
         Incarnations of replicas that crashed while running it.
     unrelated
         Those that do not count, since the content was served here after they had crashed.
-    last_at
+    last_crash_at
         Monotonic time of the last crash in seconds.
     """
 
     replicas: frozenset[str]
-    excused: frozenset[str]
-    last_at: float
+    unrelated: frozenset[str]
+    last_crash_at: float
 
     @property
     def count(self) -> int:
-        return len(self.replicas - self.excused)
+        return len(self.replicas - self.unrelated)
 
 
 class PoisonRecords:
@@ -109,7 +109,7 @@
         crashes = self._by_content.get(content)
         if crashes is None or not self._is_barred(crashes):
             return 0.0
-        return max(0.0, self._left_s(crashes, now))
+        return max(0.0, self._remaining_s(crashes, now))
 
     def add(self, content: str, incarnation: str, now: float) -> CrashRecord | None:
         """Record a crash; return the changed record, or ``None`` if the crash was known."""
@@ -123,14 +123,14 @@
         with self._lock:
             crashes = self._by_content.get(content)
             if crashes is not None:
-                crashes.excused = crashes.replicas
+                crashes.unrelated = crashes.replicas
 
     def merge(self, records: Iterable[CrashRecord], now: float) -> list[CrashRecord]:
         """Merge records of another gateway; return those that have changed."""
         with self._lock:
-            self._forget(now)
-            changed = [record.content for record in records if self._take(record, now)]
-            self._drop_beyond_bound()
+            self._drop_expired(now)
+            changed = [record.content for record in records if self._merge_one(record, now)]
+            self._drop_excess()
             return [
                 self._record(content, now) for content in changed if content in self._by_content
             ]
@@ -138,13 +138,13 @@
     def records(self, now: float) -> tuple[CrashRecord, ...]:
         """Return all records."""
         with self._lock:
-            self._forget(now)
+            self._drop_expired(now)
             return tuple(self._record(content, now) for content in self._by_content)
 
     def digest(self, now: float) -> int:
         """Return a digest of all crashes; 0 if there are none."""
         with self._lock:
-            self._forget(now)
+            self._drop_expired(now)
             total = 0
             for content, crashes in self._by_content.items():
                 key = f"{content} {' '.join(sorted(crashes.replicas))}"
@@ -165,43 +165,47 @@
     def _is_barred(self, crashes: _Crashes) -> bool:
         return crashes.count >= self._max_crashes
 
-    def _left_s(self, crashes: _Crashes, now: float) -> float:
+    def _remaining_s(self, crashes: _Crashes, now: float) -> float:
         """Return for how many seconds the record is still kept."""
         kept_s = BARRED_S if self._is_barred(crashes) else SUSPECT_S
-        return kept_s - (now - crashes.last_at)
+        return kept_s - (now - crashes.last_crash_at)
 
-    def _take(self, record: CrashRecord, now: float) -> bool:
+    def _merge_one(self, record: CrashRecord, now: float) -> bool:
         """Merge one record; return whether it added a crash."""
         known = self._by_content.get(record.content)
-        before = known.replicas if known else frozenset()
-        taken = _Crashes(
-            before | frozenset(record.incarnations),
-            known.excused if known else frozenset(),
-            max(now - max(0.0, record.age_s), known.last_at if known else -BARRED_S),
+        known_replicas = known.replicas if known else frozenset()
+        merged = _Crashes(
+            known_replicas | frozenset(record.incarnations),
+            known.unrelated if known else frozenset(),
+            max(now - max(0.0, record.age_s), known.last_crash_at if known else -BARRED_S),
         )
-        if taken.replicas == before or self._left_s(taken, now) <= 0:
+        if merged.replicas == known_replicas or self._remaining_s(merged, now) <= 0:
             return False
-        self._by_content[record.content] = taken
+        self._by_content[record.content] = merged
         return True
 
     def _record(self, content: str, now: float) -> CrashRecord:
         crashes = self._by_content[content]
-        age_s = round(now - crashes.last_at, 3)
+        age_s = round(now - crashes.last_crash_at, 3)
         return CrashRecord(content, tuple(sorted(crashes.replicas)), age_s)
 
-    def _forget(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         """Drop expired records."""
         self._by_content = {
             content: crashes
             for content, crashes in self._by_content.items()
-            if self._left_s(crashes, now) > 0
+            if self._remaining_s(crashes, now) > 0
         }
 
-    def _drop_beyond_bound(self) -> None:
+    def _drop_excess(self) -> None:
         """Drop the oldest records above ``MAX_RECORDS``; barred contents are dropped last."""
-        held = self._by_content
-        if len(held) > MAX_RECORDS:
+        by_content = self._by_content
+        if len(by_content) > MAX_RECORDS:
             ranked = sorted(
-                held, key=lambda name: (self._is_barred(held[name]), held[name].last_at)
+                by_content,
+                key=lambda name: (
+                    self._is_barred(by_content[name]),
+                    by_content[name].last_crash_at,
+                ),
             )
-            self._by_content = {content: held[content] for content in ranked[-MAX_RECORDS:]}
+            self._by_content = {content: by_content[content] for content in ranked[-MAX_RECORDS:]}
--- a/src/quaymill/request/presence.py
+++ b/src/quaymill/request/presence.py
@@ -39,8 +39,8 @@
         """Set the function to call when the caller disconnects or the node stops."""
         with self._lock:
             self._cancel = cancel
-            ended = self._gone or self._interrupted
-        if ended:
+            cancel_now = self._gone or self._interrupted
+        if cancel_now:
             cancel()
 
     def detach(self) -> None:
--- a/src/quaymill/request/prompt.py
+++ b/src/quaymill/request/prompt.py
@@ -28,7 +28,7 @@
     parts: tuple[PromptPart, ...] = ()
     model: str = ""
     input_tokens: int = 0
-    most_output_tokens: int = 0
+    max_output_tokens: int = 0
 
     def largest_shared_part(self) -> PromptPart | None:
         """Return the largest part that other requests may share; ``None`` if there is none."""
--- a/src/quaymill/request/relay.py
+++ b/src/quaymill/request/relay.py
@@ -107,12 +107,12 @@
     def __iter__(self) -> Iterator[bytes]:
         while self._current is not None:
             current = self._current
-            yield self._for_caller(current.first_events, current)
+            yield self._record_for_caller(current.first_events, current)
             failure: Failure | None = yield from self._relay_rest(current)
             self._end_current(failure)
             if failure is None or self._presence.gone:
                 return
-            failure = self._reopen(failure)
+            failure = self._resume_stream(failure)
             if failure is not None:
                 self.failure = failure
                 yield self._format_error(failure)
@@ -129,11 +129,11 @@
             events = stream.next_events()
             if isinstance(events, OutcomeUnknown):
                 return events
-            yield self._for_caller(events, current)
+            yield self._record_for_caller(events, current)
         stream.finish()
         return None
 
-    def _for_caller(self, events: bytes, current: OpenStream) -> bytes:
+    def _record_for_caller(self, events: bytes, current: OpenStream) -> bytes:
         """Record events; replace the attempt id and usage in events of a resumed stream."""
         attempt_id = current.attempt_id.encode()
         if attempt_id != self._first_id:
@@ -142,15 +142,15 @@
         self._relayed.add(events)
         return events
 
-    def _reopen(self, failure: OutcomeUnknown) -> Failure | None:
+    def _resume_stream(self, failure: OutcomeUnknown) -> Failure | None:
         """Resume on another replica; return the failure if that is not possible."""
         if self._resume is None:
             return failure
         tokens = self._relayed.tokens()
-        reopened = self._resume(tokens)
-        if isinstance(reopened, NotRun | OutcomeUnknown | Failed):
-            return reopened
-        self._current = reopened
+        resumed = self._resume(tokens)
+        if isinstance(resumed, NotRun | OutcomeUnknown | Failed):
+            return resumed
+        self._current = resumed
         self._resumed_tokens = len(tokens)
         return None
 
--- a/src/quaymill/request/service_queue.py
+++ b/src/quaymill/request/service_queue.py
@@ -34,7 +34,7 @@
         self._limit = limit
         self._changed = threading.Condition()
         self._waiting: deque[object] = deque()
-        self._ended_at: deque[float] = deque()
+        self._end_times: deque[float] = deque()
 
     @property
     def waiting(self) -> int:
@@ -44,8 +44,8 @@
     def record_end(self) -> None:
         """Record that a request of the service has ended, which may have freed a slot."""
         with self._changed:
-            self._ended_at.append(boot_clock.now())
-            self._forget_old_ends()
+            self._end_times.append(boot_clock.now())
+            self._drop_old_end_times()
             self._changed.notify_all()
 
     def wait_for_capacity(
@@ -63,14 +63,14 @@
         """
         ticket = object()
         with self._changed:
-            refusal = self._refuse_wait(deadline)
+            refusal = self._refuse_if_overloaded(deadline)
             if refusal is not None:
                 return refusal
             self._waiting.append(ticket)
-        patience = Deadline.after(min(MAX_WAIT_S, deadline.remaining_s()))
+        wait_deadline = Deadline.after(min(MAX_WAIT_S, deadline.remaining_s()))
         presence.attach(self._wake)
         try:
-            return self._wait(ticket, choose, patience, presence)
+            return self._wait(ticket, choose, wait_deadline, presence)
         finally:
             presence.detach()
             with self._changed:
@@ -81,10 +81,10 @@
         self,
         ticket: object,
         choose: Choose[Choice],
-        patience: Deadline,
+        wait_deadline: Deadline,
         presence: CallerPresence,
     ) -> Choice | NotRun:
-        while not patience.passed():
+        while not wait_deadline.passed():
             if presence.gone:
                 raise CallerGoneError
             if presence.interrupted:
@@ -95,22 +95,22 @@
                     return choice
             with self._changed:
                 # Slots are also freed by requests of other nodes, which only load reports show.
-                self._changed.wait(min(RECHECK_INTERVAL_S, patience.remaining_s()))
+                self._changed.wait(min(RECHECK_INTERVAL_S, wait_deadline.remaining_s()))
         return self._refusal("no replica had a free slot in time")
 
     def _wake(self) -> None:
         with self._changed:
             self._changed.notify_all()
 
-    def _refuse_wait(self, deadline: Deadline) -> NotRun | None:
+    def _refuse_if_overloaded(self, deadline: Deadline) -> NotRun | None:
         if len(self._waiting) >= self._limit:
             return self._refusal(f"{len(self._waiting)} requests are queued already")
-        if self._ended_at and self._likely_wait_s() > min(MAX_WAIT_S, deadline.remaining_s()):
+        if self._end_times and self._expected_wait_s() > min(MAX_WAIT_S, deadline.remaining_s()):
             return self._refusal("the expected wait is too long")
         return None
 
     def _refusal(self, reason: str) -> NotRun:
-        wait_s = min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, self._likely_wait_s()))
+        wait_s = min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, self._expected_wait_s()))
         return NotRun(
             429,
             f"all replicas are at their online limit, and {reason}",
@@ -118,18 +118,18 @@
             wait_s,
         )
 
-    def _likely_wait_s(self) -> float:
+    def _expected_wait_s(self) -> float:
         """Return the expected wait of a new request in seconds, at the recent rate."""
-        self._forget_old_ends()
-        ended_per_s = len(self._ended_at) / RATE_WINDOW_S
-        if ended_per_s == 0.0:
+        self._drop_old_end_times()
+        ends_per_s = len(self._end_times) / RATE_WINDOW_S
+        if ends_per_s == 0.0:
             return MAX_RETRY_AFTER_S
-        return (len(self._waiting) + 1) / ended_per_s
+        return (len(self._waiting) + 1) / ends_per_s
 
-    def _forget_old_ends(self) -> None:
+    def _drop_old_end_times(self) -> None:
         horizon = boot_clock.now() - RATE_WINDOW_S
-        while self._ended_at and self._ended_at[0] < horizon:
-            self._ended_at.popleft()
+        while self._end_times and self._end_times[0] < horizon:
+            self._end_times.popleft()
 
 
 class ServiceQueues:
@@ -138,9 +138,9 @@
     def __init__(self, limit: int) -> None:
         self._limit = limit
         self._lock = threading.Lock()
-        self._rooms: dict[str, ServiceQueue] = {}
+        self._queues: dict[str, ServiceQueue] = {}
 
     def of(self, service: str) -> ServiceQueue:
         """Return the queue of a service."""
         with self._lock:
-            return self._rooms.setdefault(service, ServiceQueue(self._limit))
+            return self._queues.setdefault(service, ServiceQueue(self._limit))
--- a/src/quaymill/request/whole_answer.py
+++ b/src/quaymill/request/whole_answer.py
@@ -55,26 +55,30 @@
 def _merge(whole: dict[str, Any], part: dict[str, Any]) -> None:
     """Merge the fields of a chunk: strings and lists are extended, objects merged recursively."""
     for name, value in part.items():
-        held = whole.get(name)
-        if held is None or name in _KEPT_KEYS:
+        existing = whole.get(name)
+        if existing is None or name in _KEPT_KEYS:
             whole[name] = value
         elif value is None:
             continue
-        elif isinstance(held, str) and isinstance(value, str) and name != "finish_reason":
-            whole[name] = held + value
-        elif isinstance(held, dict) and isinstance(value, dict):
-            _merge(held, value)
-        elif isinstance(held, list) and isinstance(value, list):
-            _merge_list(held, value)
+        elif isinstance(existing, str) and isinstance(value, str) and name != "finish_reason":
+            whole[name] = existing + value
+        elif isinstance(existing, dict) and isinstance(value, dict):
+            _merge(existing, value)
+        elif isinstance(existing, list) and isinstance(value, list):
+            _merge_list(existing, value)
         else:
             whole[name] = value
 
 
-def _merge_list(held: list[Any], value: list[Any]) -> None:
+def _merge_list(existing: list[Any], value: list[Any]) -> None:
     """Append elements; those with the same ``index`` (tool calls) are merged."""
-    by_index = {one["index"]: one for one in held if isinstance(one, dict) and "index" in one}
-    for one in value:
-        if isinstance(one, dict) and one.get("index") in by_index:
-            _merge(by_index[one["index"]], one)
+    by_index = {
+        element["index"]: element
+        for element in existing
+        if isinstance(element, dict) and "index" in element
+    }
+    for element in value:
+        if isinstance(element, dict) and element.get("index") in by_index:
+            _merge(by_index[element["index"]], element)
         else:
-            held.append(one)
+            existing.append(element)
--- a/tests/test_answer_buffer.py
+++ b/tests/test_answer_buffer.py
@@ -204,12 +204,12 @@
     def test_it_waits_for_its_caller_for_a_while(self) -> None:
         caller = self.ask()
         self.wait_until(
-            lambda: self.held.held_bytes > self.held.one_answer_bytes, "as much as may be is held"
+            lambda: self.held.held_bytes > self.held.max_answer_bytes, "as much as may be is held"
         )
         self.assert_whole(self.read_all(caller))
 
     def test_caller_that_takes_nothing_is_given_up(self) -> None:
-        with mock.patch.object(answer_buffer, "FULL_ANSWER_PATIENCE_S", 0.2):
+        with mock.patch.object(answer_buffer, "FULL_BUFFER_TIMEOUT_S", 0.2):
             caller = self.ask()
             self.wait_until(lambda: self.held.ended == 1, "the answer is ended")
         self.wait_until(lambda: self.replica.cut_off == 1, "the replica is told")
