--- a/tests/dispatch_player.py
+++ b/tests/dispatch_player.py
@@ -1,10 +1,10 @@
-"""Plays bursts of online requests against the decisions on their turns, in virtual time.
+"""Simulates bursts of online requests in virtual time, to test the dispatch order.
 
-Engines serve a number of requests at once, the rest in the order of arrival. Gateways see the
-engines' loads as they were when they last placed a request or were told, up to 0.25 s ago; the one
-that places knows them. With one line for all, requests wait where loads are known as soon as
-gateways have told them. Half a minute of load takes about a second. Nothing here decides
-who waits: that is the product's own function, or one that is put in its place to be compared.
+An engine serves as many requests at once as it has slots, and the rest in the order of arrival.
+With ``BurstPlayer``, requests are queued at their gateways, which know the engines' loads as of
+their last placement or report, up to 0.25 s ago. With ``PoolQueuePlayer``, they are queued at the
+slot allocator, which knows the loads as soon as gateways report them. Which requests are
+dispatched is decided by the product's functions, or by others given for comparison.
 """
 
 from __future__ import annotations
@@ -32,18 +32,18 @@
 
 @attrs.frozen
 class Burst:
-    """A load: bursts of 2.4 s in every 6 s.
+    """A load with a burst of 2.4 s in every 6 s.
 
     Attributes
     ----------
     high_per_s, low_per_s
-        Requests a second in and between bursts.
+        Requests per second in and between bursts.
     service_s
-        Mean; it spreads by a quarter.
+        Mean service time; the standard deviation is a quarter of it.
     tenants
-        Who send it, all alike; 0 for no tenants.
+        Number of tenants, with equal shares of the load; 0 for none.
     flood_per_s
-        What the first of them sends in bursts beside its part.
+        Additional requests per second of the first tenant during bursts.
     """
 
     high_per_s: float = 430.0
@@ -60,7 +60,13 @@
 
 @attrs.define
 class BurstOutcome:
-    """What callers got; latencies to the first event, in seconds."""
+    """Latencies to the first event in seconds, and counts of late requests.
+
+    Attributes
+    ----------
+    flood, late_of_flood
+        All and late requests of the first tenant.
+    """
 
     latencies_s: list[float] = attrs.field(factory=list)
     late: int = 0
@@ -69,17 +75,17 @@
 
     @property
     def late_share_of_others(self) -> float:
-        """Part of the requests of all but the first tenant that were late."""
+        """Share of late requests among those of all tenants but the first."""
         others = len(self.latencies_s) - self.flood
         return (self.late - self.late_of_flood) / max(1, others)
 
     @property
     def late_share(self) -> float:
-        """Part of the requests that were late."""
+        """Share of late requests."""
         return self.late / max(1, len(self.latencies_s))
 
     def quantile_s(self, part: float) -> float:
-        """Return the latency that so large a part of the requests stays below."""
+        """Return the latency that the given share of the requests stays below."""
         ordered = sorted(self.latencies_s)
         return ordered[min(len(ordered) - 1, int(part * len(ordered)))]
 
@@ -94,7 +100,7 @@
 def newest_first(
     target_at: float, rank: int, came_at: float, first_byte_s: float, now: float, share: float
 ) -> tuple[bool, int, float, float]:
-    """Order what can be in time by its age, the newest first: a way that is not in use."""
+    """Order requests that can be in time by age, the newest first; for comparison only."""
     is_late, rank, share, came_at = dispatch_order(
         target_at, rank, came_at, first_byte_s, now, share
     )
@@ -102,12 +108,12 @@
 
 
 class BurstPlayer:
-    """One play.
+    """Simulates a load whose requests are queued at their gateways.
 
     Parameters
     ----------
     exact
-        Whether gateways see the loads as they are, instead of as they were told.
+        Whether gateways know the current loads instead of the last reported ones.
     """
 
     def __init__(
@@ -133,7 +139,7 @@
         self.outcome = BurstOutcome()
 
     def play(self) -> BurstOutcome:
-        """Play the load to its end, and until what waits is served."""
+        """Simulate the whole load, and serve the requests that are queued at its end."""
         for request in self._arrivals():
             self._push(request.came_at, "arrive", request)
         for gateway in range(self._burst.gateways):
@@ -212,7 +218,7 @@
                 self._send(request, now)
 
     def _send(self, request: _Request, now: float) -> None:
-        """Place a request by what is true now; its gateway sees the loads with the answer."""
+        """Place a request by the current loads, which its gateway receives with the answer."""
         loads = self._loads()
         self._views[request.gateway] = loads
         self._start_at((request, self._least(loads)), now)
@@ -252,10 +258,10 @@
         self._release(gateway, now)
 
     def _end_told(self, engine: int, now: float) -> None:
-        """Only a line is told of ends by message."""
+        """Do nothing: only the slot allocator receives completions by message."""
 
     def _call_last(self, ticket: str, now: float) -> None:
-        """A gateway alone looks at its last calls itself."""
+        """Do nothing: a gateway checks dispatch deadlines with its other decisions."""
 
     def _told(self, gateway: int, now: float) -> None:
         self._views[gateway] = self._loads()
@@ -264,9 +270,9 @@
 
 
 class LinePlayer(BurstPlayer):
-    """One play in which whatever must wait does so in the keeper's line.
+    """Simulates a load whose requests are queued at the slot allocator.
 
-    The keeper hears of the end of a request by a message, and a turn is another one.
+    Completions and slot grants are messages, which take some time.
     """
 
     def __init__(self, burst: Burst, seed: int) -> None:
@@ -316,10 +322,10 @@
         self._give(now, TURN_S)
 
     def _call_last(self, ticket: str, now: float) -> None:
-        """Let a request go whose time is nearly over, if it waits yet."""
+        """Dispatch a request at its dispatch deadline if it is still queued."""
         for waiter in self._line.waiters():
             if waiter.ticket == ticket:
                 self._go(waiter, now)
 
     def _told(self, gateway: int, now: float) -> None:
-        """Nobody goes by a view here."""
+        """Do nothing: gateways do not use their views of the loads here."""
--- a/tests/test_answer_buffer.py
+++ b/tests/test_answer_buffer.py
@@ -1,4 +1,4 @@
-"""Callers that read an answer slower than its replica sends it, over real connections."""
+"""Callers that read an answer more slowly than its replica sends it, over real connections."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 def body_of(answer: bytes) -> bytes:
-    """Return the body of a whole answer that came in chunks."""
+    """Return the body of a complete chunked answer."""
     lines = io.BytesIO(answer.partition(b"\r\n\r\n")[2])
     parts: list[bytes] = []
     while size := int(lines.readline(), 16):
@@ -51,9 +51,9 @@
     Attributes
     ----------
     sent_after_s
-        How long each answer took until all of it was sent.
+        Time that it took to send each answer completely.
     cut_off
-        Answers that were given up on the other side.
+        Number of answers whose connection was closed by the gateway.
     """
 
     def __init__(self, answer_bytes: int) -> None:
@@ -93,7 +93,7 @@
 
 
 class SlowReaderCase(unittest.TestCase):
-    """A server whose handler relays the replica's answer."""
+    """A server whose handler relays the answer of a streaming replica."""
 
     budget_bytes = 16 * MEGABYTE
     answer_bytes = ANSWER_BYTES
@@ -124,7 +124,7 @@
         relay.relay_answer(exchange, mock.Mock(), read_answer_head(exchange))
 
     def ask(self) -> socket.socket:
-        """Send a request over a connection that takes little by itself."""
+        """Send a request over a connection with a small receive buffer."""
         connection = socket.socket()
         connection.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         connection.settimeout(WAIT_S)
@@ -134,7 +134,7 @@
         return connection
 
     def read_all(self, connection: socket.socket) -> bytes:
-        """Return all that comes until the end of the connection."""
+        """Return everything received until the end of the connection."""
         received = bytearray()
         while block := connection.recv(65536):
             received += block
@@ -152,11 +152,11 @@
 
 
 class SlowReaderTest(SlowReaderCase):
-    """One caller."""
+    """A single slow caller."""
 
     def test_caller_that_reads_nothing_for_seconds_gets_the_whole_answer(self) -> None:
         caller = self.ask()
-        time.sleep(SILENCE_S)  # How long the caller reads nothing is what is tested.
+        time.sleep(SILENCE_S)  # The caller reads nothing during this time.
         self.assertEqual(1, len(self.replica.sent_after_s), "the replica has sent all")
         self.assertLess(self.replica.sent_after_s[0], SOON_S)
         self.assertGreater(self.held.held_bytes, self.answer_bytes // 2)
@@ -175,7 +175,7 @@
         add.assert_not_called()
 
     def answer_is_short(self) -> None:
-        """Let the replica's answer fit into what connections take by themselves."""
+        """Make the replica's answer fit into the buffers of the connections."""
         self.answer_bytes = 64 * 1024
         self.replica = StreamingReplica(self.answer_bytes)
         self.addCleanup(self.replica.close)
@@ -196,7 +196,7 @@
 
 
 class LongAnswerTest(SlowReaderCase):
-    """An answer that is longer than what may be held of one."""
+    """An answer that is larger than the buffer of one answer may be."""
 
     budget_bytes = 4 * MEGABYTE
     answer_bytes = 24 * MEGABYTE
@@ -204,7 +204,8 @@
     def test_it_waits_for_its_caller_for_a_while(self) -> None:
         caller = self.ask()
         self.wait_until(
-            lambda: self.held.held_bytes > self.held.max_answer_bytes, "as much as may be is held"
+            lambda: self.held.held_bytes > self.held.max_answer_bytes,
+            "the answer's buffer is full",
         )
         self.assert_whole(self.read_all(caller))
 
@@ -212,7 +213,7 @@
         with mock.patch.object(answer_buffer, "FULL_BUFFER_TIMEOUT_S", 0.2):
             caller = self.ask()
             self.wait_until(lambda: self.held.ended == 1, "the answer is ended")
-        self.wait_until(lambda: self.replica.cut_off == 1, "the replica is told")
+        self.wait_until(lambda: self.replica.cut_off == 1, "the replica's connection is closed")
         self.assertEqual(0, self.held.held_bytes)
         self.assertFalse(self.read_all(caller).endswith(END_MARK))
 
@@ -232,10 +233,10 @@
             seen.append(self.held.held_bytes)
             return self.held.ended > 0 and len(self.replica.sent_after_s) >= self.callers - 5
 
-        self.wait_until(settled, "the budget is used up, and replicas have sent")
+        self.wait_until(settled, "the budget is exceeded, and most answers are sent")
         fast = self.ask()
         self.assert_whole(self.read_all(fast))
-        # Whatever this machine is busy with: it was served while the others still took nothing.
+        # Shows, independent of this machine's speed, that it was served while others read nothing.
         self.assertGreater(self.held.held_bytes, 0)
         answers = [self.read_all(one) for one in slow]
         whole = [answer for answer in answers if answer.endswith(END_MARK)]
@@ -248,7 +249,7 @@
 
 
 class SwitchTest(unittest.TestCase):
-    """What is held is bounded by the memory; it is on where the rules in force say so."""
+    """Buffering is on if the contract says so, and its budget follows from the memory."""
 
     @params(("base,pressure,batch", True), ("base,batch", False), ("", False))
     def test_switch(self, contracts: str, on: bool) -> None:
--- a/tests/test_dispatch_order.py
+++ b/tests/test_dispatch_order.py
@@ -1,4 +1,4 @@
-"""Turns of online requests: the decisions by themselves, and what callers get of them in bursts."""
+"""Dispatch order of online requests: single decisions, and the latencies they give in bursts."""
 
 from __future__ import annotations
 
@@ -18,13 +18,14 @@
 SLOTS = 4
 SERVICE_S = 0.8
 ABOVE = Burst()
-"""1.27 times what 45 engines of 6 slots serve, in its bursts."""
+"""Bursts of 1.27 times the capacity of 45 engines with 6 slots."""
 BELOW = Burst(service_s=0.72)
+"""Bursts of 1.15 times the capacity, since each request is served faster."""
 CALM = Burst(high_per_s=200.0)
 TENANTS = Burst(tenants=70, high_per_s=170.0, engines=23, slots=8)
-"""In its bursts 23 engines of 8 slots serve 1.35 times as much."""
+"""Load of 70 tenants; 23 engines with 8 slots can serve 1.35 times its bursts."""
 FLOODED = attrs.evolve(TENANTS, flood_per_s=100.0)
-"""1.17 times what they serve, all of what is new from one of 70 tenants."""
+"""The same load with additional requests of one tenant: 1.17 times the capacity."""
 FLOODED_ABOVE = attrs.evolve(FLOODED, high_per_s=260.0)
 
 
@@ -33,23 +34,23 @@
 
 
 def up_to_the_last_moment(state: EngineState, target_at: float, now: float) -> bool:
-    """Let go whatever may just be in time."""
+    """Dispatch every request that is expected to be in time, without a safety margin."""
     return (
         state.load < state.slots or now + expected_wait_s(state) + state.first_byte_s <= target_at
     )
 
 
 class DecisionTest(unittest.TestCase):
-    """One request, one look."""
+    """Decisions on single requests at one point in time."""
 
     @params(
         ("a slot is free", 3, 0.0, True),
         ("a slot is free, late already", 3, -5.0, True),
-        ("the next end is soon enough", 4, 0.4, True),
-        ("soon enough, but not surely", 4, 0.34, False),
+        ("the next completion is soon enough", 4, 0.4, True),
+        ("soon enough, but within the margin", 4, 0.34, False),
         ("too late", 4, 0.2, False),
         ("two ahead", 5, 0.4, False),
-        ("two ahead, time enough", 5, 0.6, True),
+        ("two ahead, enough time", 5, 0.6, True),
     )
     def test_may_go(self, _, load, left_s, expected) -> None:
         self.assertIs(expected, may_dispatch(engine(load), 100.0 + left_s, 100.0))
@@ -82,11 +83,11 @@
 
 
 class BurstTest(unittest.TestCase):
-    """What callers get; before is what is let go up to the last moment."""
+    """Fewer requests are late than if requests were dispatched without a safety margin."""
 
     @params(
-        ("above what is served", ABOVE, 0.24, 0.18),
-        ("just below it", BELOW, 0.11, 0.095),
+        ("above capacity", ABOVE, 0.24, 0.18),
+        ("closer to capacity", BELOW, 0.11, 0.095),
     )
     def test_more_are_in_time(self, _, burst, before, most) -> None:
         first = BurstPlayer(burst, 1, up_to_the_last_moment).play().late_share
@@ -106,13 +107,13 @@
 
 
 class LineTest(unittest.TestCase):
-    """What callers get where all wait in one line, which knows when a slot comes free."""
+    """Fewer requests are late with one queue for all gateways, which knows of every free slot."""
 
     @params(
-        ("above what is served", ABOVE, 0.1),
-        ("just below it", BELOW, 0.05),
+        ("above capacity", ABOVE, 0.1),
+        ("closer to capacity", BELOW, 0.05),
         ("one tenant floods", FLOODED, 0.09),
-        ("one tenant floods, above without it", FLOODED_ABOVE, 0.25),
+        ("one tenant floods, above capacity without it", FLOODED_ABOVE, 0.25),
     )
     def test_fewer_are_late_than_by_views(self, _, burst, most) -> None:
         views = BurstPlayer(burst, 1).play()
--- a/tests/test_poison_load.py
+++ b/tests/test_poison_load.py
@@ -1,10 +1,9 @@
-"""Plays a load with a request that crashes replicas against the memory of crashes.
+"""Simulates a load with a request that crashes replicas, to test the records of crashes.
 
-In virtual time: streams at a steady rate on a few replicas, and one request, sent again and again,
-that ends the replica it comes to, or replicas that end for other reasons. A crash cuts all that
-ran there; each caller that was cut sends again, as often as it may. The player takes replicas at
-random among those that serve, and has a crashed one back after some seconds. Whether a request
-may run is the product's decision.
+In virtual time, streams run at a constant rate on a few replicas. One request is sent repeatedly
+and crashes the replica that runs it; other replicas crash for unrelated reasons. A crash aborts
+all streams of the replica, and their callers retry. Replicas are chosen at random and restart some
+seconds after a crash. ``PoisonRecords`` decides whether a request may run.
 """
 
 from __future__ import annotations
@@ -32,18 +31,18 @@
 
 @attrs.define
 class Outcome:
-    """What callers got.
+    """Results of a simulation.
 
     Attributes
     ----------
     served, lost
-        Streams, the last try included.
+        Streams that were served, and that were not served by any try.
     cut
-        Runs of streams that a crash cut.
+        Runs of streams that a crash aborted.
     refused
-        Streams that were refused since replicas had crashed under them by chance.
+        Streams that were wrongly refused, since replicas happened to crash while running them.
     crashes
-        Replicas that the one request has ended.
+        Replicas that the poisonous request crashed.
     """
 
     served: int = 0
@@ -54,22 +53,22 @@
 
     @property
     def lost_share(self) -> float:
-        """Part of the streams that were not served."""
+        """Share of the streams that were not served."""
         return self.lost / (self.served + self.lost)
 
 
 @attrs.frozen
 class Load:
-    """A load.
+    """Parameters of a simulation.
 
     Attributes
     ----------
     sendings
-        How often the crashing request is sent.
+        How often the poisonous request is sent.
     other_crashes, other_every_s
-        Replicas that end by themselves, and the least and the longest time between two of them.
+        Number of unrelated crashes, and the minimum and maximum time between two of them.
     tries
-        How often a stream is run at most, repeats of its caller and of the gateway together.
+        Maximum number of runs of a stream, including retries of its caller and of the gateway.
     """
 
     sendings: int = 0
@@ -91,7 +90,7 @@
 
 
 class _Player:
-    """One play; events are (time, tie, what to do, with what)."""
+    """One simulation; events are tuples (time, tie-breaker, function, arguments)."""
 
     def __init__(self, seed: int, load: Load, max_crashes: int) -> None:
         self._load = load
@@ -168,30 +167,18 @@
 
 
 def play(seed: int, load: Load = POISONED, max_crashes: int = MAX_CRASHES) -> Outcome:
-    """Play a load once."""
+    """Simulate a load once."""
     return _Player(seed, load, max_crashes).play()
 
 
 def total(load: Load, max_crashes: int, seeds: int = 40) -> Outcome:
-    """Return what some seeds of a load add up to."""
+    """Return the sum of the outcomes of a load over several seeds."""
     plays = [attrs.astuple(play(seed, load, max_crashes)) for seed in range(seeds)]
     return Outcome(*(sum(column) for column in zip(*plays, strict=True)))
 
 
 class PoisonLoadTest(unittest.TestCase):
-    """What the callers of other requests get.
-
-    Of 83,986 streams in 40 plays, without the memory, with one crash fewer, and as it is:
-
-    ==================  ==============  ==============  ==============
-    load                no limit        2 crashes       3 crashes
-    ==================  ==============  ==============  ==============
-    poisoned: cut       5,843           391             644
-    poisoned: lost      695             9               19
-    flapping: refused   0               997             69
-    both: lost          15,203          5,542           7,140
-    ==================  ==============  ==============  ==============
-    """
+    """The poisonous request is stopped, and other requests are rarely lost or refused."""
 
     @params(*range(1, 9))
     def test_crashes_end_and_others_are_served(self, seed: int) -> None:
--- a/tests/test_poison_records.py
+++ b/tests/test_poison_records.py
@@ -1,4 +1,4 @@
-"""What is remembered of requests under which replicas crashed, with time as a parameter."""
+"""Records of crashes by request content: when a content is refused, and how records merge."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def records_with(content: str, crashes: int, now: float = 0.0) -> PoisonRecords:
-    """Return records that know some crashes under a content."""
+    """Return records with the given number of crashes of one content."""
     records = PoisonRecords()
     for replica_id in REPLICAS[:crashes]:
         records.add(content, replica_id, now)
@@ -70,7 +70,7 @@
 
 
 class MergeTest(unittest.TestCase):
-    """Records of several gateways come out alike, whatever the order."""
+    """Merging records of several gateways gives the same result in any order."""
 
     def test_crashes_that_several_gateways_saw_add_up(self) -> None:
         records = records_with("a", 1)
@@ -106,7 +106,7 @@
 
 
 class ContentTest(unittest.TestCase):
-    """What makes two sendings the same request."""
+    """Which requests have the same content digest."""
 
     @params(
         ("a", "POST", "/x/1", b"body"),
--- a/tests/test_relay_faults.py
+++ b/tests/test_relay_faults.py
@@ -1,4 +1,4 @@
-"""Every caller gets the whole answer to its own request, or an explicit error."""
+"""Faulty replicas: every caller gets the whole answer to its own request or an explicit error."""
 
 import threading
 import time
@@ -29,7 +29,7 @@
 
 
 class OneBadReplicaTest(unittest.TestCase):
-    """One of two replicas has a fault: no caller sees it."""
+    """One of two replicas is faulty; every caller still gets a whole answer."""
 
     @classmethod
     def setUpClass(cls):
@@ -123,7 +123,7 @@
 
 
 class AllReplicasBadTest(unittest.TestCase):
-    """Nothing is left to try: the caller is told at once, and truly, and when to come back."""
+    """All replicas are faulty: the caller gets an accurate error at once, with a retry time."""
 
     @classmethod
     def setUpClass(cls):
@@ -182,7 +182,7 @@
             self.assertGreaterEqual(reply.status, 500)
         connection.close()
         attempts = self._drops() - drops_before
-        # 10 in 100 and the first burst of 50, with a little for the floor.
+        # A tenth of the requests, the initial burst of 50, and some for the minimum rate.
         self.assertLess(attempts, requests * 1.1 + 50 + 15)
 
     def _drops(self) -> int:
@@ -190,7 +190,7 @@
 
 
 class PooledConnectionTest(unittest.TestCase):
-    """The replica closes a kept connection just as a request goes out."""
+    """The replica closes an idle connection while a request is being sent on it."""
 
     def test_request_goes_to_the_replica_again(self):
         rig = GatewayRig()
@@ -205,7 +205,7 @@
 
 
 class ZoneCutTest(unittest.TestCase):
-    """The link to one zone is cut under streams."""
+    """The link to one zone fails while streams are running."""
 
     def test_streams_go_on_in_the_other_zone(self):
         rig = GatewayRig(zone="zone-c")
--- a/tests/test_service_queue.py
+++ b/tests/test_service_queue.py
@@ -1,4 +1,4 @@
-"""The queue for replicas at their limit: bounded, in order, and honest about the wait."""
+"""The queue for replicas at their limit: first in, first out, with limits and refusals."""
 
 import threading
 import time
@@ -15,7 +15,7 @@
 
 
 class Replicas:
-    """Free places that a test hands out one by one."""
+    """Slots that a test frees one by one."""
 
     def __init__(self) -> None:
         self.free = 0
@@ -28,14 +28,14 @@
 
 
 class WaitingRoomTest(unittest.TestCase):
-    """Waiters on threads of their own; places come free when the test says so."""
+    """Requests wait on threads of their own until the test frees slots."""
 
     def setUp(self):
         self.replicas = Replicas()
         self.served: list[tuple[int, object]] = []
 
     def start_waiters(self, room: ServiceQueue, count: int, timeout_s: float = 9.0) -> None:
-        """Start waiters one by one, so that their order is known."""
+        """Start queued requests one by one, so that their order is known."""
         for number in range(count):
             waiting = room.waiting
             thread = threading.Thread(target=self._wait, args=(room, number, timeout_s))
@@ -73,7 +73,7 @@
             self.replicas.choose, Deadline.after(60.0), CallerPresence()
         )
         self.assertLess(time.monotonic() - started_at, 0.5)
-        # Ten ended in the last five seconds, so that the fourth has its turn after two.
+        # Ten requests ended in the last 5 s, so the fourth in the queue is served after 2 s.
         self.assertEqual((refusal.status, refusal.retry_after_s), (429, 2.0))
 
     def test_wait_longer_than_the_deadline_is_refused_at_once(self):
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -1,8 +1,6 @@
-"""Kept connections that went silent for good, without a reset, while new ones work.
+"""Idle connections that were silently dropped, without a reset, while new connections work.
 
-Nothing shows it but a request that waits in vain. With eight kept connections to a peer, eight
-calls in a row waited for their whole time-out each; a lease of 2.5 s lapsed meanwhile, and a job
-was given to a second gateway.
+Guards against each of several dropped connections delaying another request by its whole timeout.
 """
 
 from __future__ import annotations
@@ -36,11 +34,11 @@
 
 
 class Done(PeerMessage, frozen=True):
-    """Answer to both."""
+    """Answer to both messages."""
 
 
 class PeerTest(unittest.TestCase):
-    """Eight kept connections to a sound peer, all silent."""
+    """Eight idle connections to a healthy peer, all silently dropped."""
 
     def setUp(self) -> None:
         self.all_are_here = threading.Barrier(KEPT)
@@ -82,7 +80,7 @@
 
 
 class ReplicaTest(unittest.TestCase):
-    """Eight kept connections to a sound replica, all silent."""
+    """Eight idle connections to a healthy replica, all silently dropped."""
 
     def setUp(self) -> None:
         replica = FleetReplica("application-0", "application", "zone", slots=KEPT)
--- a/tests/test_slow_callers.py
+++ b/tests/test_slow_callers.py
@@ -1,4 +1,4 @@
-"""Callers that send slowly, or leave before they are read, at the server of a gateway."""
+"""Callers that send slowly, or disconnect before their request is read, at a gateway's server."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class SlowCallersTest(unittest.TestCase):
-    """A server with few workers."""
+    """A server with few worker threads."""
 
     def setUp(self) -> None:
         self.handled: list[str] = []
@@ -53,7 +53,7 @@
         return connection
 
     def answer_to(self, connection: socket.socket) -> bytes:
-        """Return the body of an answer, which may come after its head."""
+        """Return the body of an answer, which may arrive after its head."""
         with connection.makefile("rb") as lines:
             length = 0
             while (line := lines.readline().strip()) != b"":
--- a/tests/test_slow_replicas.py
+++ b/tests/test_slow_replicas.py
@@ -1,4 +1,4 @@
-"""Replicas that are slow to read a request: given up early where another may be tried."""
+"""A replica that does not read a request is given up early if another may be tried."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class Reader(http.server.BaseHTTPRequestHandler):
-    """Reads each request whole and answers it."""
+    """Reads each request completely and answers it."""
 
     protocol_version = "HTTP/1.1"
 
@@ -41,11 +41,11 @@
         self.wfile.write(b"ok")
 
     def log_message(self, *args) -> None:
-        """Write nothing."""
+        """Log nothing."""
 
 
 class Written:
-    """Takes an answer."""
+    """An ``AnswerWriter`` that collects the body."""
 
     started = False
     pending = False
@@ -64,7 +64,7 @@
 
 
 class SlowReplicaTest(unittest.TestCase):
-    """Two replicas; the one in the own zone takes connections and reads nothing."""
+    """Two replicas; the one in the local zone accepts connections and reads nothing."""
 
     def setUp(self) -> None:
         idle = socket.socket()
@@ -85,7 +85,7 @@
             ],
             1,
         )
-        # A small buffer of our own, so that it is the replica that has to read.
+        # With a small send buffer, sending blocks until the replica reads.
         options = ((socket.SOL_SOCKET, socket.SO_SNDBUF, 16 * 1024),)
         self.forwarder = Forwarder(
             Router(self.table, "near", "seed"),
@@ -94,7 +94,7 @@
         )
 
     def send(self, kind: RouteKind) -> tuple[object, float]:
-        """Send a request; return how it ended, and after how long."""
+        """Send a request; return its result, and after how many seconds it ended."""
         route = RequestRoute(
             "r", "h", "/", kind, (WeightedService(SERVICE, 1.0),), PATIENCE_S, 1.0, max_attempts=2
         )
--- a/tests/test_zone_cut.py
+++ b/tests/test_zone_cut.py
@@ -1,4 +1,4 @@
-"""A zone is cut off without a word: its gateway serves by its own zone's replicas, in time."""
+"""A zone is partitioned: its gateway serves requests in time with the replicas of its own zone."""
 
 from __future__ import annotations
 
@@ -26,10 +26,11 @@
 OBJECTIVE_S = 0.3
 """The callers' shortest objective."""
 KNOWN_AFTER_S = 2 * OBJECTIVE_S
-"""Time from the cut after which each request must be served as if the other zones were not
-there: who was late when it began may try once more."""
+"""Time from the partition after which the other zones must be known as unreachable.
+
+Allows one retry of a request that was late when the partition began."""
 WHOLE_PATIENCE_S = 2.0
-"""The patience with a whole answer: eight times half of the route's objective (0.5 s)."""
+"""Timeout for the first byte: eight times half of the route's objective (0.5 s)."""
 GONE_ON_WITHIN_S = WHOLE_PATIENCE_S / 2
 SERVICE_S = 0.2
 BROKEN_OFF = 0
@@ -41,7 +42,7 @@
 
 @attrs.frozen
 class Served:
-    """One request as its caller saw it; times in seconds, ``BROKEN_OFF`` for no whole answer."""
+    """One request as its caller saw it; times in seconds, status ``BROKEN_OFF`` if incomplete."""
 
     request_id: str
     sent_at: float
@@ -52,7 +53,7 @@
 class CutCase(unittest.TestCase):
     """Three zones, each with one gateway, two storage nodes and an engine.
 
-    Packets between the zone that is cut off and the others are dropped: nobody is told.
+    The partition silently drops all packets between one zone and the others.
     """
 
     ZONES_LOST_AT_ONCE = 1
@@ -82,7 +83,7 @@
         return [line["message_type"] for line in self.lines_of(request_id)]
 
     def put_behind_proxy(self, replica: FleetReplica) -> LoopbackProxy:
-        """Let gateways reach a replica by way of a link that can be cut."""
+        """Let gateways connect to a replica through a proxy that can drop all packets."""
         proxy = LoopbackProxy(("127.0.0.1", replica.port))
         self.addCleanup(proxy.stop)
         address = f"127.0.0.1:{proxy.port}"
@@ -98,7 +99,7 @@
 
     @property
     def reach(self) -> Any:
-        """What the gateway of the zone that is cut off knows of zones."""
+        """The zone reachability as known to the gateway of the partitioned zone."""
         return self.rig.gateways[GATEWAY].network.reach
 
     def make_quick(self) -> None:
@@ -106,7 +107,7 @@
             replica.behaviour = QUICK
 
     def cut(self) -> None:
-        """Cut the zone off."""
+        """Partition the zone."""
         for proxy in self.proxies:
             proxy.set_state(LinkState.SILENT)
         nodes: dict[str, GatewayNode | StorageNode] = {**self.rig.gateways, **self.rig.storage}
@@ -124,14 +125,14 @@
             node.network.client._link_filter.set_blocked(frozenset(blocked))
 
     def heal(self) -> None:
-        """Let packets pass again."""
+        """End the partition."""
         for proxy in self.proxies:
             proxy.set_state(LinkState.OPEN)
         for node in (*self.rig.gateways.values(), *self.rig.storage.values()):
             node.network.client._link_filter.set_blocked(frozenset())
 
     def send(self, request_id: str, path: str = "/resumable/x") -> Future[Served]:
-        """Send a request to the gateway of the zone that is cut off."""
+        """Send a request to the gateway of the partitioned zone."""
 
         def ask() -> Served:
             began = time.monotonic()
@@ -144,7 +145,7 @@
         return self.executor.submit(ask)
 
     def send_for(self, for_s: float, name: str) -> list[Future[Served]]:
-        """Send requests at a steady pace."""
+        """Send requests at a constant rate."""
         until = time.monotonic() + for_s
         sent: list[Future[Served]] = []
         while time.monotonic() < until:
@@ -154,7 +155,7 @@
 
 
 class ZoneCutTest(CutCase):
-    """The gateway of a zone that is cut off."""
+    """The gateway of the partitioned zone."""
 
     def test_requests_are_served_in_time_by_the_own_zone(self) -> None:
         self.make_quick()
@@ -171,13 +172,13 @@
         self.assertEqual([], late)
 
     def test_request_that_waits_there_for_its_first_byte_goes_on_at_once(self) -> None:
-        # What the zone's state brings about must not be hidden by the replica's own silence.
+        # The replica's own silence must not end the attempt before the zone's state does.
         patch = mock.patch.object(forwarding, "SILENCE_PATIENCE_S", WHOLE_PATIENCE_S)
         patch.start()
         self.addCleanup(patch.stop)
         own, other = self.applications()
         own.behaviour = other.behaviour = ReplicaBehaviour(answer_s=4.0)
-        # Two keep the own zone's replica busier than the way to another zone costs.
+        # After two requests, the local replica is so loaded that another zone is preferred.
         for name in ("first", "second"):
             self.send(name, "/read/x")
             wait_until(lambda name=name: own.runs_of(name), f"the {name} runs in the own zone")
@@ -197,22 +198,24 @@
         self.assertLess(third.result().took_s, GONE_ON_WITHIN_S)
 
     def applications(self) -> tuple[FleetReplica, FleetReplica]:
-        """Return the application of the zone that is cut off, and that of another."""
+        """Return the application of the partitioned zone, and that of another zone."""
         own, other = sorted(self.rig.of_service("application"), key=lambda one: one.zone != CUT)
         return own, other
 
     def test_healed_cut_is_seen_and_the_others_are_used_again(self) -> None:
         self.make_quick()
         self.cut()
-        for index in range(8):  # More than the own zone's engine takes at once.
+        for index in range(8):  # More than the local engine has slots.
             self.send(f"r-{index}")
         wait_until(
-            lambda: all(self.reach.is_unreachable(zone) for zone in ZONES[1:]), "both are lost"
+            lambda: all(self.reach.is_unreachable(zone) for zone in ZONES[1:]),
+            "both are unreachable",
         )
         self.heal()
         began = time.monotonic()
         wait_until(
-            lambda: not any(self.reach.is_unreachable(zone) for zone in ZONES), "all are reached"
+            lambda: not any(self.reach.is_unreachable(zone) for zone in ZONES),
+            "all are reachable",
         )
         self.assertLess(time.monotonic() - began, KNOWN_AFTER_S)
         replicas = self.rig.gateways[GATEWAY]._table.of_service("engine")
