--- a/tests/dispatch_player.py
+++ b/tests/dispatch_player.py
@@ -19,15 +19,15 @@
 from quaymill.process.jobs.pool_queue import PoolQueue, QueuedRequest
 from quaymill.request.dispatch_order import EngineState, dispatch_order, may_dispatch
 
-MayGo = Callable[[EngineState, float, float], bool]
+MayDispatch = Callable[[EngineState, float, float], bool]
 Order = Callable[[float, int, float, float, float, float], tuple[bool, int, float, float]]
-TOLD_EVERY_S = 0.25
-PLACING_S = 0.003
-END_TOLD_S = 0.003
-TURN_S = 0.003
+REPORT_INTERVAL_S = 0.25
+PLACEMENT_S = 0.003
+COMPLETION_MESSAGE_S = 0.003
+GRANT_MESSAGE_S = 0.003
 FIRST_BYTE_S = 0.02
-LAST_CALL_S = 3.5
-AFTER_S = 8.0
+DISPATCH_DEADLINE_S = 3.5
+MAX_DRAIN_S = 8.0
 
 
 @attrs.frozen
@@ -84,10 +84,10 @@
         """Share of late requests."""
         return self.late / max(1, len(self.latencies_s))
 
-    def quantile_s(self, part: float) -> float:
+    def quantile_s(self, quantile: float) -> float:
         """Return the latency that the given share of the requests stays below."""
         ordered = sorted(self.latencies_s)
-        return ordered[min(len(ordered) - 1, int(part * len(ordered)))]
+        return ordered[min(len(ordered) - 1, int(quantile * len(ordered)))]
 
 
 @attrs.frozen
@@ -120,7 +120,7 @@
         self,
         burst: Burst,
         seed: int,
-        decide: MayGo = may_dispatch,
+        decide: MayDispatch = may_dispatch,
         order: Order = dispatch_order,
         *,
         exact: bool = False,
@@ -133,9 +133,9 @@
         self._events: list[tuple[float, int, str, object]] = []
         self._number = 0
         self._running = [0] * burst.engines
-        self._queues: list[list[_Request]] = [[] for _ in range(burst.engines)]
+        self._engine_queues: list[list[_Request]] = [[] for _ in range(burst.engines)]
         self._views = [[0] * burst.engines for _ in range(burst.gateways)]
-        self._held: list[list[_Request]] = [[] for _ in range(burst.gateways)]
+        self._gateway_queues: list[list[_Request]] = [[] for _ in range(burst.gateways)]
         self.outcome = BurstOutcome()
 
     def play(self) -> BurstOutcome:
@@ -143,25 +143,25 @@
         for request in self._arrivals():
             self._push(request.came_at, "arrive", request)
         for gateway in range(self._burst.gateways):
-            self._push(self._random.random() * TOLD_EVERY_S, "told", gateway)
+            self._push(self._random.random() * REPORT_INTERVAL_S, "report", gateway)
         handlers = {
             "arrive": self._arrive,
             "end": self._end,
-            "end told": self._end_told,
-            "turn": self._start_at,
-            "last call": self._call_last,
-            "told": self._told,
+            "completion report": self._receive_completion,
+            "grant": self._start_or_enqueue,
+            "dispatch deadline": self._dispatch_at_deadline,
+            "report": self._receive_report,
         }
         while self._events:
-            now, _, kind, what = heapq.heappop(self._events)
-            if now > self._burst.length_s + AFTER_S:
+            now, _, kind, target = heapq.heappop(self._events)
+            if now > self._burst.length_s + MAX_DRAIN_S:
                 break
-            handlers[kind](what, now)
+            handlers[kind](target, now)
         return self.outcome
 
     def _arrivals(self) -> list[_Request]:
         burst = self._burst
-        found = []
+        requests = []
         at = 0.0
         while at < burst.length_s:
             in_burst = at % 6.0 >= 3.6
@@ -169,70 +169,76 @@
             flood_per_s = burst.flood_per_s if in_burst else 0.0
             at += self._random.expovariate(per_s + flood_per_s)
             gateway = self._random.randrange(burst.gateways)
-            found.append(_Request(at, gateway, self._sender(flood_per_s / (per_s + flood_per_s))))
-        return found
+            requests.append(
+                _Request(at, gateway, self._choose_tenant(flood_per_s / (per_s + flood_per_s)))
+            )
+        return requests
 
-    def _sender(self, flood_share: float) -> int:
+    def _choose_tenant(self, flood_share: float) -> int:
         tenants = self._burst.tenants
         if not tenants or self._random.random() < flood_share:
             return 0
         return self._random.randrange(tenants)
 
-    def _push(self, at: float, kind: str, what: object) -> None:
+    def _push(self, at: float, kind: str, target: object) -> None:
         self._number += 1
-        heapq.heappush(self._events, (at, self._number, kind, what))
+        heapq.heappush(self._events, (at, self._number, kind, target))
 
     def _loads(self) -> list[int]:
-        waiting = (len(queue) for queue in self._queues)
-        return [count + more for count, more in zip(self._running, waiting, strict=True)]
+        waiting = (len(queue) for queue in self._engine_queues)
+        return [
+            count + queued_count for count, queued_count in zip(self._running, waiting, strict=True)
+        ]
 
     def _arrive(self, request: _Request, now: float) -> None:
-        if not self._held[request.gateway] and self._may_go(request, 0, now):
+        if not self._gateway_queues[request.gateway] and self._may_dispatch(request, 0, now):
             self._send(request, now)
             return
-        self._held[request.gateway].append(request)
-        self._release(request.gateway, now)
+        self._gateway_queues[request.gateway].append(request)
+        self._dispatch_queued(request.gateway, now)
 
-    def _may_go(self, request: _Request, going: int, now: float) -> bool:
-        if now - request.came_at >= LAST_CALL_S:
+    def _may_dispatch(self, request: _Request, dispatched: int, now: float) -> bool:
+        if now - request.came_at >= DISPATCH_DEADLINE_S:
             return True
         burst = self._burst
         loads = self._loads() if self._exact else self._views[request.gateway]
-        load = min(loads) + going
+        load = min(loads) + dispatched
         engine = EngineState(load, burst.slots, burst.service_s, FIRST_BYTE_S)
         return self._decide(engine, request.came_at + burst.objective_s, now)
 
-    def _release(self, gateway: int, now: float) -> None:
+    def _dispatch_queued(self, gateway: int, now: float) -> None:
         objective_s = self._burst.objective_s
         ordered = sorted(
-            self._held[gateway],
-            key=lambda one: self._order(
-                one.came_at + objective_s, 0, one.came_at, FIRST_BYTE_S, now, 0.0
+            self._gateway_queues[gateway],
+            key=lambda queued: self._order(
+                queued.came_at + objective_s, 0, queued.came_at, FIRST_BYTE_S, now, 0.0
             ),
         )
-        going = 0
+        dispatched = 0
         for request in ordered:
-            if self._may_go(request, going, now):
-                going += 1
-                self._held[gateway].remove(request)
+            if self._may_dispatch(request, dispatched, now):
+                dispatched += 1
+                self._gateway_queues[gateway].remove(request)
                 self._send(request, now)
 
     def _send(self, request: _Request, now: float) -> None:
         """Place a request by the current loads, which its gateway receives with the answer."""
         loads = self._loads()
         self._views[request.gateway] = loads
-        self._start_at((request, self._least(loads)), now)
+        self._start_or_enqueue((request, self._least_loaded(loads)), now)
 
-    def _least(self, loads: list[int]) -> int:
+    def _least_loaded(self, loads: list[int]) -> int:
         least = min(loads)
-        return self._random.choice([one for one, load in enumerate(loads) if load == least])
+        return self._random.choice(
+            [engine_index for engine_index, load in enumerate(loads) if load == least]
+        )
 
-    def _start_at(self, what: tuple[_Request, int], now: float) -> None:
-        request, engine = what
+    def _start_or_enqueue(self, target: tuple[_Request, int], now: float) -> None:
+        request, engine = target
         if self._running[engine] < self._burst.slots:
-            self._start(request, engine, now + PLACING_S)
+            self._start(request, engine, now + PLACEMENT_S)
         else:
-            self._queues[engine].append(request)
+            self._engine_queues[engine].append(request)
 
     def _start(self, request: _Request, engine: int, now: float) -> None:
         self._running[engine] += 1
@@ -247,29 +253,29 @@
         served_s = max(0.25 * service_s, self._random.gauss(service_s, 0.25 * service_s))
         self._push(now + served_s, "end", (engine, request.gateway))
 
-    def _end(self, what: tuple[int, int], now: float) -> None:
-        engine, gateway = what
+    def _end(self, target: tuple[int, int], now: float) -> None:
+        engine, gateway = target
         self._running[engine] -= 1
-        if self._queues[engine]:
-            self._start(self._queues[engine].pop(0), engine, now)
-        self._note_end(engine, gateway, now)
+        if self._engine_queues[engine]:
+            self._start(self._engine_queues[engine].pop(0), engine, now)
+        self._report_completion(engine, gateway, now)
 
-    def _note_end(self, engine: int, gateway: int, now: float) -> None:
-        self._release(gateway, now)
+    def _report_completion(self, engine: int, gateway: int, now: float) -> None:
+        self._dispatch_queued(gateway, now)
 
-    def _end_told(self, engine: int, now: float) -> None:
+    def _receive_completion(self, engine: int, now: float) -> None:
         """Do nothing: only the slot allocator receives completions by message."""
 
-    def _call_last(self, ticket: str, now: float) -> None:
+    def _dispatch_at_deadline(self, ticket: str, now: float) -> None:
         """Do nothing: a gateway checks dispatch deadlines with its other decisions."""
 
-    def _told(self, gateway: int, now: float) -> None:
+    def _receive_report(self, gateway: int, now: float) -> None:
         self._views[gateway] = self._loads()
-        self._push(now + TOLD_EVERY_S, "told", gateway)
-        self._release(gateway, now)
+        self._push(now + REPORT_INTERVAL_S, "report", gateway)
+        self._dispatch_queued(gateway, now)
 
 
-class LinePlayer(BurstPlayer):
+class PoolQueuePlayer(BurstPlayer):
     """Simulates a load whose requests are queued at the slot allocator.
 
     Completions and slot grants are messages, which take some time.
@@ -277,7 +283,7 @@
 
     def __init__(self, burst: Burst, seed: int) -> None:
         super().__init__(burst, seed)
-        self._line = PoolQueue()
+        self._pool_queue = PoolQueue()
         self._counted = [0] * burst.engines
         self._request_by_ticket: dict[str, _Request] = {}
 
@@ -291,41 +297,41 @@
             rank=0,
             waited_s=0.0,
             target_in_s=burst.objective_s,
-            dispatch_by_s=LAST_CALL_S,
-            left_s=2 * LAST_CALL_S,
+            dispatch_by_s=DISPATCH_DEADLINE_S,
+            left_s=2 * DISPATCH_DEADLINE_S,
             service_s=burst.service_s,
             first_byte_s=FIRST_BYTE_S,
         )
         self._request_by_ticket[ticket] = request
-        self._line.join(PlaceOnline("", "", "", (), terms=terms), now)
-        self._push(now + LAST_CALL_S, "last call", ticket)
-        self._give(now, 0.0)
+        self._pool_queue.join(PlaceOnline("", "", "", (), terms=terms), now)
+        self._push(now + DISPATCH_DEADLINE_S, "dispatch deadline", ticket)
+        self._grant_slots(now, 0.0)
 
-    def _give(self, now: float, way_s: float) -> None:
-        while len(self._line) and min(self._counted) < self._burst.slots:
-            waiting = self._line.ordered(now)
+    def _grant_slots(self, now: float, message_s: float) -> None:
+        while len(self._pool_queue) and min(self._counted) < self._burst.slots:
+            waiting = self._pool_queue.ordered(now)
             if not waiting:
                 return
-            self._go(waiting[0], now + way_s)
+            self._grant_slot(waiting[0], now + message_s)
 
-    def _go(self, waiter: QueuedRequest, at: float) -> None:
-        self._line.serve(waiter)
-        engine = self._least(self._counted)
+    def _grant_slot(self, queued: QueuedRequest, at: float) -> None:
+        self._pool_queue.serve(queued)
+        engine = self._least_loaded(self._counted)
         self._counted[engine] += 1
-        self._push(at, "turn", (self._request_by_ticket[waiter.ticket], engine))
+        self._push(at, "grant", (self._request_by_ticket[queued.ticket], engine))
 
-    def _note_end(self, engine: int, gateway: int, now: float) -> None:
-        self._push(now + END_TOLD_S, "end told", engine)
+    def _report_completion(self, engine: int, gateway: int, now: float) -> None:
+        self._push(now + COMPLETION_MESSAGE_S, "completion report", engine)
 
-    def _end_told(self, engine: int, now: float) -> None:
+    def _receive_completion(self, engine: int, now: float) -> None:
         self._counted[engine] -= 1
-        self._give(now, TURN_S)
+        self._grant_slots(now, GRANT_MESSAGE_S)
 
-    def _call_last(self, ticket: str, now: float) -> None:
+    def _dispatch_at_deadline(self, ticket: str, now: float) -> None:
         """Dispatch a request at its dispatch deadline if it is still queued."""
-        for waiter in self._line.waiters():
-            if waiter.ticket == ticket:
-                self._go(waiter, now)
+        for queued in self._pool_queue.waiters():
+            if queued.ticket == ticket:
+                self._grant_slot(queued, now)
 
-    def _told(self, gateway: int, now: float) -> None:
+    def _receive_report(self, gateway: int, now: float) -> None:
         """Do nothing: gateways do not use their views of the loads here."""
--- a/tests/test_answer_buffer.py
+++ b/tests/test_answer_buffer.py
@@ -28,9 +28,9 @@
 MEGABYTE = 1024 * 1024
 EVENT = b"data: " + b"x" * 506
 ANSWER_BYTES = 1280 * 1024
-SILENCE_S = 3.0
-SOON_S = 2.0
-WAIT_S = 20.0
+READ_PAUSE_S = 3.0
+MAX_SEND_S = 2.0
+TIMEOUT_S = 20.0
 END_MARK = b"\r\n0\r\n\r\n"
 ROUTE = RequestRoute("r", "h", "/", RouteKind.STREAMING, (WeightedService("s", 1.0),), 30.0, 1.0)
 
@@ -52,7 +52,7 @@
     ----------
     sent_after_s
         Time that it took to send each answer completely.
-    cut_off
+    aborted
         Number of answers whose connection was closed by the gateway.
     """
 
@@ -60,7 +60,7 @@
         chunk = b"%x\r\n%b\r\n" % (len(EVENT), EVENT)
         self._body = chunk * (answer_bytes // len(EVENT)) + b"0\r\n\r\n"
         self.sent_after_s: list[float] = []
-        self.cut_off = 0
+        self.aborted = 0
         self._listener = socket.create_server(("127.0.0.1", 0), backlog=64)
         self.endpoint = Endpoint(*self._listener.getsockname())
         threading.Thread(target=self._accept, daemon=True).start()
@@ -87,7 +87,7 @@
             try:
                 connection.sendall(head + self._body)
             except OSError:
-                self.cut_off += 1
+                self.aborted += 1
                 return
             self.sent_after_s.append(time.monotonic() - began)
 
@@ -101,33 +101,33 @@
     def setUp(self) -> None:
         self.replica = StreamingReplica(self.answer_bytes)
         self.addCleanup(self.replica.close)
-        self.held = BufferedAnswers(self.budget_bytes)
+        self.buffers = BufferedAnswers(self.budget_bytes)
         self.connections = ReplicaConnections(LinkFilter())
         self.endpoint = Endpoint("127.0.0.1", free_port())
-        self.server = HttpServer(self.endpoint, self.handle, 40, held_answers=self.held)
+        self.server = HttpServer(self.endpoint, self.handle, 40, held_answers=self.buffers)
         self.server.start_serving()
         self.addCleanup(self.server.stop)
 
     def handle(self, request, writer) -> None:
         exchange = self.connections.send(self.replica.endpoint, ReplicaRequest("GET", "/", {}))
-        exchange.read_head(WAIT_S)
+        exchange.read_head(TIMEOUT_S)
         forwarded = ForwardedRequest(
             id="q",
             method="GET",
             target="/",
             headers=(),
             body=b"",
-            deadline=Deadline.after(WAIT_S),
+            deadline=Deadline.after(TIMEOUT_S),
         )
         writer.name_request("q")
         relay = AnswerRelay(forwarded, ROUTE, writer, lambda: False)
         relay.relay_answer(exchange, mock.Mock(), read_answer_head(exchange))
 
-    def ask(self) -> socket.socket:
+    def send_request(self) -> socket.socket:
         """Send a request over a connection with a small receive buffer."""
         connection = socket.socket()
         connection.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        connection.settimeout(WAIT_S)
+        connection.settimeout(TIMEOUT_S)
         connection.connect((self.endpoint.host, self.endpoint.port))
         self.addCleanup(connection.close)
         connection.sendall(b"GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
@@ -140,7 +140,7 @@
             received += block
         return bytes(received)
 
-    def wait_until(self, condition, what: str, timeout_s: float = WAIT_S) -> None:
+    def wait_until(self, condition, what: str, timeout_s: float = TIMEOUT_S) -> None:
         until = time.monotonic() + timeout_s
         while not condition():
             self.assertLess(time.monotonic(), until, what)
@@ -155,43 +155,43 @@
     """A single slow caller."""
 
     def test_caller_that_reads_nothing_for_seconds_gets_the_whole_answer(self) -> None:
-        caller = self.ask()
-        time.sleep(SILENCE_S)  # The caller reads nothing during this time.
+        caller = self.send_request()
+        time.sleep(READ_PAUSE_S)  # The caller reads nothing during this time.
         self.assertEqual(1, len(self.replica.sent_after_s), "the replica has sent all")
-        self.assertLess(self.replica.sent_after_s[0], SOON_S)
-        self.assertGreater(self.held.held_bytes, self.answer_bytes // 2)
+        self.assertLess(self.replica.sent_after_s[0], MAX_SEND_S)
+        self.assertGreater(self.buffers.held_bytes, self.answer_bytes // 2)
         self.assert_whole(self.read_all(caller))
-        self.wait_until(lambda: self.held.held_bytes == 0, "nothing is held any more")
-        self.assertEqual(0, self.held.ended)
+        self.wait_until(lambda: self.buffers.held_bytes == 0, "nothing is buffered any more")
+        self.assertEqual(0, self.buffers.ended)
 
-    def test_caller_that_keeps_up_makes_no_buffer(self) -> None:
-        with mock.patch.object(self.held, "add") as add:
+    def test_answer_of_a_fast_caller_is_not_buffered(self) -> None:
+        with mock.patch.object(self.buffers, "add") as add:
             connection = socket.create_connection((self.endpoint.host, self.endpoint.port))
             self.addCleanup(connection.close)
-            connection.settimeout(WAIT_S)
-            self.answer_is_short()
+            connection.settimeout(TIMEOUT_S)
+            self.make_answer_short()
             connection.sendall(b"GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
             self.assert_whole(self.read_all(connection))
         add.assert_not_called()
 
-    def answer_is_short(self) -> None:
+    def make_answer_short(self) -> None:
         """Make the replica's answer fit into the buffers of the connections."""
         self.answer_bytes = 64 * 1024
         self.replica = StreamingReplica(self.answer_bytes)
         self.addCleanup(self.replica.close)
 
-    def test_caller_that_leaves_ends_its_answer(self) -> None:
-        caller = self.ask()
-        self.wait_until(lambda: self.held.held_bytes > 0, "something is held")
+    def test_buffer_of_a_disconnected_caller_is_discarded(self) -> None:
+        caller = self.send_request()
+        self.wait_until(lambda: self.buffers.held_bytes > 0, "something is buffered")
         caller.close()
-        self.wait_until(lambda: self.held.held_bytes == 0, "nothing is held any more")
-        self.assertEqual(0, self.held.ended)
+        self.wait_until(lambda: self.buffers.held_bytes == 0, "nothing is buffered any more")
+        self.assertEqual(0, self.buffers.ended)
 
-    def test_caller_that_takes_nothing_of_a_whole_answer_is_given_up(self) -> None:
+    def test_caller_that_reads_nothing_of_a_received_answer_is_given_up(self) -> None:
         self.server.timeout = 0.5
-        caller = self.ask()
-        self.wait_until(lambda: self.held.ended == 1, "the answer is ended")
-        self.assertEqual(0, self.held.held_bytes)
+        caller = self.send_request()
+        self.wait_until(lambda: self.buffers.ended == 1, "the answer is ended")
+        self.assertEqual(0, self.buffers.held_bytes)
         self.assertFalse(self.read_all(caller).endswith(END_MARK))
 
 
@@ -201,54 +201,54 @@
     budget_bytes = 4 * MEGABYTE
     answer_bytes = 24 * MEGABYTE
 
-    def test_it_waits_for_its_caller_for_a_while(self) -> None:
-        caller = self.ask()
+    def test_full_buffer_waits_for_the_caller(self) -> None:
+        caller = self.send_request()
         self.wait_until(
-            lambda: self.held.held_bytes > self.held.max_answer_bytes,
+            lambda: self.buffers.held_bytes > self.buffers.max_answer_bytes,
             "the answer's buffer is full",
         )
         self.assert_whole(self.read_all(caller))
 
-    def test_caller_that_takes_nothing_is_given_up(self) -> None:
+    def test_caller_that_reads_nothing_is_given_up(self) -> None:
         with mock.patch.object(answer_buffer, "FULL_BUFFER_TIMEOUT_S", 0.2):
-            caller = self.ask()
-            self.wait_until(lambda: self.held.ended == 1, "the answer is ended")
-        self.wait_until(lambda: self.replica.cut_off == 1, "the replica's connection is closed")
-        self.assertEqual(0, self.held.held_bytes)
+            caller = self.send_request()
+            self.wait_until(lambda: self.buffers.ended == 1, "the answer is ended")
+        self.wait_until(lambda: self.replica.aborted == 1, "the replica's connection is closed")
+        self.assertEqual(0, self.buffers.held_bytes)
         self.assertFalse(self.read_all(caller).endswith(END_MARK))
 
 
-class CrowdTest(SlowReaderCase):
+class ManySlowCallersTest(SlowReaderCase):
     """Many slow callers at once."""
 
     budget_bytes = 3 * MEGABYTE
     answer_bytes = 640 * 1024
     callers = 20
 
-    def test_crowd_stays_within_the_budget(self) -> None:
-        slow = [self.ask() for _ in range(self.callers)]
-        seen = []
+    def test_many_slow_callers_stay_within_the_budget(self) -> None:
+        slow = [self.send_request() for _ in range(self.callers)]
+        buffered_bytes = []
 
-        def settled() -> bool:
-            seen.append(self.held.held_bytes)
-            return self.held.ended > 0 and len(self.replica.sent_after_s) >= self.callers - 5
+        def budget_exceeded() -> bool:
+            buffered_bytes.append(self.buffers.held_bytes)
+            return self.buffers.ended > 0 and len(self.replica.sent_after_s) >= self.callers - 5
 
-        self.wait_until(settled, "the budget is exceeded, and most answers are sent")
-        fast = self.ask()
+        self.wait_until(budget_exceeded, "the budget is exceeded, and most answers are sent")
+        fast = self.send_request()
         self.assert_whole(self.read_all(fast))
         # Shows, independent of this machine's speed, that it was served while others read nothing.
-        self.assertGreater(self.held.held_bytes, 0)
+        self.assertGreater(self.buffers.held_bytes, 0)
         answers = [self.read_all(one) for one in slow]
         whole = [answer for answer in answers if answer.endswith(END_MARK)]
-        self.assertLessEqual(max(seen), self.budget_bytes)
-        self.assertEqual(self.callers - len(whole), self.held.ended)
+        self.assertLessEqual(max(buffered_bytes), self.budget_bytes)
+        self.assertEqual(self.callers - len(whole), self.buffers.ended)
         self.assertGreater(len(whole), 0)
         for answer in whole:
             self.assert_whole(answer)
-        self.wait_until(lambda: self.held.held_bytes == 0, "nothing is held any more")
+        self.wait_until(lambda: self.buffers.held_bytes == 0, "nothing is buffered any more")
 
 
-class SwitchTest(unittest.TestCase):
+class ConfigurationTest(unittest.TestCase):
     """Buffering is on if the contract says so, and its budget follows from the memory."""
 
     @params(("base,pressure,batch", True), ("base,batch", False), ("", False))
--- a/tests/test_dispatch_order.py
+++ b/tests/test_dispatch_order.py
@@ -7,7 +7,7 @@
 import attrs
 from nose2.tools import params
 
-from dispatch_player import Burst, BurstPlayer, LinePlayer
+from dispatch_player import Burst, BurstPlayer, PoolQueuePlayer
 from quaymill.request.dispatch_order import (
     EngineState,
     dispatch_order,
@@ -17,23 +17,23 @@
 
 SLOTS = 4
 SERVICE_S = 0.8
-ABOVE = Burst()
+OVERLOAD = Burst()
 """Bursts of 1.27 times the capacity of 45 engines with 6 slots."""
-BELOW = Burst(service_s=0.72)
+SLIGHT_OVERLOAD = Burst(service_s=0.72)
 """Bursts of 1.15 times the capacity, since each request is served faster."""
 CALM = Burst(high_per_s=200.0)
 TENANTS = Burst(tenants=70, high_per_s=170.0, engines=23, slots=8)
 """Load of 70 tenants; 23 engines with 8 slots can serve 1.35 times its bursts."""
 FLOODED = attrs.evolve(TENANTS, flood_per_s=100.0)
 """The same load with additional requests of one tenant: 1.17 times the capacity."""
-FLOODED_ABOVE = attrs.evolve(FLOODED, high_per_s=260.0)
+FLOODED_OVERLOAD = attrs.evolve(FLOODED, high_per_s=260.0)
 
 
 def engine(load: float, first_byte_s: float = 0.05) -> EngineState:
     return EngineState(load, SLOTS, SERVICE_S, first_byte_s)
 
 
-def up_to_the_last_moment(state: EngineState, target_at: float, now: float) -> bool:
+def dispatch_without_margin(state: EngineState, target_at: float, now: float) -> bool:
     """Dispatch every request that is expected to be in time, without a safety margin."""
     return (
         state.load < state.slots or now + expected_wait_s(state) + state.first_byte_s <= target_at
@@ -52,15 +52,15 @@
         ("two ahead", 5, 0.4, False),
         ("two ahead, enough time", 5, 0.6, True),
     )
-    def test_may_go(self, _, load, left_s, expected) -> None:
-        self.assertIs(expected, may_dispatch(engine(load), 100.0 + left_s, 100.0))
+    def test_may_dispatch(self, _, load, remaining_s, expected) -> None:
+        self.assertIs(expected, may_dispatch(engine(load), 100.0 + remaining_s, 100.0))
 
-    def test_expected_wait_grows_by_the_time_between_two_ends(self) -> None:
+    def test_expected_wait_grows_by_the_completion_interval(self) -> None:
         waits = [expected_wait_s(engine(load)) for load in (3, 4, 5, 6)]
         for wait_s, expected in zip(waits, (0.0, 0.2, 0.4, 0.6), strict=True):
             self.assertAlmostEqual(expected, wait_s)
 
-    def test_order_of_turns(self) -> None:
+    def test_dispatch_order(self) -> None:
         now = 10.0
         requests = {
             "late, urgent, old": (9.9, 0, 5.0),
@@ -82,23 +82,25 @@
         self.assertEqual(expected, ordered)
 
 
-class BurstTest(unittest.TestCase):
+class GatewayQueuesTest(unittest.TestCase):
     """Fewer requests are late than if requests were dispatched without a safety margin."""
 
     @params(
-        ("above capacity", ABOVE, 0.24, 0.18),
-        ("closer to capacity", BELOW, 0.11, 0.095),
+        ("above capacity", OVERLOAD, 0.24, 0.18),
+        ("closer to capacity", SLIGHT_OVERLOAD, 0.11, 0.095),
     )
-    def test_more_are_in_time(self, _, burst, before, most) -> None:
-        first = BurstPlayer(burst, 1, up_to_the_last_moment).play().late_share
-        self.assertAlmostEqual(before, first, delta=0.03)
-        self.assertLessEqual(BurstPlayer(burst, 1).play().late_share, most)
-
-    def test_nobody_is_left(self) -> None:
-        before = BurstPlayer(ABOVE, 1, up_to_the_last_moment).play()
-        after = BurstPlayer(ABOVE, 1).play()
-        self.assertEqual(len(before.latencies_s), len(after.latencies_s))
-        self.assertLess(after.quantile_s(0.995), 4.0)
+    def test_fewer_are_late_than_without_margin(
+        self, _, burst, late_share_without_margin, max_late_share
+    ) -> None:
+        without_margin = BurstPlayer(burst, 1, dispatch_without_margin).play().late_share
+        self.assertAlmostEqual(late_share_without_margin, without_margin, delta=0.03)
+        self.assertLessEqual(BurstPlayer(burst, 1).play().late_share, max_late_share)
+
+    def test_every_request_is_served(self) -> None:
+        without_margin = BurstPlayer(OVERLOAD, 1, dispatch_without_margin).play()
+        with_margin = BurstPlayer(OVERLOAD, 1).play()
+        self.assertEqual(len(without_margin.latencies_s), len(with_margin.latencies_s))
+        self.assertLess(with_margin.quantile_s(0.995), 4.0)
 
     def test_a_calm_load_is_served_at_once(self) -> None:
         outcome = BurstPlayer(CALM, 1).play()
@@ -106,37 +108,37 @@
         self.assertLess(outcome.quantile_s(0.99), 0.05)
 
 
-class LineTest(unittest.TestCase):
+class PoolQueueTest(unittest.TestCase):
     """Fewer requests are late with one queue for all gateways, which knows of every free slot."""
 
     @params(
-        ("above capacity", ABOVE, 0.1),
-        ("closer to capacity", BELOW, 0.05),
+        ("above capacity", OVERLOAD, 0.1),
+        ("closer to capacity", SLIGHT_OVERLOAD, 0.05),
         ("one tenant floods", FLOODED, 0.09),
-        ("one tenant floods, above capacity without it", FLOODED_ABOVE, 0.25),
+        ("one tenant floods, above capacity without it", FLOODED_OVERLOAD, 0.25),
     )
-    def test_fewer_are_late_than_by_views(self, _, burst, most) -> None:
-        views = BurstPlayer(burst, 1).play()
-        line = LinePlayer(burst, 1).play()
-        self.assertLess(line.late_share, 0.75 * views.late_share)
-        self.assertLess(line.late_share, most)
+    def test_fewer_are_late_than_with_gateway_queues(self, _, burst, max_late_share) -> None:
+        gateway_queues = BurstPlayer(burst, 1).play()
+        pool_queue = PoolQueuePlayer(burst, 1).play()
+        self.assertLess(pool_queue.late_share, 0.75 * gateway_queues.late_share)
+        self.assertLess(pool_queue.late_share, max_late_share)
 
-    def test_a_tenant_that_floods_makes_nobody_else_late(self) -> None:
+    def test_flood_of_one_tenant_makes_no_other_tenant_late(self) -> None:
         self.assertGreater(BurstPlayer(FLOODED, 1).play().late_share_of_others, 0.08)
-        self.assertLess(LinePlayer(FLOODED, 1).play().late_share_of_others, 0.01)
+        self.assertLess(PoolQueuePlayer(FLOODED, 1).play().late_share_of_others, 0.01)
 
-    def test_above_what_is_served_a_flood_costs_others_little(self) -> None:
-        without = LinePlayer(attrs.evolve(FLOODED_ABOVE, flood_per_s=0.0), 1).play()
-        flooded = LinePlayer(FLOODED_ABOVE, 1).play()
+    def test_flood_during_overload_delays_others_little(self) -> None:
+        without = PoolQueuePlayer(attrs.evolve(FLOODED_OVERLOAD, flood_per_s=0.0), 1).play()
+        flooded = PoolQueuePlayer(FLOODED_OVERLOAD, 1).play()
         self.assertLess(flooded.late_share_of_others, without.late_share + 0.03)
 
-    def test_nobody_is_left(self) -> None:
-        views = BurstPlayer(FLOODED_ABOVE, 1).play()
-        line = LinePlayer(FLOODED_ABOVE, 1).play()
-        self.assertEqual(len(views.latencies_s), len(line.latencies_s))
-        self.assertLess(max(line.latencies_s), 4.0)
+    def test_every_request_is_served(self) -> None:
+        gateway_queues = BurstPlayer(FLOODED_OVERLOAD, 1).play()
+        pool_queue = PoolQueuePlayer(FLOODED_OVERLOAD, 1).play()
+        self.assertEqual(len(gateway_queues.latencies_s), len(pool_queue.latencies_s))
+        self.assertLess(max(pool_queue.latencies_s), 4.0)
 
     def test_a_calm_load_is_served_at_once(self) -> None:
-        outcome = LinePlayer(CALM, 1).play()
+        outcome = PoolQueuePlayer(CALM, 1).play()
         self.assertEqual(0, outcome.late)
         self.assertLess(outcome.quantile_s(0.99), 0.05)
--- a/tests/test_relay_faults.py
+++ b/tests/test_relay_faults.py
@@ -28,13 +28,13 @@
     return expected_text(MODEL, chat_prompt([("user", prompt)]), tokens)
 
 
-class OneBadReplicaTest(unittest.TestCase):
+class OneFaultyReplicaTest(unittest.TestCase):
     """One of two replicas is faulty; every caller still gets a whole answer."""
 
     @classmethod
     def setUpClass(cls):
         cls.rig = GatewayRig()
-        cls.bad = cls.rig.add_engine()
+        cls.faulty = cls.rig.add_engine()
         cls.rig.add_engine()
         cls.rig.start()
 
@@ -61,12 +61,12 @@
         ("lying and crossed", Faults(load_lies="zero", cross_probability=0.5)),
         ("silent about its load", Faults(load_lies="none")),
     )
-    def test_answers_stay_whole(self, _, faults):
-        self.bad.switches.replace(faults)
+    def test_answers_are_whole(self, _, faults):
+        self.faulty.switches.replace(faults)
         for stream in (True, False):
-            self._ask_all(stream)
+            self._request_all(stream)
 
-    def _ask_all(self, stream: bool) -> None:
+    def _request_all(self, stream: bool) -> None:
         replies: dict[str, object] = {}
 
         def ask(prompt: str) -> None:
@@ -95,7 +95,7 @@
             for connection, prompt in zip(connections, prompts, strict=True)
         ]
         starts = [response.read1(1) for response in responses]
-        self.bad.switches.replace(Faults(down=True))
+        self.faulty.switches.replace(Faults(down=True))
         for prompt, start, response in zip(prompts, starts, responses, strict=True):
             text, ended, errors = streamed_text(start + response.read())
             self.assertEqual((text, ended, errors), (expected(prompt, 200), True, []))
@@ -105,14 +105,14 @@
         self.assertGreater(len(resumed), 0)
 
     def test_chunks_of_a_resumed_stream_carry_one_id(self):
-        self.bad.switches.replace(Faults(truncate_probability=1.0, seed=1))
+        self.faulty.switches.replace(Faults(truncate_probability=1.0, seed=1))
         for number in range(4):
             reply = self.rig.request("POST", PATH, chat(f"q{number}", TOKENS, stream=True))
             ids = {part.split(b'"')[0] for part in reply.body.split(b'"id":"')[1:]}
             self.assertEqual(len(ids), 1)
 
     def test_usage_of_a_resumed_answer_counts_all_its_tokens(self):
-        self.bad.switches.replace(Faults(truncate_probability=1.0, seed=1))
+        self.faulty.switches.replace(Faults(truncate_probability=1.0, seed=1))
         options = {"stream_options": {"include_usage": True}}
         for number in range(4):
             whole = self.rig.request("POST", PATH, chat(f"w{number}", TOKENS))
@@ -122,7 +122,7 @@
             self.assertIn(b'"completion_tokens":%d' % TOKENS, streamed.body)
 
 
-class AllReplicasBadTest(unittest.TestCase):
+class AllReplicasFaultyTest(unittest.TestCase):
     """All replicas are faulty: the caller gets an accurate error at once, with a retry time."""
 
     @classmethod
@@ -145,7 +145,7 @@
         ("failing", Faults(error_probability=1.0), "failed"),
         ("crossed", Faults(cross_probability=1.0), "unknown"),
     )
-    def test_answer_comes_at_once(self, _, faults, outcome):
+    def test_error_is_returned_at_once(self, _, faults, outcome):
         runs_before = len(self.rig.runs())
         for engine in self.engines:
             engine.switches.replace(faults)
@@ -171,7 +171,7 @@
         else:
             self.assertEqual(reply.headers["quaymill-outcome"], "unknown")
 
-    def test_storm_is_bounded_by_the_retry_budget(self):
+    def test_retries_are_limited_by_the_retry_budget(self):
         for engine in self.engines:
             engine.switches.replace(Faults(drop_probability=1.0))
         requests = 300
@@ -192,7 +192,7 @@
 class PooledConnectionTest(unittest.TestCase):
     """The replica closes an idle connection while a request is being sent on it."""
 
-    def test_request_goes_to_the_replica_again(self):
+    def test_request_is_sent_to_the_replica_again(self):
         rig = GatewayRig()
         engine = rig.add_engine()
         rig.start()
@@ -207,7 +207,7 @@
 class ZoneCutTest(unittest.TestCase):
     """The link to one zone fails while streams are running."""
 
-    def test_streams_go_on_in_the_other_zone(self):
+    def test_streams_are_resumed_in_the_other_zone(self):
         rig = GatewayRig(zone="zone-c")
         for zone in ("zone-a", "zone-b"):
             rig.add_engine(zone=zone)
--- a/tests/test_service_queue.py
+++ b/tests/test_service_queue.py
@@ -11,7 +11,7 @@
 from quaymill.request.service_queue import ServiceQueue
 
 FULL = NotRun(429, "full", "")
-GONE = NotRun(503, "no replica", "")
+NO_REPLICA = NotRun(503, "no replica", "")
 
 
 class Replicas:
@@ -27,49 +27,49 @@
         return "replica"
 
 
-class WaitingRoomTest(unittest.TestCase):
+class ServiceQueueTest(unittest.TestCase):
     """Requests wait on threads of their own until the test frees slots."""
 
     def setUp(self):
         self.replicas = Replicas()
         self.served: list[tuple[int, object]] = []
 
-    def start_waiters(self, room: ServiceQueue, count: int, timeout_s: float = 9.0) -> None:
+    def start_requests(self, queue: ServiceQueue, count: int, timeout_s: float = 9.0) -> None:
         """Start queued requests one by one, so that their order is known."""
         for number in range(count):
-            waiting = room.waiting
-            thread = threading.Thread(target=self._wait, args=(room, number, timeout_s))
+            waiting = queue.waiting
+            thread = threading.Thread(target=self._wait, args=(queue, number, timeout_s))
             thread.start()
             self.addCleanup(thread.join)
-            self.addCleanup(self.let_all_in, room)
-            wait_until(lambda w=waiting: room.waiting == w + 1)
+            self.addCleanup(self.serve_all, queue)
+            wait_until(lambda w=waiting: queue.waiting == w + 1)
 
-    def let_all_in(self, room: ServiceQueue) -> None:
+    def serve_all(self, queue: ServiceQueue) -> None:
         self.replicas.free = 100
-        room.record_end()
+        queue.record_end()
 
-    def _wait(self, room: ServiceQueue, number: int, timeout_s: float) -> None:
-        choice = room.wait_for_capacity(
+    def _wait(self, queue: ServiceQueue, number: int, timeout_s: float) -> None:
+        choice = queue.wait_for_capacity(
             self.replicas.choose, Deadline.after(timeout_s), CallerPresence()
         )
         self.served.append((number, choice))
 
     def test_first_come_first_served(self):
-        room = ServiceQueue(limit=10)
-        self.start_waiters(room, 4)
+        queue = ServiceQueue(limit=10)
+        self.start_requests(queue, 4)
         for expected in range(1, 5):
             self.replicas.free = 1
-            room.record_end()
+            queue.record_end()
             wait_until(lambda e=expected: len(self.served) == e)
         self.assertEqual(self.served, [(number, "replica") for number in range(4)])
 
-    def test_full_queue_refuses_at_once_with_the_time_that_the_rate_gives(self):
-        room = ServiceQueue(limit=3)
+    def test_full_queue_refuses_at_once_with_the_expected_wait(self):
+        queue = ServiceQueue(limit=3)
         for _ in range(10):
-            room.record_end()
-        self.start_waiters(room, 3)
+            queue.record_end()
+        self.start_requests(queue, 3)
         started_at = time.monotonic()
-        refusal = room.wait_for_capacity(
+        refusal = queue.wait_for_capacity(
             self.replicas.choose, Deadline.after(60.0), CallerPresence()
         )
         self.assertLess(time.monotonic() - started_at, 0.5)
@@ -77,32 +77,32 @@
         self.assertEqual((refusal.status, refusal.retry_after_s), (429, 2.0))
 
     def test_wait_longer_than_the_deadline_is_refused_at_once(self):
-        room = ServiceQueue(limit=10)
-        room.record_end()
-        self.start_waiters(room, 1)
+        queue = ServiceQueue(limit=10)
+        queue.record_end()
+        self.start_requests(queue, 1)
         started_at = time.monotonic()
-        refusal = room.wait_for_capacity(
+        refusal = queue.wait_for_capacity(
             self.replicas.choose, Deadline.after(2.0), CallerPresence()
         )
         self.assertLess(time.monotonic() - started_at, 1.0)
         self.assertEqual((refusal.status, refusal.retry_after_s), (429, 10.0))
 
     def test_deadline_ends_a_wait(self):
-        room = ServiceQueue(limit=10)
-        refusal = room.wait_for_capacity(
+        queue = ServiceQueue(limit=10)
+        refusal = queue.wait_for_capacity(
             self.replicas.choose, Deadline.after(0.3), CallerPresence()
         )
-        self.assertEqual((refusal.status, room.waiting), (429, 0))
+        self.assertEqual((refusal.status, queue.waiting), (429, 0))
 
     def test_other_refusal_ends_a_wait(self):
-        room = ServiceQueue(limit=10)
-        refusal = room.wait_for_capacity(lambda: GONE, Deadline.after(5.0), CallerPresence())
-        self.assertEqual(refusal, GONE)
+        queue = ServiceQueue(limit=10)
+        refusal = queue.wait_for_capacity(lambda: NO_REPLICA, Deadline.after(5.0), CallerPresence())
+        self.assertEqual(refusal, NO_REPLICA)
 
-    def test_caller_that_leaves_frees_its_place(self):
-        room = ServiceQueue(limit=10)
+    def test_disconnected_caller_is_removed_from_the_queue(self):
+        queue = ServiceQueue(limit=10)
         presence = CallerPresence()
         threading.Timer(0.1, presence.leave).start()
         with self.assertRaises(CallerGoneError):
-            room.wait_for_capacity(self.replicas.choose, Deadline.after(5.0), presence)
-        self.assertEqual(room.waiting, 0)
+            queue.wait_for_capacity(self.replicas.choose, Deadline.after(5.0), presence)
+        self.assertEqual(queue.waiting, 0)
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -18,9 +18,9 @@
 from quaymill_bench.loopback_proxy import LoopbackProxy
 from quaymill_standins.fleet_replica import FleetReplica
 
-KEPT = 8
+IDLE_CONNECTIONS = 8
 TIMEOUT_S = 0.4
-LONG_S = 5.0
+LONG_TIMEOUT_S = 5.0
 
 
 class Once(PeerMessage, frozen=True):
@@ -38,11 +38,11 @@
 
 
 class PeerTest(unittest.TestCase):
-    """Eight idle connections to a healthy peer, all silently dropped."""
+    """Idle connections to a healthy peer, all silently dropped."""
 
     def setUp(self) -> None:
-        self.all_are_here = threading.Barrier(KEPT)
-        self.together = True
+        self.all_arrived = threading.Barrier(IDLE_CONNECTIONS)
+        self.wait_for_all = True
         server = PeerServer(Endpoint("127.0.0.1", 0))
         server.register(Once, self._answer)
         server.register(Again, self._answer)
@@ -53,37 +53,42 @@
         self.endpoint = Endpoint("127.0.0.1", self.proxy.port)
         self.client = PeerClient(LinkFilter())
         self.addCleanup(self.client.close)
-        threads = [threading.Thread(target=self.call, args=(Once(), LONG_S)) for _ in range(KEPT)]
+        threads = [
+            threading.Thread(target=self.call, args=(Once(), LONG_TIMEOUT_S))
+            for _ in range(IDLE_CONNECTIONS)
+        ]
         for thread in threads:
             thread.start()
         for thread in threads:
             thread.join()
-        self.together = False
+        self.wait_for_all = False
         self.proxy.silence_open()
 
     def _answer(self, message: PeerMessage) -> Done:
-        if self.together:
-            self.all_are_here.wait(LONG_S)
+        if self.wait_for_all:
+            self.all_arrived.wait(LONG_TIMEOUT_S)
         return Done()
 
     def call(self, message: PeerMessage, timeout_s: float = TIMEOUT_S) -> bool:
         reply = self.client.call(self.endpoint, message, Done, timeout_s)
         return isinstance(reply, Done)
 
-    def test_one_call_is_lost_where_it_must_not_be_repeated(self) -> None:
+    def test_only_one_non_repeatable_call_is_lost(self) -> None:
         began = time.monotonic()
         self.assertEqual([False, True], [self.call(Once()) for _ in range(2)])
         self.assertLess(time.monotonic() - began, 2 * TIMEOUT_S)
 
-    def test_none_is_lost_where_it_may_be_repeated(self) -> None:
-        self.assertEqual([True] * KEPT, [self.call(Again()) for _ in range(KEPT)])
+    def test_no_repeatable_call_is_lost(self) -> None:
+        self.assertEqual(
+            [True] * IDLE_CONNECTIONS, [self.call(Again()) for _ in range(IDLE_CONNECTIONS)]
+        )
 
 
 class ReplicaTest(unittest.TestCase):
-    """Eight idle connections to a healthy replica, all silently dropped."""
+    """Idle connections to a healthy replica, all silently dropped."""
 
     def setUp(self) -> None:
-        replica = FleetReplica("application-0", "application", "zone", slots=KEPT)
+        replica = FleetReplica("application-0", "application", "zone", slots=IDLE_CONNECTIONS)
         replica.start()
         self.addCleanup(replica.stop)
         self.proxy = LoopbackProxy(("127.0.0.1", replica.port))
@@ -91,10 +96,10 @@
         self.endpoint = Endpoint("127.0.0.1", self.proxy.port)
         self.connections = ReplicaConnections(LinkFilter())
         self.addCleanup(self.connections.close)
-        exchanges = [self.send(str(number)) for number in range(KEPT)]
+        exchanges = [self.send(str(number)) for number in range(IDLE_CONNECTIONS)]
         for exchange in exchanges:
-            self.assertIsNone(exchange.read_head(LONG_S))
-            exchange.read_body(1024, time.monotonic() + LONG_S)
+            self.assertIsNone(exchange.read_head(LONG_TIMEOUT_S))
+            exchange.read_body(1024, time.monotonic() + LONG_TIMEOUT_S)
             exchange.release()
         self.proxy.silence_open()
 
@@ -102,7 +107,7 @@
         headers = {"Request-Id": name, "Expect-Instance": "application-0"}
         return self.connections.send(self.endpoint, ReplicaRequest("POST", "/x", headers))
 
-    def test_one_request_is_lost(self) -> None:
+    def test_only_one_request_is_lost(self) -> None:
         failure = self.send("lost").read_head(TIMEOUT_S)
         self.assertIsInstance(failure, OutcomeUnknown)
-        self.assertIsNone(self.send("after it").read_head(LONG_S))
+        self.assertIsNone(self.send("after it").read_head(LONG_TIMEOUT_S))
--- a/tests/test_slow_callers.py
+++ b/tests/test_slow_callers.py
@@ -13,7 +13,7 @@
 from quaymill_bench.ports import free_port
 
 THREADS = 4
-SOON_S = 2.0
+TIMEOUT_S = 2.0
 HEADER_TIMEOUT_S = 0.5
 REQUEST = b"GET /a HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\n\r\n"
 
@@ -23,7 +23,7 @@
 
     def setUp(self) -> None:
         self.handled: list[str] = []
-        self.found_gone: list[str] = []
+        self.found_disconnected: list[str] = []
         self.release = threading.Event()
         self.addCleanup(self.release.set)
         watch = CallerWatch()
@@ -37,18 +37,18 @@
     def _handle(self, request, writer) -> None:
         name = request.header("Request-Id")
         if request.presence.gone:
-            self.found_gone.append(name)
+            self.found_disconnected.append(name)
             writer.abort()
             return
         self.handled.append(name)
         if name == "wait":
-            self.release.wait(SOON_S * 3)
+            self.release.wait(TIMEOUT_S * 3)
         writer.answer(200, (), name.encode())
 
     def connect(self, sent: bytes = b"") -> socket.socket:
         connection = socket.create_connection((self.endpoint.host, self.endpoint.port))
         self.addCleanup(connection.close)
-        connection.settimeout(SOON_S)
+        connection.settimeout(TIMEOUT_S)
         connection.sendall(sent)
         return connection
 
@@ -61,7 +61,7 @@
                 length = int(value) if name.lower() == b"content-length" else length
             return lines.read(length)
 
-    def test_slow_heads_hold_no_worker(self) -> None:
+    def test_slow_request_heads_block_no_worker(self) -> None:
         slow = [self.connect(REQUEST[:20]) for _ in range(3 * THREADS)]
         silent = [self.connect() for _ in range(3 * THREADS)]
         self.assertEqual(b"quick", self.answer_to(self.connect(REQUEST % b"quick")))
@@ -73,7 +73,7 @@
     def test_head_that_takes_too_long_is_given_up(self) -> None:
         self.server.header_timeout_s = HEADER_TIMEOUT_S
         slow = self.connect(REQUEST[:20])
-        slow.settimeout(SOON_S * 5)
+        slow.settimeout(TIMEOUT_S * 5)
         self.assertEqual(b"", slow.recv(4096))
         self.assertEqual([], self.handled)
 
@@ -81,7 +81,7 @@
         self.connect()
         self.assertFalse(self.server.busy)
         slow = self.connect(REQUEST[:20])
-        until = time.monotonic() + SOON_S
+        until = time.monotonic() + TIMEOUT_S
         while not self.server.busy and time.monotonic() < until:
             time.sleep(0.01)
         self.assertTrue(self.server.busy)
@@ -95,9 +95,9 @@
             received += kept.recv(4096)
         self.assertEqual(["first", "second"], self.handled)
 
-    def test_caller_that_left_before_it_was_read_is_gone_at_once(self) -> None:
+    def test_request_of_a_disconnected_caller_is_not_handled(self) -> None:
         held = [self.connect(REQUEST % b"wait") for _ in range(THREADS)]
-        until = time.monotonic() + SOON_S
+        until = time.monotonic() + TIMEOUT_S
         while len(self.handled) < THREADS and time.monotonic() < until:
             time.sleep(0.01)
         names = [b"left-%d" % number for number in range(20)]
--- a/tests/test_slow_replicas.py
+++ b/tests/test_slow_replicas.py
@@ -23,11 +23,11 @@
 
 SERVICE = "s"
 BODY_BYTES = 512 * 1024
-PATIENCE_S = 10.0
+ROUTE_TIMEOUT_S = 10.0
 MARGIN_S = 1.5
 
 
-class Reader(http.server.BaseHTTPRequestHandler):
+class ReadingHandler(http.server.BaseHTTPRequestHandler):
     """Reads each request completely and answers it."""
 
     protocol_version = "HTTP/1.1"
@@ -44,7 +44,7 @@
         """Log nothing."""
 
 
-class Written:
+class RecordedAnswer:
     """An ``AnswerWriter`` that collects the body."""
 
     started = False
@@ -67,17 +67,17 @@
     """Two replicas; the one in the local zone accepts connections and reads nothing."""
 
     def setUp(self) -> None:
-        idle = socket.socket()
-        idle.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        idle.bind(("127.0.0.1", 0))
-        idle.listen()
-        self.addCleanup(idle.close)
-        reader = http.server.ThreadingHTTPServer(("127.0.0.1", 0), Reader)
+        silent_listener = socket.socket()
+        silent_listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+        silent_listener.bind(("127.0.0.1", 0))
+        silent_listener.listen()
+        self.addCleanup(silent_listener.close)
+        reader = http.server.ThreadingHTTPServer(("127.0.0.1", 0), ReadingHandler)
         threading.Thread(target=reader.serve_forever, daemon=True).start()
         self.addCleanup(reader.server_close)
         self.addCleanup(reader.shutdown)
         self.table = ReplicaTable()
-        addresses = {"near": idle.getsockname(), "far": reader.server_address}
+        addresses = {"near": silent_listener.getsockname(), "far": reader.server_address}
         self.table.replace_all(
             [
                 ReplicaEntry(name, SERVICE, Endpoint(*address[:2]), name, 8)
@@ -96,7 +96,14 @@
     def send(self, kind: RouteKind) -> tuple[object, float]:
         """Send a request; return its result, and after how many seconds it ended."""
         route = RequestRoute(
-            "r", "h", "/", kind, (WeightedService(SERVICE, 1.0),), PATIENCE_S, 1.0, max_attempts=2
+            "r",
+            "h",
+            "/",
+            kind,
+            (WeightedService(SERVICE, 1.0),),
+            ROUTE_TIMEOUT_S,
+            1.0,
+            max_attempts=2,
         )
         request = ForwardedRequest(
             id="q",
@@ -104,19 +111,19 @@
             target="/",
             headers=(),
             body=b"x" * BODY_BYTES,
-            deadline=Deadline.after(PATIENCE_S),
+            deadline=Deadline.after(ROUTE_TIMEOUT_S),
         )
         began = time.monotonic()
-        result = self.forwarder.forward(request, route, Written(), CallerPresence())
+        result = self.forwarder.forward(request, route, RecordedAnswer(), CallerPresence())
         return result, time.monotonic() - began
 
-    def test_another_is_tried_soon(self) -> None:
+    def test_another_replica_is_tried_early(self) -> None:
         result, took_s = self.send(RouteKind.IDEMPOTENT)
         self.assertEqual(Delivered(200, "far"), result)
         self.assertGreater(took_s, MIN_SEND_TIMEOUT_S)
         self.assertLess(took_s, MIN_SEND_TIMEOUT_S + MARGIN_S)
 
-    def test_what_may_not_be_repeated_waits_longer_and_may_have_run(self) -> None:
+    def test_non_repeatable_request_waits_longer_and_may_have_run(self) -> None:
         result, took_s = self.send(RouteKind.NON_IDEMPOTENT)
         self.assertIsInstance(result, GivenUp)
         self.assertTrue(result.may_have_run)
--- a/tests/test_zone_cut.py
+++ b/tests/test_zone_cut.py
@@ -1,4 +1,4 @@
-"""A zone is partitioned: its gateway serves requests in time with the replicas of its own zone."""
+"""A zone is partitioned: its gateway serves requests in time with the replicas of its zone."""
 
 from __future__ import annotations
 
@@ -21,28 +21,28 @@
 from quaymill_bench.loopback_proxy import LinkState, LoopbackProxy
 from quaymill_standins.fleet_replica import FleetReplica, ReplicaBehaviour
 
-CUT = ZONES[0]
+CUT_ZONE = ZONES[0]
 GATEWAY = "gateway-0"
 OBJECTIVE_S = 0.3
 """The callers' shortest objective."""
-KNOWN_AFTER_S = 2 * OBJECTIVE_S
+DETECTED_AFTER_S = 2 * OBJECTIVE_S
 """Time from the partition after which the other zones must be known as unreachable.
 
 Allows one retry of a request that was late when the partition began."""
-WHOLE_PATIENCE_S = 2.0
+WHOLE_ANSWER_TIMEOUT_S = 2.0
 """Timeout for the first byte: eight times half of the route's objective (0.5 s)."""
-GONE_ON_WITHIN_S = WHOLE_PATIENCE_S / 2
+RETRIED_WITHIN_S = WHOLE_ANSWER_TIMEOUT_S / 2
 SERVICE_S = 0.2
-BROKEN_OFF = 0
-SENT_EVERY_S = 0.1
-SENT_FOR_S = 3.0
+INCOMPLETE = 0
+SEND_INTERVAL_S = 0.1
+SEND_DURATION_S = 3.0
 WARM_UP_S = 1.0
 QUICK = ReplicaBehaviour(events=2, event_s=SERVICE_S / 2)
 
 
 @attrs.frozen
-class Served:
-    """One request as its caller saw it; times in seconds, status ``BROKEN_OFF`` if incomplete."""
+class RequestResult:
+    """One request as its caller saw it; times in seconds, status ``INCOMPLETE`` if incomplete."""
 
     request_id: str
     sent_at: float
@@ -63,13 +63,13 @@
         self.addCleanup(self.rig.stop)
         self.rig.start()
         self.lines: list[dict[str, Any]] = []
-        take_line = self.lines.append
-        add_destinations(take_line)
-        self.addCleanup(remove_destination, take_line)
+        receive_line = self.lines.append
+        add_destinations(receive_line)
+        self.addCleanup(remove_destination, receive_line)
         self.proxies = [
             self.put_behind_proxy(one)
             for one in list(self.rig.replicas.values())
-            if one.zone != CUT
+            if one.zone != CUT_ZONE
         ]
         self.executor = ThreadPoolExecutor(64)
         self.addCleanup(self.executor.shutdown)
@@ -116,11 +116,11 @@
             for name, settings in self.rig.settings.items()
         }
         for name, node in nodes.items():
-            inside = self.rig.settings[name].zone == CUT
+            inside = self.rig.settings[name].zone == CUT_ZONE
             blocked = {
                 peer
                 for other, peer in peers.items()
-                if (self.rig.settings[other].zone == CUT) != inside
+                if (self.rig.settings[other].zone == CUT_ZONE) != inside
             }
             node.network.client._link_filter.set_blocked(frozenset(blocked))
 
@@ -131,60 +131,60 @@
         for node in (*self.rig.gateways.values(), *self.rig.storage.values()):
             node.network.client._link_filter.set_blocked(frozenset())
 
-    def send(self, request_id: str, path: str = "/resumable/x") -> Future[Served]:
+    def send(self, request_id: str, path: str = "/resumable/x") -> Future[RequestResult]:
         """Send a request to the gateway of the partitioned zone."""
 
-        def ask() -> Served:
+        def ask() -> RequestResult:
             began = time.monotonic()
             try:
                 status = self.rig.ask(GATEWAY, path, request_id, tokens="/read" not in path).status
             except HTTPError:
-                status = BROKEN_OFF
-            return Served(request_id, began, time.monotonic() - began, status)
+                status = INCOMPLETE
+            return RequestResult(request_id, began, time.monotonic() - began, status)
 
         return self.executor.submit(ask)
 
-    def send_for(self, for_s: float, name: str) -> list[Future[Served]]:
+    def send_for(self, for_s: float, name: str) -> list[Future[RequestResult]]:
         """Send requests at a constant rate."""
         until = time.monotonic() + for_s
-        sent: list[Future[Served]] = []
+        sent: list[Future[RequestResult]] = []
         while time.monotonic() < until:
             sent.append(self.send(f"{name}-{len(sent)}"))
-            time.sleep(SENT_EVERY_S)
+            time.sleep(SEND_INTERVAL_S)
         return sent
 
 
 class ZoneCutTest(CutCase):
     """The gateway of the partitioned zone."""
 
-    def test_requests_are_served_in_time_by_the_own_zone(self) -> None:
+    def test_requests_are_served_in_time_by_the_local_zone(self) -> None:
         self.make_quick()
         sent = self.send_for(WARM_UP_S, "before")
         self.cut()
         cut_at = time.monotonic()
-        sent += self.send_for(SENT_FOR_S, "after")
+        sent += self.send_for(SEND_DURATION_S, "after")
         served = [one.result() for one in sent]
         failed = [one for one in served if one.status != 200]
         self.assertEqual([], failed, [self.lines_of(one.request_id) for one in failed])
-        after = [one for one in served if one.sent_at >= cut_at + KNOWN_AFTER_S]
+        after = [one for one in served if one.sent_at >= cut_at + DETECTED_AFTER_S]
         self.assertGreater(len(after), 10)
         late = [one for one in after if one.took_s > SERVICE_S + OBJECTIVE_S]
         self.assertEqual([], late)
 
-    def test_request_that_waits_there_for_its_first_byte_goes_on_at_once(self) -> None:
+    def test_request_waiting_for_its_first_byte_is_retried_at_once(self) -> None:
         # The replica's own silence must not end the attempt before the zone's state does.
-        patch = mock.patch.object(forwarding, "SILENCE_PATIENCE_S", WHOLE_PATIENCE_S)
+        patch = mock.patch.object(forwarding, "SILENCE_PATIENCE_S", WHOLE_ANSWER_TIMEOUT_S)
         patch.start()
         self.addCleanup(patch.stop)
-        own, other = self.applications()
-        own.behaviour = other.behaviour = ReplicaBehaviour(answer_s=4.0)
+        local, other = self.applications()
+        local.behaviour = other.behaviour = ReplicaBehaviour(answer_s=4.0)
         # After two requests, the local replica is so loaded that another zone is preferred.
         for name in ("first", "second"):
             self.send(name, "/read/x")
-            wait_until(lambda name=name: own.runs_of(name), f"the {name} runs in the own zone")
+            wait_until(lambda name=name: local.runs_of(name), f"the {name} runs in the local zone")
         third = self.send("third", "/read/x")
         wait_until(lambda: other.runs_of("third"), "another runs elsewhere")
-        own.behaviour = ReplicaBehaviour()
+        local.behaviour = ReplicaBehaviour()
         self.cut()
         self.assertEqual(200, third.result().status)
         wait_until(lambda: "request:ended" in self.kinds_of("third"), "its end is logged")
@@ -193,16 +193,18 @@
             for line in self.lines_of("third")
             if line["message_type"] == "request:attempt"
         ]
-        lost = (other.id, "the replica's zone is unreachable")
-        self.assertEqual([lost, (own.id, "")], attempts)
-        self.assertLess(third.result().took_s, GONE_ON_WITHIN_S)
+        unreachable_attempt = (other.id, "the replica's zone is unreachable")
+        self.assertEqual([unreachable_attempt, (local.id, "")], attempts)
+        self.assertLess(third.result().took_s, RETRIED_WITHIN_S)
 
     def applications(self) -> tuple[FleetReplica, FleetReplica]:
         """Return the application of the partitioned zone, and that of another zone."""
-        own, other = sorted(self.rig.of_service("application"), key=lambda one: one.zone != CUT)
-        return own, other
+        local, other = sorted(
+            self.rig.of_service("application"), key=lambda one: one.zone != CUT_ZONE
+        )
+        return local, other
 
-    def test_healed_cut_is_seen_and_the_others_are_used_again(self) -> None:
+    def test_other_zones_are_reachable_again_after_the_partition(self) -> None:
         self.make_quick()
         self.cut()
         for index in range(8):  # More than the local engine has slots.
@@ -217,6 +219,6 @@
             lambda: not any(self.reach.is_unreachable(zone) for zone in ZONES),
             "all are reachable",
         )
-        self.assertLess(time.monotonic() - began, KNOWN_AFTER_S)
+        self.assertLess(time.monotonic() - began, DETECTED_AFTER_S)
         replicas = self.rig.gateways[GATEWAY]._table.of_service("engine")
         self.assertFalse(any(replica.unreachable for replica in replicas))
