--- a/src/quaymill/request/answer_relay.py
+++ b/src/quaymill/request/answer_relay.py
@@ -54,7 +54,7 @@
     Parameters
     ----------
     may_try_another
-        Returns whether another replica is tried if the answer is incomplete.
+        Returns whether another replica is tried if this one fails to complete the answer.
     """
 
     def __init__(
--- a/src/quaymill/request/first_byte_wait.py
+++ b/src/quaymill/request/first_byte_wait.py
@@ -12,6 +12,7 @@
 WAIT_SLICE_S = 0.25
 FIRST_BYTE_PATIENCE_S = 2.0
 FIRST_BYTE_PATIENCE_BUSY_S = 10.0
+"""Applies while the load reports of the replica show that it is busy."""
 
 
 class AwaitedReplica(Protocol):
--- a/src/quaymill/request/forwarding.py
+++ b/src/quaymill/request/forwarding.py
@@ -1,9 +1,9 @@
 """Sends one opaque request to replicas until one has answered, and relays the answer.
 
 Another replica is tried after a "not executed" refusal or a failed connection. After any other
-failure, another replica is tried only if the route is repeatable and its maximum number of
-attempts has not been reached. If no replica succeeds, the caller receives the last error answer of
-a replica, if there is one. If an answer has been started and cannot be completed, the caller's
+failure, another replica is tried only if the route is repeatable and its maximum number of attempts
+has not been reached. If no replica succeeds, the caller receives the last error answer of
+a replica if there is one. If an answer has been started and cannot be completed, the caller's
 connection is closed without the end mark.
 """
 
--- a/src/quaymill/request/replica_choice.py
+++ b/src/quaymill/request/replica_choice.py
@@ -155,7 +155,7 @@
         -------
         The replica of which the request was granted a slot; ``None`` if any replica may be
         chosen. The request is already counted at a granted replica, so it must be sent there or
-        the slot released with ``give_back``.
+        the slot released with ``release_slot``.
         """
 
     def give_back(self, replica: ChosenReplica) -> None:
--- a/src/quaymill/request/service_queue.py
+++ b/src/quaymill/request/service_queue.py
@@ -25,7 +25,8 @@
 class ServiceQueue:
     """The queue of one service, limited in length and in waiting time.
 
-    A request is refused at once if the queue is full or if its expected wait exceeds its limit.
+    A request is refused at once if the queue is full, or if its expected wait exceeds
+    ``MAX_WAIT_S`` or its deadline.
     The refusal contains the time after which capacity is expected, which is estimated from the
     queue length and the rate at which requests ended recently.
     """
