--- a/src/quaymill/request/fair_shares.py
+++ b/src/quaymill/request/fair_shares.py
@@ -29,7 +29,7 @@
         tag = max(self._virtual_time, self._next_tag_by_tenant.get(tenant, 0.0))
         self._next_tag_by_tenant[tenant] = tag + 1.0
         if len(self._next_tag_by_tenant) > MAX_TENANTS:
-            self._forget_idle()
+            self._remove_idle()
         return tag
 
     def serve(self, tag: float) -> None:
@@ -42,7 +42,7 @@
             next_tag = self._next_tag_by_tenant[tenant] - 1.0
             self._next_tag_by_tenant[tenant] = max(self._virtual_time, next_tag)
 
-    def _forget_idle(self) -> None:
+    def _remove_idle(self) -> None:
         self._next_tag_by_tenant = {
             tenant: tag
             for tenant, tag in self._next_tag_by_tenant.items()
--- a/src/quaymill/request/first_byte_wait.py
+++ b/src/quaymill/request/first_byte_wait.py
@@ -9,7 +9,7 @@
 from quaymill.request.deadline import Deadline
 from quaymill.request.outcome import OutcomeUnknown
 
-WAIT_SLICE_S = 0.25
+CHECK_INTERVAL_S = 0.25
 FIRST_BYTE_PATIENCE_S = 2.0
 FIRST_BYTE_PATIENCE_BUSY_S = 10.0
 """Applies while the load reports of the replica show that it is busy."""
@@ -42,7 +42,7 @@
     The failure, or ``None`` once data can be read.
     """
     sent_at = boot_clock.now()
-    while not exchange.wait_readable(min(WAIT_SLICE_S, deadline.remaining_s())):
+    while not exchange.wait_readable(min(CHECK_INTERVAL_S, deadline.remaining_s())):
         waited_s = boot_clock.now() - sent_at
         if deadline.passed():
             exchange.abandon()
--- a/src/quaymill/request/forwarding.py
+++ b/src/quaymill/request/forwarding.py
@@ -56,12 +56,12 @@
 """Maximum size of an error answer that is kept while another replica is tried."""
 ERROR_BODY_TIMEOUT_S = 0.1
 """Timeout for the body of an error answer; short, since the next attempt waits for it."""
-IDLE_LIMIT_NOT_REPEATABLE_S = 5.0
+MAX_IDLE_NOT_REPEATABLE_S = 5.0
 """Maximum idle time of a connection that is reused for a request that cannot be repeated.
 
-Shorter than ``IDLE_LIMIT_S``, since the replica may close an idle connection while the request is
+Shorter than ``MAX_IDLE_S``, since the replica may close an idle connection while the request is
 being sent."""
-IDLE_LIMIT_S = 20.0
+MAX_IDLE_S = 20.0
 FIRST_EVENT_PATIENCE_S = 2.0
 SILENCE_PATIENCE_S = 0.6
 """Time to wait for a replica that sends nothing at all, if another replica may be tried."""
@@ -171,14 +171,14 @@
         self._kept_error: _ReplicaError | None = None
 
     def run(self) -> ForwardingResult:
-        if (ended := self._result_if_ended()) is not None:
+        if (ended := self._result_without_attempt()) is not None:
             return ended
         granted = self._dispatch_queue.wait_for_slot(
             self._service, self._route, self._request, self._presence
         )
         if isinstance(granted, CannotServeInTime):
             return self._give_up(granted.reason, retry_after_s=granted.retry_after_s)
-        if granted is not None and (ended := self._result_if_ended()) is not None:
+        if granted is not None and (ended := self._result_without_attempt()) is not None:
             self._dispatch_queue.give_back(granted)
             return ended
         return self._try_replicas(granted)
@@ -186,7 +186,7 @@
     def _try_replicas(self, granted: ChosenReplica | None) -> ForwardingResult:
         """Try one replica after another, beginning with ``granted`` if the slot grant named one."""
         while True:
-            if granted is None and (ended := self._result_if_ended()) is not None:
+            if granted is None and (ended := self._result_without_attempt()) is not None:
                 return ended
             replica = granted or self._router.choose(
                 self._service, self._request.prompt, self._tried_ids
@@ -209,7 +209,7 @@
             if not self._route.repeatable or self._runs >= self._route.max_attempts:
                 return self._give_up(result.reason)
 
-    def _result_if_ended(self) -> ForwardingResult | None:
+    def _result_without_attempt(self) -> ForwardingResult | None:
         """Return the final result if no further attempt may be made, else ``None``."""
         if self._presence.gone:
             return CallerLeft()
@@ -295,7 +295,7 @@
         exchange = self._connections.send(
             replica.entry.address,
             message,
-            max_idle_s=IDLE_LIMIT_S if repeatable else IDLE_LIMIT_NOT_REPEATABLE_S,
+            max_idle_s=MAX_IDLE_S if repeatable else MAX_IDLE_NOT_REPEATABLE_S,
             send_timeout_s=self._send_timeout_s(len(message.body)),
         )
         if isinstance(exchange, NotRun):
