--- a/src/quaymill/process/replica_set/__init__.py
+++ b/src/quaymill/process/replica_set/__init__.py
@@ -1,1 +1,1 @@
-"""The replicas that the platform lists, what is known of their load, and the choice among them."""
+"""The replicas listed by the platform, their load and health, and the choice among them."""
--- a/src/quaymill/process/replica_set/online_queue.py
+++ b/src/quaymill/process/replica_set/online_queue.py
@@ -1,14 +1,14 @@
-"""Holds online requests while every engine of their service is full, and lets the right one go.
+"""Queues online requests while all engines of their service are full, and dispatches them in order.
 
-An engine serves in the order of arrival. When more comes than all engines together can serve, a
-queue at the engines makes every request late, one after the other. Here a request is let go
-while it can still be in time, and those that are late already wait until a slot is free: after an
-outage the backlog does not delay what comes fresh. Nothing is held past the time that it
-needs to be served before its caller gives up.
+An engine serves requests in the order of arrival. Under overload, a queue at the engines would
+make every request late. So a request is dispatched at once only while it can still meet its latency
+target; requests that are late already wait until a slot is free, so that the backlog after an
+outage does not delay new requests. No request is queued past its dispatch deadline, which leaves
+enough time to serve it before its caller times out.
 
-Where who keeps room for the engines answers, the requests of all gateways wait in its line, which
-knows when a slot comes free; each is held here as well, and goes by what is known here if the
-keeper falls silent, and at its last call in any case.
+If the slot allocator of the engines responds, the requests of all gateways wait in its queue, as it
+knows when a slot becomes free. Each request is also queued here: if the allocator does not respond,
+it is dispatched by local decisions, and at its dispatch deadline in any case.
 """
 
 from __future__ import annotations
@@ -33,33 +33,33 @@
 from quaymill.version.request_routes import RequestRoute
 
 PATIENCE_SAMPLES = 256
-"""Requests of a route and tenant by which a fresh one's patience is told: seconds of a peak."""
+"""Recent requests kept for each route and tenant; covers a few seconds at peak load."""
 MAX_PATIENCE_KINDS = 512
-"""Routes and tenants whose callers' patience is remembered; those seen last."""
+"""Pairs of route and tenant with samples; the least recently used are dropped."""
 MIN_PATIENCE_SAMPLES = 8
-"""With fewer, every request counts as fresh."""
+"""With fewer samples, every request counts as a first attempt."""
 FRESH_QUANTILE = 0.75
-"""A fresh caller's patience among all: retries have less, and few callers have more."""
+"""Quantile of the remaining times that is taken as that of a first attempt: retries have less time
+left, and few callers start with more."""
 SERVICE_TIME_WEIGHT = 0.05
-"""Weight of the newest request in the average: about twenty requests decide."""
+"""Weight of the newest request in the moving average of the service time."""
 UNKNOWN_SERVICE_OBJECTIVES = 2.0
-"""Service time, in objectives of the route, while none has been measured: what streams took at
-full engines (0.5 to 0.8 s, docs/POLICIES.md) by their objective (0.3 s). The first answer replaces
-it; without it a gateway that starts after an outage lets the whole backlog go to the engines."""
+"""Service time, as a multiple of the route's objective, that is assumed until the first answer.
+Without it, a gateway that starts after an outage would dispatch the whole backlog at once."""
 LAST_CALL_FACTOR = 2.0
-"""A request is let go at the latest when this many usual service times are left of its time."""
+"""Average service times that remain to the caller's timeout at the dispatch deadline."""
 LAST_CALL_MARGIN_S = 0.5
-"""Beside that: the way to the caller and back, and a step of the engine."""
+"""Added to that for the network round trip to the caller and one step of the engine."""
 HELD_CHECK_S = 0.25
-"""How often a held request looks after itself; whoever lets it go wakes it sooner."""
+"""How often a queued request rechecks whether it may be dispatched."""
 ASK_AGAIN_S = 1.0
-"""A request that has waited so long in a line asks again: its keeper may have started anew."""
+"""Interval at which a queued request repeats its slot request: the allocator may have restarted."""
 TOLD_HELD_S = 0.05
-"""Requests held for less are not worth a line in the log."""
+"""Shorter waits are not logged."""
 
 
 class Queued(enum.Enum):
-    """The request has its place in the keeper's line."""
+    """The request waits in the slot allocator's queue."""
 
     QUEUED = enum.auto()
 
@@ -69,11 +69,12 @@
 RequestSlot = Callable[
     [str, ForwardedRequest, QueueTerms], Replica | Queued | CannotServeInTime | None
 ]
-"""Asks who keeps room for a place now or in line; ``None`` if it does not answer or has none."""
+"""Requests a slot, or a place in the queue, from the slot allocator; returns ``None`` if it does
+not respond or cannot grant a slot."""
 
 
 class DecidedBy(enum.Enum):
-    """Who let a held request go."""
+    """Who decided that a queued request is dispatched; the values appear in the log."""
 
     LINE = "line"
     OWN = "own"
@@ -82,35 +83,38 @@
 
 
 def _no_line(service: str, request: ForwardedRequest, terms: QueueTerms) -> None:
-    """Stand for: there is no line."""
+    """Act as if there were no slot allocator."""
 
 
 @attrs.define(eq=False)
 class _Held:
-    """A request that waits for its turn.
+    """A request that waits to be dispatched. All times are monotonic.
 
     Attributes
     ----------
-    came_at
-        Monotonic time.
+    arrived_at
+        When it was queued.
     target_at
-        When its first event is late.
+        Latency target: after this time its first event is late.
     dispatch_by
-        When it is let go in any case.
+        Dispatch deadline: when it is dispatched in any case.
     rank
-        0 goes first.
+        Priority; 0 is dispatched first.
     age_s
-        For how long its caller has tried before.
+        Estimated time since the first attempt of its caller.
     ticket
-        Names it in the keeper's line.
+        Identifies it in the allocator's queue.
     asked_at
-        When it asked the keeper last; monotonic.
-    in_line
-        Whether it waits in the keeper's line: then it goes by itself at its last call only.
-    lined_up
-        Whether it ever had a place there.
+        When a slot was last requested from the allocator.
+    in_allocator_queue
+        Whether it waits in the allocator's queue. The local queue then dispatches it only at its
+        dispatch deadline.
+    was_in_allocator_queue
+        Whether it has ever been there.
     answer
-        What its turn came with.
+        The replica on which a slot was granted, or the refusal.
+    wait_ended
+        Set when it is dispatched or refused, or its caller has disconnected.
     """
 
     came_at: float
@@ -129,14 +133,22 @@
     def release(
         self, decided_by: DecidedBy, answer: ChosenReplica | CannotServeInTime | None = None
     ) -> None:
-        """Let it go; the queue's lock is held."""
+        """End its wait; the queue's lock is held."""
         self.decided_by = decided_by
         self.answer = answer
         self.released.set()
 
 
 class _ServiceQueue:
-    """What waits for one service, and how long it serves a request; guarded by the queue's lock."""
+    """Queued requests and service times of one service; guarded by the lock of ``OnlineQueue``.
+
+    Attributes
+    ----------
+    service_s
+        Moving average of the measured service times; 0 before the first answer.
+    first_byte_s
+        Time from the start of service to the first byte.
+    """
 
     def __init__(self) -> None:
         self.held: list[_Held] = []
@@ -146,25 +158,27 @@
 
     @property
     def usual_service_s(self) -> float:
-        """How long a request is served: measured, or assumed before the first answer."""
+        """Average service time of a request; an assumed one before the first answer."""
         return self.service_s or self.assumed_service_s
 
 
 class OnlineQueue:
-    """The queues of one gateway; safe to use from any thread.
+    """The queues of one gateway, one for each service; safe to use from any thread.
 
-    Services whose engines' loads are not known from their keeper have no queue.
+    Local decisions need recent loads of all healthy replicas from the slot allocator; without them
+    every request is dispatched at once.
 
     Parameters
     ----------
-    ask
-        Puts a request to who keeps room for its engines.
+    request_slot
+        Requests a slot from the slot allocator.
     process_name
-        Of this start of the gateway.
-    give_back
-        Hears of a place that was given and is not used.
-    depart
-        Hears of a request, by its service and ticket, that waits in the keeper's line no more.
+        Name of this gateway process; differs after a restart.
+    release_slot
+        Called with a replica whose granted slot is not used.
+    on_left_queue
+        Called with the service and ticket of a request that leaves the allocator's queue before
+        the allocator has granted or refused it a slot.
     """
 
     def __init__(
@@ -188,7 +202,7 @@
 
     @property
     def held(self) -> int:
-        """Requests that are held now."""
+        """Number of requests that wait now."""
         return sum(len(queue.held) for queue in self._by_service.values())
 
     def wait_for_slot(
@@ -198,9 +212,12 @@
         request: ForwardedRequest,
         presence: CallerPresence,
     ) -> ChosenReplica | CannotServeInTime | None:
-        """Return when a request may go to a replica, or its caller has left.
+        """Wait until a request may be dispatched or its caller has disconnected.
 
-        Returns the replica that it got from the keeper's line, if it waited there.
+        Returns
+        -------
+        The replica on which the allocator granted a slot, or its refusal; ``None`` if the decision
+        was local, so that the caller has to choose a replica.
         """
         now = boot_clock.now()
         with self._lock:
@@ -215,11 +232,11 @@
                 if held.released.is_set():
                     return held.answer
                 if not queue.held and self._may_go(service, queue, held, now, 0):
-                    # A keeper that answered too late may give it a turn yet.
+                    # Ends the wait, so that a late grant of the allocator is not accepted.
                     held.release(DecidedBy.OWN)
                     return None
                 queue.held.append(held)
-                # It may go before those that are held: they may all be late already.
+                # It may be dispatched before the others, as these may all be late already.
                 self._release(service, queue, now)
             self._hold(service, queue, held, request, presence)
         finally:
@@ -253,7 +270,7 @@
         request: ForwardedRequest,
         presence: CallerPresence,
     ) -> None:
-        """Wait until a request is let go, or its caller has left."""
+        """Wait until a request is dispatched or refused, or its caller has disconnected."""
         presence.attach(held.released.set)
         try:
             while not held.released.wait(HELD_CHECK_S) and not presence.gone:
@@ -266,7 +283,7 @@
     def _ask_keeper(
         self, service: str, queue: _ServiceQueue, held: _Held, request: ForwardedRequest
     ) -> None:
-        """Ask the keeper, and let the request go if it need not wait in line."""
+        """Request a slot from the allocator, and end the wait if it was granted or refused."""
         answer = self._ask_line(service, queue, held, request)
         if answer is None:
             return
@@ -280,11 +297,11 @@
     def _ask_line(
         self, service: str, queue: _ServiceQueue, held: _Held, request: ForwardedRequest
     ) -> ChosenReplica | CannotServeInTime | None:
-        """Ask the keeper; ``None`` if the request waits, in its line or else here."""
+        """Request a slot from the allocator; return ``None`` if the request has to wait."""
         now = boot_clock.now()
         with self._lock:
             held.asked_at = now
-            # Turns may come before this call returns.
+            # A grant may arrive before this call returns.
             held.in_line = True
             terms = QueueTerms(
                 ticket=held.ticket,
@@ -305,7 +322,7 @@
         return None if answer is QUEUED else answer
 
     def accept_grant(self, ticket: str, replica_id: str) -> bool:
-        """Let a request go whose turn in the keeper's line has come; returns whether it goes."""
+        """Dispatch a request that was granted a slot; return whether the grant is accepted."""
         with self._lock:
             held = self._held_by_ticket.get(ticket)
             if held is None or held.released.is_set():
@@ -318,18 +335,18 @@
             return True
 
     def leave_allocator_queue(self) -> None:
-        """Let what waits in the keeper's line go by what is known here: the keeper is silent."""
+        """Dispatch all requests by local decisions, as the allocator does not respond."""
         with self._lock:
             for held in self._held_by_ticket.values():
                 held.in_line = False
         self.recheck()
 
     def give_back(self, replica: ChosenReplica) -> None:
-        """Note that a place which came with a turn is not used."""
+        """Release a slot that was granted and is not used."""
         self._give_back(replica)
 
     def record(self, service: str, took_s: float, first_byte_s: float) -> None:
-        """Note how long a replica served a request, and look who may go now."""
+        """Record the service times of a request, and dispatch the requests that may go now."""
         with self._lock:
             queue = self._by_service.setdefault(service, _ServiceQueue())
             queue.service_s = _averaged(queue.service_s, took_s)
@@ -337,7 +354,7 @@
         self.recheck()
 
     def recheck(self) -> None:
-        """Let go whoever may go now: loads have changed, or time has passed."""
+        """Dispatch the requests that may go now, after loads have changed or time has passed."""
         now = boot_clock.now()
         with self._lock:
             for service, queue in self._by_service.items():
@@ -345,7 +362,7 @@
                     self._release(service, queue, now)
 
     def _release(self, service: str, queue: _ServiceQueue, now: float) -> None:
-        """Let go from one queue whatever may go, in the order of turns."""
+        """Dispatch the requests of one queue that may go now, in dispatch order."""
         first_byte_s = queue.first_byte_s
         ordered = sorted(
             (held for held in queue.held if not held.released.is_set()),
@@ -364,7 +381,7 @@
     def _may_go(
         self, service: str, queue: _ServiceQueue, held: _Held, now: float, going: int
     ) -> bool:
-        """Return whether a request may go, with ``going`` others let go just now."""
+        """Return whether a request may be dispatched, after ``dispatched`` others in this pass."""
         if now >= held.dispatch_by:
             return True
         if held.in_line:
@@ -378,7 +395,7 @@
         return may_dispatch(engine, held.target_at, now)
 
     def _least_loaded(self, service: str) -> Replica | None:
-        """Return the least loaded sound replica; ``None`` unless all loads are known."""
+        """Return the least loaded healthy replica; ``None`` unless all loads are known."""
         sound = [
             replica
             for replica in self._table.of_service(service)
@@ -391,11 +408,11 @@
     def _enter(
         self, queue: _ServiceQueue, route: RequestRoute, request: ForwardedRequest, now: float
     ) -> _Held:
-        """Tell how old a request is from what is left of its caller's patience.
+        """Return the queue entry of a request, with the estimated age of its first attempt.
 
-        Callers tell how long they wait yet, and the objective counts from their first attempt:
-        who has less patience than a fresh caller of the route has tried before. Tenants' callers
-        are compared among themselves: they need not be alike.
+        The objective counts from the first attempt of a caller, but requests carry only the time
+        that remains to the caller's timeout. A request with less time than a first attempt of the
+        same route and tenant is taken as a retry; the difference is its age.
         """
         left_s = request.deadline.remaining_s()
         kind = (route.name, request.tenant)
--- a/src/quaymill/process/replica_set/replica.py
+++ b/src/quaymill/process/replica_set/replica.py
@@ -1,4 +1,4 @@
-"""One replica as this process sees it: its entry, its load and its recent failures."""
+"""State of one replica in this process: its entry, its load and its recent failures."""
 
 from __future__ import annotations
 
@@ -15,39 +15,45 @@
 from quaymill.process.replica_set.slowness import SlownessRecord
 
 REPORT_HALF_LIFE_S = 1.0
+"""Half-life of the load of other processes according to the last report."""
 POOL_VIEW_LIFETIME_S = 0.6
-"""How long the keeper's word of a replica counts; a gateway with requests asks twice as often."""
+"""How long the allocator's report on a replica is used; reports normally arrive twice as often."""
 BATCH_ITEM_LOAD = 0.25
-"""Part of a request that a batch item counts for: it gives way at once, but that has a price."""
+"""Load of a batch item, in online requests: it is preempted for them, which takes some time."""
 FAILURE_HALF_LIFE_S = 2.0
 EJECTION_PENALTY = 1.5
-"""Failures, weighted by their age, from which on a replica counts as ejected."""
+"""Penalty (failures weighted by their age) from which a replica is ejected."""
 DEFAULT_SLOTS = 8
+"""Slots of a replica whose entry does not state any."""
 LATENCY_WEIGHT = 0.2
+"""Weight of the newest value in the moving average of the time to the first byte."""
 LEAST_SILENCE_S = 0.5
+"""Minimum time without any data until a replica counts as silent."""
 OWN_FAILURE_S = 1.0
-"""How long a failure of this process's own counts as one that happens now."""
+"""How long a failure seen by this process justifies a warning to other gateways."""
 WARNING_LIFETIME_S = 2.0
 MIN_WARNINGS = 2
+"""Gateways that must warn of a replica before it is avoided."""
 SILENCE_FACTOR = 6.0
-"""Silence, in usual times to the first byte, from which on a replica counts as silent."""
+"""Time without any data until a replica counts as silent, as a multiple of its average time to the
+first byte."""
 QUEUED_SILENCE_S = 2.0
-"""The same where all requests from here may still wait for a slot: as long as a stream waits for
-its first event before another replica is tried."""
+"""Time without any data until a replica counts as silent although all requests of this process may
+still wait for a slot there."""
 REPORT_SHOWS_QUEUE_S = 1.0
-"""How long a replica's own word that its slots are taken counts: a few requests' service times."""
+"""How long a replica's report that all its slots are in use is relied on."""
 
 
 @attrs.frozen
 class _Warning:
-    """What another gateway said of a replica.
+    """A warning of another gateway that a replica fails.
 
     Attributes
     ----------
     zone
-        Where that gateway runs.
+        Zone of that gateway.
     at
-        Monotonic time when it came.
+        Monotonic time when the warning was received.
     """
 
     zone: str
@@ -56,7 +62,7 @@
 
 @attrs.frozen
 class _PoolView:
-    """What the keeper of room told of the replica.
+    """Load of the replica as reported by the slot allocator.
 
     Attributes
     ----------
@@ -65,7 +71,7 @@
     batch
         Batch items of all gateways.
     at
-        Monotonic time when it came.
+        Monotonic time when the report was received.
     """
 
     online_elsewhere: int
@@ -74,25 +80,28 @@
 
 
 class Replica:
-    """Load and health of one start of a replica; safe to use from any thread.
+    """Load and health of one process instance of a replica; safe to use from any thread.
 
     Parameters
     ----------
     is_unreachable
-        Returns whether a zone cannot be reached now.
+        Returns whether a zone is unreachable now.
 
     Attributes
     ----------
     in_flight
-        Requests of this process that the replica has now, batch items included.
+        Requests of this process at the replica, batch items included.
     items_in_flight
-        Those of them that are batch items.
+        Batch items of this process at the replica.
     id_hash
-        Spreads replicas over parts of a service, alike in every process.
+        Hash of the identity, the same in every process; spreads replicas over engine pools.
     departed_at
-        Monotonic time since when the platform lists the replica no more.
-    heard_at
-        Monotonic time when something came from it last.
+        Monotonic time when the platform removed the replica from its list; ``None`` if it is
+        listed.
+    last_received_at
+        Monotonic time when any data was last received from it.
+    misdirected
+        Whether it has rejected a request as misdirected, so that its address is no longer valid.
     """
 
     def __init__(
@@ -125,17 +134,17 @@
 
     @property
     def id(self) -> str:
-        """Identity of this incarnation."""
+        """Identity of the replica."""
         return self.entry.id
 
     @property
     def slots(self) -> int:
-        """Requests that the replica works on at once."""
+        """Number of requests that the replica serves concurrently."""
         return self.entry.slots or DEFAULT_SLOTS
 
     @property
     def leaving(self) -> bool:
-        """Whether the replica must get no new work."""
+        """Whether the replica must not get new work."""
         return self.entry.draining or self.misdirected or self.departed_at is not None
 
     def begin(self) -> None:
@@ -146,26 +155,26 @@
             self.in_flight += 1
 
     def hear(self) -> None:
-        """Note that something came from the replica, whatever it was."""
+        """Record that any data was received from the replica."""
         self._quiet_since = self.heard_at = boot_clock.now()
 
     @property
     def zone(self) -> str:
-        """Where it runs."""
+        """Zone in which the replica runs."""
         return self.entry.zone
 
     @property
     def owes_since(self) -> float | None:
-        """Since when it has been silent with a request from here; ``None`` without one."""
+        """Time since when requests of this process wait for data (monotonic), or ``None``."""
         return self._quiet_since if self.in_flight else None
 
     @property
     def unreachable(self) -> bool:
-        """Whether its zone cannot be reached now."""
+        """Whether its zone is unreachable now."""
         return self._is_unreachable(self.entry.zone)
 
     def begin_answer(self) -> None:
-        """Count a request whose answer has begun to come, or whose connection was closed."""
+        """Count a request whose answer has begun, or whose connection was closed."""
         self._quiet_since = boot_clock.now()
         with self._lock:
             self._answering += 1
@@ -177,11 +186,11 @@
 
     @property
     def silent(self) -> bool:
-        """Whether the replica owes this process answers and nothing at all comes.
+        """Whether the replica has requests of this process but sends no data at all.
 
-        One that is dark or frozen ceases to send on all connections at once, which shows long
-        before any single request has waited for long. Where no answer has begun and the slots
-        are taken, the requests from here wait for a slot, and say nothing of the replica.
+        A replica that has failed or is frozen stops sending on all connections at once, which is
+        detected long before a single request times out. If no answer has begun and all slots are
+        in use, the requests of this process just wait for a slot.
         """
         if not self.in_flight:
             return False
@@ -191,7 +200,7 @@
         return self._answering > 0 or quiet_s > QUEUED_SILENCE_S or not self._is_full()
 
     def _is_full(self) -> bool:
-        """Return whether all slots are taken, as far as is known here."""
+        """Return whether all slots are in use, as far as this process knows."""
         view = self._pool_view
         if self.has_pool_view:
             own = self.in_flight - self.items_in_flight
@@ -219,17 +228,17 @@
             self.items_in_flight -= 1
 
     def take_pool_view(self, online_elsewhere: int, batch: int) -> None:
-        """Take what the keeper of room knows of all gateways' requests at the replica."""
+        """Record the slot allocator's report on the load of all gateways at the replica."""
         self._pool_view = _PoolView(online_elsewhere, batch, boot_clock.now())
 
     @property
     def has_pool_view(self) -> bool:
-        """Whether the keeper's word of the replica is new enough to count."""
+        """Whether the slot allocator's report on the replica is recent enough to be used."""
         view = self._pool_view
         return view is not None and boot_clock.now() - view.at < POOL_VIEW_LIFETIME_S
 
     def take_report(self, load: ReportedLoad) -> None:
-        """Take what the replica told; it includes this process's own requests."""
+        """Record the load reported by the replica, which includes requests of this process."""
         with self._lock:
             self._reported = load
             self._others = max(0.0, load.running + load.waiting - self.in_flight)
@@ -237,26 +246,25 @@
             self._slowness.take(SlownessReading(load.slowness, self._reported_at))
 
     def take_slowness(self, slowness: float, age_s: float) -> None:
-        """Take what the replica told another gateway so many seconds ago."""
+        """Record the slowness that the replica reported to another gateway ``age_s`` ago."""
         with self._lock:
             self._slowness.take(SlownessReading(slowness, boot_clock.now() - age_s))
 
     def reported_slowness(self) -> SlownessReading | None:
-        """Return the replica's last word of its slowness; ``None`` where it tells nothing of it."""
+        """Return the last slowness reported by the replica; ``None`` if it does not report any."""
         with self._lock:
             return self._slowness.last if self._slowness.tells else None
 
     def slowness(self) -> float:
-        """Return how many times as long as usual work is expected to take now."""
+        """Return the expected duration of work now, as a multiple of the usual duration."""
         return self._slowness.at(boot_clock.now())
 
     def load(self) -> float:
-        """Return the estimated number of requests at the replica, as an online request counts.
+        """Return the estimated load of the replica, in online requests.
 
-        The keeper's word goes first while it is new: it knows the requests of all gateways, and
-        which of them are batch items that give way. Else requests of other processes are known
-        from the last report only, and count for less the older it is: without news the
-        estimate falls back to this process's own.
+        The slot allocator's report is used while it is recent, as it covers the requests of all
+        gateways and distinguishes batch items. Otherwise the requests of other processes are
+        taken from the replica's last report, with a weight that decays with its age.
         """
         view = self._pool_view
         if self.has_pool_view:
@@ -266,7 +274,7 @@
         return self.in_flight + self._others * 0.5 ** (age_s / REPORT_HALF_LIFE_S)
 
     def reported(self) -> tuple[ReportedLoad | None, float]:
-        """Return what the replica told last with an answer, and when (monotonic)."""
+        """Return the load that the replica last reported, and the monotonic time of the report."""
         with self._lock:
             return self._reported, self._reported_at
 
@@ -275,15 +283,15 @@
         return boot_clock.now() - self._reported_at
 
     def record_success(self, first_byte_s: float) -> None:
-        """Note a timely answer."""
+        """Record a timely answer, and halve the penalty."""
         with self._lock:
             self._set_penalty(self._present_penalty() / 2)
             self._first_byte_s += LATENCY_WEIGHT * (first_byte_s - self._first_byte_s)
 
     def record_failure(self, weight: float = 1.0) -> None:
-        """Note a failure; ``weight`` says how much it tells of the replica.
+        """Record a failure, and add ``weight`` to the penalty.
 
-        Where its whole zone cannot be reached, a failure says nothing of the replica.
+        Ignored while the whole zone is unreachable, as the replica may be healthy then.
         """
         if self.unreachable:
             return
@@ -292,22 +300,22 @@
             self._set_penalty(self._present_penalty() + weight)
 
     def take_warning(self, gateway: str, zone: str) -> None:
-        """Note that the replica fails for another gateway."""
+        """Record that the replica fails for another gateway."""
         with self._lock:
             self._warnings[gateway] = _Warning(zone, boot_clock.now())
             if self._is_warned_of():
-                # So that it is tried again by few at first, once the warnings lapse.
+                # Once the warnings expire, it gets only a few requests at first.
                 self._set_penalty(max(EJECTION_PENALTY, self._present_penalty()))
 
     @property
     def fails_here(self) -> bool:
-        """Whether it fails for this process now, whatever others say."""
+        """Whether it fails for this process now, regardless of warnings."""
         failed_just_now = boot_clock.now() - self._failed_at < OWN_FAILURE_S
         return self.silent or (failed_just_now and self.ejected)
 
     @property
     def avoided(self) -> bool:
-        """Whether it gets nothing new while others are sound."""
+        """Whether it is not chosen as long as other replicas are healthy."""
         if self.unreachable or self.ejected or self.silent:
             return True
         if not self._warnings:
@@ -317,12 +325,12 @@
 
     @property
     def ejected(self) -> bool:
-        """Whether recent failures keep the replica from being chosen while others are sound."""
+        """Whether its penalty is so high that it is avoided."""
         return self._present_penalty() >= EJECTION_PENALTY
 
     @property
     def penalty(self) -> float:
-        """Recent failures, weighted by their age."""
+        """Sum of the weights of recent failures, decayed by their age."""
         return self._present_penalty()
 
     @property
@@ -333,7 +341,7 @@
     def _is_warned_of(self) -> bool:
         """Return whether enough gateways warn of it; the lock is held.
 
-        Gateways of one other zone are not enough: their link to this zone may be cut.
+        Warnings from a single other zone are not enough: its link to this zone may be cut.
         """
         if not self._warnings:
             return False
@@ -345,7 +353,7 @@
         return len(self._warnings) >= MIN_WARNINGS and (len(zones) > 1 or self.entry.zone in zones)
 
     def _set_penalty(self, penalty: float) -> None:
-        """Store a penalty, and tell when it begins or ceases to eject; the lock is held."""
+        """Store a penalty, and log an ejection or the end of one; the lock is held."""
         self._penalty = penalty
         self._penalty_at = boot_clock.now()
         ejected = penalty >= EJECTION_PENALTY
@@ -366,12 +374,12 @@
 
 
 def best_group(replicas: Iterable[Replica]) -> list[Replica]:
-    """Return the sound ones; if there are none, those in zones that are reached; else all."""
+    """Return the healthy replicas; if there are none, those in reachable zones, or else all."""
     every = list(replicas)
     sound = [one for one in every if not one.avoided]
     return sound or [one for one in every if not one.unreachable] or every
 
 
 def online_load(online: int, batch: int) -> float:
-    """Return how many requests a replica's work counts as for an online request."""
+    """Return the load of online requests and batch items, in online requests."""
     return online + BATCH_ITEM_LOAD * batch
--- a/src/quaymill/process/replica_set/replica_cost.py
+++ b/src/quaymill/process/replica_set/replica_cost.py
@@ -1,6 +1,6 @@
-"""How busy a replica counts for an online request, and which one counts as least busy.
+"""Estimates the cost of an online request at a replica, and chooses the least costly replica.
 
-Used by a gateway that chooses by itself, and by the keeper of room that chooses for others.
+Used by a gateway for its local choice and by the slot allocator for all gateways.
 """
 
 from __future__ import annotations
@@ -12,20 +12,25 @@
 from quaymill.process.replica_set.replica import Replica
 
 OTHER_ZONE_LOAD = 1.5
-"""Requests by which a replica of another zone counts as busier. While replicas of the own zone have
-a free slot, another zone serves no sooner: the way there takes longer, and bytes between zones are
-priced (docs/PLATFORM.md, largest prices). More would let requests wait in bursts."""
+"""Additional load, in requests, of a replica in another zone: latency is higher, and traffic
+between zones is charged. A larger value would let requests wait in the local zone in bursts."""
 OTHER_ZONE_KEPT_LOAD = 0.75
-"""The same where it is likely to hold a large part of the prompt: what need not be read there again
-outweighs the way."""
+"""The same for a replica that has probably cached a large part of the prompt."""
 
 
 def expected_cost(load: float, slots: int, slowness: float) -> float:
-    """Return what a request costs at a replica, in requests of one where work takes its usual time.
+    """Return the cost of a request at a replica, as an equivalent load in requests.
 
-    A request takes as long as it is worked on, and its part of what waits for the slots before it;
-    both grow with how slow the replica is. What that adds counts as so many requests as would be
-    done in it; at a replica where work takes its usual time the cost is the load.
+    At usual slowness the cost is the load. A request takes its service time plus its share of the
+    time for which requests wait for a slot; both are proportional to the slowness. The additional
+    time at a slower replica is converted to the number of requests that are served in it.
+
+    Parameters
+    ----------
+    load
+        Requests at the replica.
+    slowness
+        Duration of work as a multiple of the usual duration.
     """
     waiting = max(0.0, load - slots)
     return load + (slowness - USUAL_SLOWNESS) * (slots + waiting)
@@ -38,14 +43,14 @@
     offsets: Mapping[str, float],
     rng: random.Random,
 ) -> Replica:
-    """Return the replica where a request costs least as a gateway of ``zone`` counts it.
+    """Return the replica with the lowest cost for a request of a gateway in ``zone``.
 
     Parameters
     ----------
     offsets
-        Requests that are added to the load, by replica.
+        Requests to add to the load, by replica identity.
     rng
-        Decides among those that are alike.
+        Breaks ties.
     """
 
     def cost(replica: Replica) -> tuple[float, float]:
--- a/src/quaymill/process/replica_set/router.py
+++ b/src/quaymill/process/replica_set/router.py
@@ -1,10 +1,9 @@
 """Chooses the replica that gets a request.
 
-Among the replicas that may take work the one with the least estimated load is taken, with
-two corrections: a replica of another zone counts as a little busier, and one that is likely
-to hold a large shared part of the prompt counts as less busy by what reading it would cost.
-What is known of the load here is older than a peak of requests takes to build up, so who keeps
-room for the replica's pool is asked first, and its choice goes before that made here.
+The replica with the lowest estimated cost is chosen. The cost is the load with two corrections: a
+replica of another zone counts as slightly busier, and a replica that has probably cached a large
+shared part of the prompt counts as less busy. The loads known here are too old during a burst of
+requests, so the slot allocator of the replica's pool is asked, and its choice takes precedence.
 """
 
 from __future__ import annotations
@@ -24,27 +23,30 @@
 from quaymill.version.request_routes import RequestRoute, WeightedService
 
 AFFINITY_MIN_TOKENS = 1000
+"""Smaller shared parts of a prompt do not affect the choice."""
 AFFINITY_TOKENS_PER_REQUEST = 2000.0
-"""Shared tokens that are worth as much as one request less at the replica."""
+"""Shared tokens that lower the load of a replica by one request."""
 SECOND_HOME_SHARE = 0.5
+"""Bonus of the second replica that a shared part hashes to, as a share of that of the first."""
 PENALTY_LOAD = 2.0
-"""Requests that one failure just now counts for: two thirds of what ejects a replica."""
+"""Load of one unit of penalty, in requests."""
 MIN_OFFSET = 0.1
-"""Requests; less does not change a choice, and is not worth being told."""
+"""Smallest offset in requests that is sent to the slot allocator."""
 LAST_RESORT_DEPARTED_S = 0.5
-"""With the time until a departure is read, this stays below what a leaving replica allows."""
+"""How long after its departure a replica may still be used if there is no other. Together with the
+delay until a departure is read, it is shorter than the time for which a leaving replica serves."""
 
 
 @attrs.frozen
 class PlacementConstraints:
-    """What a gateway wants its request's place to be chosen by.
+    """Constraints of a gateway on the replica that the slot allocator chooses for a request.
 
     Attributes
     ----------
     excluded
-        Replicas that have been tried, or fail for this gateway.
+        Identities of replicas that have been tried or are unhealthy for this gateway.
     offsets
-        Requests that are added to the load, by replica.
+        Requests to add to the load, by replica identity.
     """
 
     excluded: frozenset[str]
@@ -52,7 +54,8 @@
 
 
 PlaceCall = Callable[[Replica, PlacementConstraints], Replica | None]
-"""Asks who keeps room for a replica's pool for a place in that pool; ``None`` if it cannot tell."""
+"""Asks the slot allocator of a replica's pool to choose a replica of that pool; returns ``None`` if
+it does not respond or has no choice."""
 
 
 class Router:
@@ -61,9 +64,9 @@
     Parameters
     ----------
     zone
-        Where this process runs.
+        Zone of this process.
     place
-        Whom to ask for a better choice than can be made here.
+        Asks the slot allocator, whose choice replaces the local one.
     """
 
     def __init__(
@@ -84,7 +87,7 @@
         if len(route.services) == 1:
             return route.services[0].service
         weighted = [part for part in route.services if part.weight > 0] or list(route.services)
-        # A change of the weights starts the counts anew: the new shares hold from then on.
+        # The weights are part of the key, so that a change of them resets the counts.
         counts = self._served.setdefault((route.name, route.services), {})
         chosen = min(
             weighted, key=lambda part: (counts.get(part.service, 0) + 1) / (part.weight or 1)
@@ -121,9 +124,9 @@
     def constraints_of(
         self, service: str, prompt: Prompt = NO_PROMPT
     ) -> tuple[Replica, PlacementConstraints] | None:
-        """Return what a request that has not been tried would choose, and by what.
+        """Return the local choice for a request that was not tried yet, and its constraints.
 
-        ``None`` if no replica is sound.
+        Returns ``None`` if no replica is healthy.
         """
         candidates = [one for one in self._table.of_service(service) if not one.leaving]
         sound = [one for one in candidates if not one.avoided]
@@ -142,7 +145,7 @@
         return first, PlacementConstraints(excluded | unsound, offsets)
 
     def may_reach_another(self, service: str, excluded: Iterable[str]) -> bool:
-        """Return whether a replica that is not in ``excluded`` lies in a zone that is reached."""
+        """Return whether a replica that is not in ``excluded`` is in a reachable zone."""
         return any(
             not replica.leaving and replica.id not in excluded and not replica.unreachable
             for replica in self._table.of_service(service)
@@ -152,7 +155,7 @@
         return least_costly(candidates, Replica.load, self._zone, offsets, self._random)
 
     def _offsets(self, candidates: list[Replica], prompt: Prompt) -> dict[str, float]:
-        """Return what recent failures and kept parts of the prompt add to the loads."""
+        """Return the load offsets by recent failures and cached prompt parts, by replica."""
         homes = self._homes(candidates, prompt)
         offsets = {
             replica.id: PENALTY_LOAD * replica.penalty - homes.get(replica.id, 0.0)
@@ -161,7 +164,7 @@
         return {name: offset for name, offset in offsets.items() if abs(offset) >= MIN_OFFSET}
 
     def _homes(self, candidates: list[Replica], prompt: Prompt) -> dict[str, float]:
-        """Return the bonus of the replicas that a large shared part of the prompt hashes to."""
+        """Return the bonuses of the two replicas to which a large shared prompt part hashes."""
         part = prompt.largest_shared_part()
         if part is None or part.tokens < AFFINITY_MIN_TOKENS:
             return {}
@@ -172,7 +175,7 @@
 
 
 def _departed_just_now(replica: Replica) -> bool:
-    """Tell whether a replica may still serve: entries also vanish while the store is down."""
+    """Return whether a departed replica may still serve: entries also expire in a store outage."""
     return (
         replica.departed_at is not None
         and not replica.misdirected
--- a/src/quaymill/process/replica_set/slowness.py
+++ b/src/quaymill/process/replica_set/slowness.py
@@ -1,8 +1,7 @@
-"""How long work takes at one replica now, from what it told of that, by its age.
+"""Estimates the current slowness of a replica from its reports.
 
-Replicas share their machines with others, which makes some of them slow for tenths of a second. A
-word of it is worth little when it is as old as that: what is believed then goes back to what the
-replica has told on the whole.
+Replicas share their machines with other processes, which makes some of them slow for tenths of a
+second. The effect of a report therefore decays quickly, towards the average of all reports.
 """
 
 from __future__ import annotations
@@ -10,22 +9,21 @@
 from quaymill.connection.replica_entry import USUAL_SLOWNESS, SlownessReading
 
 SLOWNESS_HALF_LIFE_S = 0.05
-"""What a machine's other work does to a replica is over in some tenths of a second, and a short
-request takes a tenth: a word as old as that says nothing of how the next one is served."""
+"""Half-life of the difference between the last report and the average."""
 USUAL_WEIGHT = 0.02
-"""Part of a word in what is usual of the replica: fifty of them make it up, so that those that
-fell into a slow moment by chance do not stand out for long."""
+"""Weight of the newest report in the moving average; small, so that a few reports from a short slow
+period change it little."""
 
 
 class SlownessRecord:
-    """What one replica has told; the lock of whoever holds the record guards it.
+    """Slowness reports of one replica; not thread-safe, guarded by the lock of its owner.
 
     Attributes
     ----------
     last
-        Its newest word.
-    tells
-        Whether it has ever told anything but that work takes as long as usual.
+        The newest report.
+    has_reports
+        Whether any report differed from ``USUAL_SLOWNESS``, which also stands for no report.
     """
 
     def __init__(self) -> None:
@@ -34,16 +32,17 @@
         self._usual = USUAL_SLOWNESS
 
     def take(self, reading: SlownessReading) -> None:
-        """Take a word; an older one than the last counts for what is usual alone."""
+        """Record a report; one that is older than the last affects only the average."""
         self.tells = self.tells or reading.slowness != USUAL_SLOWNESS
         if self.last is None or reading.at > self.last.at:
             self.last = reading
         self._usual += USUAL_WEIGHT * (reading.slowness - self._usual)
 
     def at(self, now: float) -> float:
-        """Return how many times as long as usual work is expected to take now."""
+        """Return the expected duration of work now, as a multiple of the usual duration."""
         if self.last is None:
             return USUAL_SLOWNESS
-        # A word that it is quick now must not draw work: what is heard of most is what is busy.
+        # Only slower reports count: a fast one would attract requests to the replicas that report
+        # most often, which are the busy ones.
         excess = max(0.0, self.last.slowness - self._usual)
         return self._usual + excess * 0.5 ** (max(0.0, now - self.last.at) / SLOWNESS_HALF_LIFE_S)
--- a/src/quaymill/process/replica_set/table.py
+++ b/src/quaymill/process/replica_set/table.py
@@ -1,4 +1,4 @@
-"""The replicas by identity and by service, kept as the platform lists them."""
+"""Table of the replicas by identity and by service, kept in line with the platform's list."""
 
 from __future__ import annotations
 
@@ -12,17 +12,18 @@
 from quaymill.process.replica_set.replica import Replica
 
 DEPARTED_RETENTION_S = 30.0
+"""How long a replica stays in the table after the platform has removed it from its list."""
 
 
 class ReplicaTable:
-    """Replicas that are listed, and for a while those that were.
+    """Replicas that are listed, and for a while those that have departed.
 
     Parameters
     ----------
     on_departed
-        Called with each replica that is listed no more.
+        Called with each replica that is no longer listed.
     is_unreachable
-        Returns whether a zone cannot be reached now.
+        Returns whether a zone is unreachable now.
     """
 
     def __init__(
@@ -37,7 +38,7 @@
         self._by_service: dict[str, tuple[Replica, ...]] = {}
         self._read_revision = 0
         self.revision = 0
-        """Revision of the platform's store at which the replicas last changed."""
+        """Revision of the platform's store at which the table last changed."""
 
     def of_service(self, service: str) -> tuple[Replica, ...]:
         """Return the replicas of a service, departed ones included."""
@@ -48,7 +49,7 @@
         return self._by_id.get(replica_id)
 
     def listed_entry(self, replica_id: str) -> ReplicaEntry | None:
-        """Return what a listed replica last said of itself; ``None`` if it is not listed."""
+        """Return the entry of a replica; ``None`` if it is not listed."""
         replica = self._by_id.get(replica_id)
         return None if replica is None or replica.departed_at is not None else replica.entry
 
@@ -57,7 +58,7 @@
         return tuple(self._by_id.values())
 
     def count(self, wanted: Callable[[Replica], bool]) -> int:
-        """Return how many replicas are as ``wanted`` says."""
+        """Return the number of replicas for which ``predicate`` is true."""
         return sum(1 for replica in list(self._by_id.values()) if wanted(replica))
 
     def entries(self) -> tuple[ReplicaEntry, ...]:
@@ -69,17 +70,22 @@
     def replace_all(
         self, entries: Iterable[ReplicaEntry], revision: int, *, keep_missing: bool = False
     ) -> int:
-        """Take a whole list as the platform held it at ``revision``.
+        """Replace the listed replicas by the platform's list at ``revision``.
+
+        The revision of the table increases only when its content changes, so that gateways with
+        the same replicas do not exchange them. A list that is older than the last one is ignored.
+        If its revision is above that of the table, another gateway would keep sending it, so the
+        revision of the table is raised to that of the last list.
+
+        Parameters
+        ----------
+        keep_missing
+            Keep the replicas that are missing in ``entries``, as entries that expired during an
+            outage of the store may return.
 
         Returns
         -------
-        How many replicas are kept although the list lacks them: with ``keep_missing``, while
-        entries that lapsed during an outage of the store may still come back.
-
-        The table's own revision rises only with its content, so that gateways which hold the
-        same replicas have nothing to tell each other. A list that is older than the one read
-        last changes nothing; if another gateway holds that for news, this one's revision rises
-        above it.
+        Number of replicas that are missing in ``entries`` and were kept.
         """
         with self._lock:
             if revision < self._read_revision:
@@ -103,10 +109,10 @@
             return kept
 
     def take_from_peer(self, entries: Iterable[ReplicaEntry], revision: int) -> None:
-        """Take the list of a gateway that is ahead.
+        """Replace the listed replicas by the list of a gateway with a newer revision.
 
-        A replica that went and came back meanwhile leaves the content as it was here; the
-        revision rises nevertheless, or the same list would be asked for again and again.
+        The revision is raised even if the content is the same, for example after a replica
+        departed and returned. Otherwise the same list would be requested again and again.
         """
         self.replace_all(entries, revision)
         with self._lock:
@@ -119,7 +125,7 @@
             log_message("replica:listed", replica=entry.id, service=entry.service, zone=entry.zone)
             return
         if entry.born_ms != replica.entry.born_ms:
-            # The order of starts is the store's: a replica's own clock may have been set back.
+            # Any different start time is a newer start: the replica's clock may have been set back.
             log_message("replica:started_again", replica=entry.id, service=entry.service)
             replica.departed_at = boot_clock.now()
             self._on_departed(replica)
--- a/src/quaymill/process/replica_set/warnings.py
+++ b/src/quaymill/process/replica_set/warnings.py
@@ -1,8 +1,8 @@
-"""Gateways warn each other of replicas that fail.
+"""Exchanges warnings of failing replicas between gateways.
 
-A replica that accepts requests and answers none looks idle, and draws the next request of every
-gateway that has not met it yet. With many gateways, each would lose one before it knows; with
-warnings two of them lose one.
+A replica that accepts requests but does not answer looks idle and attracts requests of all
+gateways. Without warnings, every gateway would lose a request before it avoids the replica; with
+warnings only a few of them do.
 """
 
 from __future__ import annotations
@@ -22,19 +22,22 @@
 from quaymill.process.replica_set.table import ReplicaTable
 
 CHECK_INTERVAL_S = 0.2
+"""Interval at which the replicas are checked."""
 REPEAT_AFTER_S = 1.0
+"""Interval at which the warning of a replica is repeated while it fails."""
 CALL_TIMEOUT_S = 0.3
 MAX_FAILING_SHARE = 0.25
-"""With more of a service's replicas failing, this gateway is likelier at fault than they are."""
+"""Share of a service's replicas. If more of them fail for this gateway, the cause is probably the
+gateway itself, and no warning is sent."""
 
 
 class ReplicaWarnings:
-    """Sends warnings of this gateway, and takes those of others.
+    """Sends warnings to the other gateways, and records those received from them.
 
     Parameters
     ----------
     other_gateways
-        Returns the live gateways but this one.
+        Returns the live gateways without this one.
     """
 
     def __init__(
@@ -56,15 +59,15 @@
         peer_server.register(WarnOfReplicas, self.take)
 
     def start(self) -> None:
-        """Begin to warn others."""
+        """Start the thread that sends warnings."""
         threading.Thread(target=self._run, name="replica-warnings", daemon=True).start()
 
     def stop(self) -> None:
-        """Warn no more."""
+        """Stop sending warnings."""
         self._stopping.set()
 
     def take(self, message: WarnOfReplicas) -> Warned:
-        """Note the warning of another gateway."""
+        """Record the warnings of another gateway, and return the reply."""
         for replica_id in message.replica_ids:
             replica = self._table.get(replica_id)
             if replica is not None:
@@ -78,7 +81,7 @@
                 self._warn(replica_ids)
 
     def _due(self) -> tuple[str, ...]:
-        """Return the replicas to warn of now."""
+        """Return the identities of the replicas to warn of now."""
         replicas = [replica for replica in self._table.replicas() if not replica.leaving]
         failing = [replica for replica in replicas if replica.fails_here]
         if not failing:
