--- a/src/quaymill/process/replica_set/online_queue.py
+++ b/src/quaymill/process/replica_set/online_queue.py
@@ -32,29 +32,29 @@
 from quaymill.request.replica_choice import CannotServeInTime, ChosenReplica
 from quaymill.version.request_routes import RequestRoute
 
-PATIENCE_SAMPLES = 256
+REMAINING_TIME_SAMPLES = 256
 """Recent requests kept for each route and tenant; covers a few seconds at peak load."""
-MAX_PATIENCE_KINDS = 512
+MAX_REMAINING_TIME_KEYS = 512
 """Pairs of route and tenant with samples; the least recently used are dropped."""
-MIN_PATIENCE_SAMPLES = 8
+MIN_REMAINING_TIME_SAMPLES = 8
 """With fewer samples, every request counts as a first attempt."""
-FRESH_QUANTILE = 0.75
+FIRST_ATTEMPT_QUANTILE = 0.75
 """Quantile of the remaining times that is taken as that of a first attempt: retries have less time
 left, and few callers start with more."""
 SERVICE_TIME_WEIGHT = 0.05
 """Weight of the newest request in the moving average of the service time."""
-UNKNOWN_SERVICE_OBJECTIVES = 2.0
+ASSUMED_SERVICE_OBJECTIVES = 2.0
 """Service time, as a multiple of the route's objective, that is assumed until the first answer.
 Without it, a gateway that starts after an outage would dispatch the whole backlog at once."""
-LAST_CALL_FACTOR = 2.0
+DISPATCH_DEADLINE_SERVICE_TIMES = 2.0
 """Average service times that remain to the caller's timeout at the dispatch deadline."""
-LAST_CALL_MARGIN_S = 0.5
+DISPATCH_DEADLINE_MARGIN_S = 0.5
 """Added to that for the network round trip to the caller and one step of the engine."""
-HELD_CHECK_S = 0.25
+RECHECK_INTERVAL_S = 0.25
 """How often a queued request rechecks whether it may be dispatched."""
-ASK_AGAIN_S = 1.0
+SLOT_REQUEST_INTERVAL_S = 1.0
 """Interval at which a queued request repeats its slot request: the allocator may have restarted."""
-TOLD_HELD_S = 0.05
+MIN_LOGGED_WAIT_S = 0.05
 """Shorter waits are not logged."""
 
 
@@ -76,18 +76,18 @@
 class DecidedBy(enum.Enum):
     """Who decided that a queued request is dispatched; the values appear in the log."""
 
-    LINE = "line"
-    OWN = "own"
-    LAST_CALL = "last call"
-    NOBODY = "nobody"
+    ALLOCATOR = "line"
+    LOCAL = "own"
+    DISPATCH_DEADLINE = "last call"
+    UNDECIDED = "nobody"
 
 
-def _no_line(service: str, request: ForwardedRequest, terms: QueueTerms) -> None:
+def _no_allocator(service: str, request: ForwardedRequest, terms: QueueTerms) -> None:
     """Act as if there were no slot allocator."""
 
 
 @attrs.define(eq=False)
-class _Held:
+class _QueuedRequest:
     """A request that waits to be dispatched. All times are monotonic.
 
     Attributes
@@ -117,26 +117,26 @@
         Set when it is dispatched or refused, or its caller has disconnected.
     """
 
-    came_at: float
+    arrived_at: float
     target_at: float
     dispatch_by: float
     rank: int
     age_s: float = 0.0
     ticket: str = ""
     asked_at: float = 0.0
-    in_line: bool = False
-    lined_up: bool = False
+    in_allocator_queue: bool = False
+    was_in_allocator_queue: bool = False
     answer: ChosenReplica | CannotServeInTime | None = None
-    decided_by: DecidedBy = DecidedBy.NOBODY
-    released: threading.Event = attrs.field(factory=threading.Event)
+    decided_by: DecidedBy = DecidedBy.UNDECIDED
+    wait_ended: threading.Event = attrs.field(factory=threading.Event)
 
-    def release(
+    def end_wait(
         self, decided_by: DecidedBy, answer: ChosenReplica | CannotServeInTime | None = None
     ) -> None:
         """End its wait; the queue's lock is held."""
         self.decided_by = decided_by
         self.answer = answer
-        self.released.set()
+        self.wait_ended.set()
 
 
 class _ServiceQueue:
@@ -151,7 +151,7 @@
     """
 
     def __init__(self) -> None:
-        self.held: list[_Held] = []
+        self.requests: list[_QueuedRequest] = []
         self.service_s = 0.0
         self.assumed_service_s = 0.0
         self.first_byte_s = 0.0
@@ -184,26 +184,28 @@
     def __init__(
         self,
         table: ReplicaTable,
-        ask: RequestSlot = _no_line,
+        request_slot: RequestSlot = _no_allocator,
         process_name: str = "",
-        give_back: Callable[[ChosenReplica], None] = lambda replica: None,
-        depart: Callable[[str, str], None] = lambda service, ticket: None,
+        release_slot: Callable[[ChosenReplica], None] = lambda replica: None,
+        on_left_queue: Callable[[str, str], None] = lambda service, ticket: None,
     ) -> None:
         self._table = table
-        self._ask = ask
+        self._ask = request_slot
         self._process_name = process_name
-        self._give_back = give_back
-        self._depart = depart
+        self._release_slot = release_slot
+        self._on_left_queue = on_left_queue
         self._tickets = itertools.count()
-        self._held_by_ticket: dict[str, _Held] = {}
+        self._held_by_ticket: dict[str, _QueuedRequest] = {}
         self._lock = threading.Lock()
-        self._by_service: dict[str, _ServiceQueue] = {}
-        self._patience_by_kind: OrderedDict[tuple[str, str | None], deque[float]] = OrderedDict()
+        self._queues_by_service: dict[str, _ServiceQueue] = {}
+        self._remaining_times_by_key: OrderedDict[tuple[str, str | None], deque[float]] = (
+            OrderedDict()
+        )
 
     @property
     def held(self) -> int:
         """Number of requests that wait now."""
-        return sum(len(queue.held) for queue in self._by_service.values())
+        return sum(len(queue.requests) for queue in self._queues_by_service.values())
 
     def wait_for_slot(
         self,
@@ -221,135 +223,140 @@
         """
         now = boot_clock.now()
         with self._lock:
-            queue = self._by_service.setdefault(service, _ServiceQueue())
+            queue = self._queues_by_service.setdefault(service, _ServiceQueue())
             if not queue.service_s:
-                queue.assumed_service_s = UNKNOWN_SERVICE_OBJECTIVES * route.objective_s
-            held = self._enter(queue, route, request, now)
-            self._held_by_ticket[held.ticket] = held
+                queue.assumed_service_s = ASSUMED_SERVICE_OBJECTIVES * route.objective_s
+            queued = self._create_queued_request(queue, route, request, now)
+            self._held_by_ticket[queued.ticket] = queued
         try:
-            self._ask_keeper(service, queue, held, request)
+            self._ask_allocator(service, queue, queued, request)
             with self._lock:
-                if held.released.is_set():
-                    return held.answer
-                if not queue.held and self._may_go(service, queue, held, now, 0):
+                if queued.wait_ended.is_set():
+                    return queued.answer
+                if not queue.requests and self._may_go(service, queue, queued, now, 0):
                     # Ends the wait, so that a late grant of the allocator is not accepted.
-                    held.release(DecidedBy.OWN)
+                    queued.end_wait(DecidedBy.LOCAL)
                     return None
-                queue.held.append(held)
+                queue.requests.append(queued)
                 # It may be dispatched before the others, as these may all be late already.
-                self._release(service, queue, now)
-            self._hold(service, queue, held, request, presence)
+                self._dispatch_ready(service, queue, now)
+            self._wait(service, queue, queued, request, presence)
         finally:
             with self._lock:
-                del self._held_by_ticket[held.ticket]
-                if held in queue.held:
-                    queue.held.remove(held)
-            if held.lined_up and held.decided_by is not DecidedBy.LINE:
-                self._depart(service, held.ticket)
+                del self._held_by_ticket[queued.ticket]
+                if queued in queue.requests:
+                    queue.requests.remove(queued)
+            if queued.was_in_allocator_queue and queued.decided_by is not DecidedBy.ALLOCATOR:
+                self._on_left_queue(service, queued.ticket)
         held_s = boot_clock.now() - now
-        if held_s >= TOLD_HELD_S:
+        if held_s >= MIN_LOGGED_WAIT_S:
             log_message(
                 "request:held",
                 request_id=request.id,
                 service=service,
                 held_s=round(held_s, 3),
-                late=boot_clock.now() > held.target_at,
-                waiting=len(queue.held),
+                late=boot_clock.now() > queued.target_at,
+                waiting=len(queue.requests),
                 service_s=round(queue.usual_service_s, 3),
-                decided_by=held.decided_by.value,
-                rank=held.rank,
-                age_s=round(held.age_s, 3),
+                decided_by=queued.decided_by.value,
+                rank=queued.rank,
+                age_s=round(queued.age_s, 3),
             )
-        return held.answer
+        return queued.answer
 
-    def _hold(
+    def _wait(
         self,
         service: str,
         queue: _ServiceQueue,
-        held: _Held,
+        queued: _QueuedRequest,
         request: ForwardedRequest,
         presence: CallerPresence,
     ) -> None:
         """Wait until a request is dispatched or refused, or its caller has disconnected."""
-        presence.attach(held.released.set)
+        presence.attach(queued.wait_ended.set)
         try:
-            while not held.released.wait(HELD_CHECK_S) and not presence.gone:
-                if boot_clock.now() - held.asked_at >= ASK_AGAIN_S or not held.in_line:
-                    self._ask_keeper(service, queue, held, request)
+            while not queued.wait_ended.wait(RECHECK_INTERVAL_S) and not presence.gone:
+                if (
+                    boot_clock.now() - queued.asked_at >= SLOT_REQUEST_INTERVAL_S
+                    or not queued.in_allocator_queue
+                ):
+                    self._ask_allocator(service, queue, queued, request)
                 self.recheck()
         finally:
             presence.detach()
 
-    def _ask_keeper(
-        self, service: str, queue: _ServiceQueue, held: _Held, request: ForwardedRequest
+    def _ask_allocator(
+        self, service: str, queue: _ServiceQueue, queued: _QueuedRequest, request: ForwardedRequest
     ) -> None:
         """Request a slot from the allocator, and end the wait if it was granted or refused."""
-        answer = self._ask_line(service, queue, held, request)
+        answer = self._call_allocator(service, queue, queued, request)
         if answer is None:
             return
         with self._lock:
-            was_released = held.released.is_set()
-            if not was_released:
-                held.release(DecidedBy.LINE, answer)
-        if was_released and not isinstance(answer, CannotServeInTime):
-            self._give_back(answer)
-
-    def _ask_line(
-        self, service: str, queue: _ServiceQueue, held: _Held, request: ForwardedRequest
+            had_ended = queued.wait_ended.is_set()
+            if not had_ended:
+                queued.end_wait(DecidedBy.ALLOCATOR, answer)
+        if had_ended and not isinstance(answer, CannotServeInTime):
+            self._release_slot(answer)
+
+    def _call_allocator(
+        self, service: str, queue: _ServiceQueue, queued: _QueuedRequest, request: ForwardedRequest
     ) -> ChosenReplica | CannotServeInTime | None:
         """Request a slot from the allocator; return ``None`` if the request has to wait."""
         now = boot_clock.now()
         with self._lock:
-            held.asked_at = now
+            queued.asked_at = now
             # A grant may arrive before this call returns.
-            held.in_line = True
+            queued.in_allocator_queue = True
             terms = QueueTerms(
-                ticket=held.ticket,
+                ticket=queued.ticket,
                 process=self._process_name,
                 tenant=request.tenant,
-                rank=held.rank,
-                waited_s=now - held.came_at,
-                target_in_s=held.target_at - now,
-                dispatch_by_s=held.dispatch_by - now,
+                rank=queued.rank,
+                waited_s=now - queued.arrived_at,
+                target_in_s=queued.target_at - now,
+                dispatch_by_s=queued.dispatch_by - now,
                 left_s=request.deadline.remaining_s(),
                 service_s=queue.usual_service_s,
                 first_byte_s=queue.first_byte_s,
             )
         answer = self._ask(service, request, terms)
         with self._lock:
-            held.in_line = answer is QUEUED
-            held.lined_up = held.lined_up or held.in_line
+            queued.in_allocator_queue = answer is QUEUED
+            queued.was_in_allocator_queue = (
+                queued.was_in_allocator_queue or queued.in_allocator_queue
+            )
         return None if answer is QUEUED else answer
 
     def accept_grant(self, ticket: str, replica_id: str) -> bool:
         """Dispatch a request that was granted a slot; return whether the grant is accepted."""
         with self._lock:
-            held = self._held_by_ticket.get(ticket)
-            if held is None or held.released.is_set():
+            queued = self._held_by_ticket.get(ticket)
+            if queued is None or queued.wait_ended.is_set():
                 return False
             replica = self._table.get(replica_id)
             if replica is None or replica.leaving:
-                held.in_line = False
+                queued.in_allocator_queue = False
                 return False
-            held.release(DecidedBy.LINE, replica)
+            queued.end_wait(DecidedBy.ALLOCATOR, replica)
             return True
 
     def leave_allocator_queue(self) -> None:
         """Dispatch all requests by local decisions, as the allocator does not respond."""
         with self._lock:
-            for held in self._held_by_ticket.values():
-                held.in_line = False
+            for queued in self._held_by_ticket.values():
+                queued.in_allocator_queue = False
         self.recheck()
 
     def give_back(self, replica: ChosenReplica) -> None:
         """Release a slot that was granted and is not used."""
-        self._give_back(replica)
+        self._release_slot(replica)
 
     def record(self, service: str, took_s: float, first_byte_s: float) -> None:
         """Record the service times of a request, and dispatch the requests that may go now."""
         with self._lock:
-            queue = self._by_service.setdefault(service, _ServiceQueue())
-            queue.service_s = _averaged(queue.service_s, took_s)
+            queue = self._queues_by_service.setdefault(service, _ServiceQueue())
+            queue.service_s = _moving_average(queue.service_s, took_s)
             queue.first_byte_s = first_byte_s
         self.recheck()
 
@@ -357,57 +364,62 @@
         """Dispatch the requests that may go now, after loads have changed or time has passed."""
         now = boot_clock.now()
         with self._lock:
-            for service, queue in self._by_service.items():
-                if queue.held:
-                    self._release(service, queue, now)
+            for service, queue in self._queues_by_service.items():
+                if queue.requests:
+                    self._dispatch_ready(service, queue, now)
 
-    def _release(self, service: str, queue: _ServiceQueue, now: float) -> None:
+    def _dispatch_ready(self, service: str, queue: _ServiceQueue, now: float) -> None:
         """Dispatch the requests of one queue that may go now, in dispatch order."""
         first_byte_s = queue.first_byte_s
         ordered = sorted(
-            (held for held in queue.held if not held.released.is_set()),
-            key=lambda held: dispatch_order(
-                held.target_at, held.rank, held.came_at, first_byte_s, now
+            (queued for queued in queue.requests if not queued.wait_ended.is_set()),
+            key=lambda queued: dispatch_order(
+                queued.target_at, queued.rank, queued.arrived_at, first_byte_s, now
             ),
         )
-        going = 0
-        for held in ordered:
-            if self._may_go(service, queue, held, now, going):
-                going += 1
-                queue.held.remove(held)
-                last_call = now >= held.dispatch_by
-                held.release(DecidedBy.LAST_CALL if last_call else DecidedBy.OWN)
+        dispatched = 0
+        for queued in ordered:
+            if self._may_go(service, queue, queued, now, dispatched):
+                dispatched += 1
+                queue.requests.remove(queued)
+                deadline_passed = now >= queued.dispatch_by
+                queued.end_wait(DecidedBy.DISPATCH_DEADLINE if deadline_passed else DecidedBy.LOCAL)
 
     def _may_go(
-        self, service: str, queue: _ServiceQueue, held: _Held, now: float, going: int
+        self,
+        service: str,
+        queue: _ServiceQueue,
+        queued: _QueuedRequest,
+        now: float,
+        dispatched: int,
     ) -> bool:
         """Return whether a request may be dispatched, after ``dispatched`` others in this pass."""
-        if now >= held.dispatch_by:
+        if now >= queued.dispatch_by:
             return True
-        if held.in_line:
+        if queued.in_allocator_queue:
             return False
         best = self._least_loaded(service)
         if best is None:
             return True
         engine = EngineState(
-            best.load() + going, best.slots, queue.usual_service_s, queue.first_byte_s
+            best.load() + dispatched, best.slots, queue.usual_service_s, queue.first_byte_s
         )
-        return may_dispatch(engine, held.target_at, now)
+        return may_dispatch(engine, queued.target_at, now)
 
     def _least_loaded(self, service: str) -> Replica | None:
         """Return the least loaded healthy replica; ``None`` unless all loads are known."""
-        sound = [
+        healthy = [
             replica
             for replica in self._table.of_service(service)
             if not replica.leaving and not replica.avoided
         ]
-        if not sound or not all(replica.has_pool_view for replica in sound):
+        if not healthy or not all(replica.has_pool_view for replica in healthy):
             return None
-        return min(sound, key=Replica.load)
+        return min(healthy, key=Replica.load)
 
-    def _enter(
+    def _create_queued_request(
         self, queue: _ServiceQueue, route: RequestRoute, request: ForwardedRequest, now: float
-    ) -> _Held:
+    ) -> _QueuedRequest:
         """Return the queue entry of a request, with the estimated age of its first attempt.
 
         The objective counts from the first attempt of a caller, but requests carry only the time
@@ -415,21 +427,27 @@
         same route and tenant is taken as a retry; the difference is its age.
         """
         left_s = request.deadline.remaining_s()
-        kind = (route.name, request.tenant)
-        samples = self._patience_by_kind.setdefault(kind, deque(maxlen=PATIENCE_SAMPLES))
-        self._patience_by_kind.move_to_end(kind)
-        if len(self._patience_by_kind) > MAX_PATIENCE_KINDS:
-            self._patience_by_kind.popitem(last=False)
+        sample_key = (route.name, request.tenant)
+        samples = self._remaining_times_by_key.setdefault(
+            sample_key, deque(maxlen=REMAINING_TIME_SAMPLES)
+        )
+        self._remaining_times_by_key.move_to_end(sample_key)
+        if len(self._remaining_times_by_key) > MAX_REMAINING_TIME_KEYS:
+            self._remaining_times_by_key.popitem(last=False)
         samples.append(left_s)
         age_s = 0.0
-        if len(samples) >= MIN_PATIENCE_SAMPLES:
-            fresh_s = sorted(samples)[int(FRESH_QUANTILE * (len(samples) - 1))]
-            age_s = max(0.0, fresh_s - left_s)
-        needs_s = LAST_CALL_FACTOR * queue.usual_service_s + LAST_CALL_MARGIN_S
+        if len(samples) >= MIN_REMAINING_TIME_SAMPLES:
+            first_attempt_s = sorted(samples)[int(FIRST_ATTEMPT_QUANTILE * (len(samples) - 1))]
+            age_s = max(0.0, first_attempt_s - left_s)
+        reserved_s = (
+            DISPATCH_DEADLINE_SERVICE_TIMES * queue.usual_service_s + DISPATCH_DEADLINE_MARGIN_S
+        )
         target_at = now + route.objective_s - age_s
         ticket = f"{self._process_name}/{next(self._tickets)}"
-        return _Held(now, target_at, now + left_s - needs_s, request.priority, age_s, ticket)
+        return _QueuedRequest(
+            now, target_at, now + left_s - reserved_s, request.priority, age_s, ticket
+        )
 
 
-def _averaged(average: float, newest: float) -> float:
+def _moving_average(average: float, newest: float) -> float:
     return newest if not average else average + SERVICE_TIME_WEIGHT * (newest - average)
--- a/tests/test_online_queue.py
+++ b/tests/test_online_queue.py
@@ -12,7 +12,7 @@
 from quaymill.connection.endpoint import Endpoint
 from quaymill.connection.replica_entry import ReplicaEntry
 from quaymill.process.replica_set import online_queue as online_queue_module
-from quaymill.process.replica_set.online_queue import MIN_PATIENCE_SAMPLES, OnlineQueue
+from quaymill.process.replica_set.online_queue import MIN_REMAINING_TIME_SAMPLES, OnlineQueue
 from quaymill.process.replica_set.table import ReplicaTable
 from quaymill.request.deadline import Deadline
 from quaymill.request.forwarded_request import ForwardedRequest
@@ -95,9 +95,9 @@
     def know_patience(self) -> None:
         """Let the queue learn how long a fresh caller waits."""
         self.load(0)
-        for index in range(2 * MIN_PATIENCE_SAMPLES):
+        for index in range(2 * MIN_REMAINING_TIME_SAMPLES):
             self.send(f"sample-{index}")
-        self.wait_gone(2 * MIN_PATIENCE_SAMPLES)
+        self.wait_gone(2 * MIN_REMAINING_TIME_SAMPLES)
         self.gone.clear()
 
     def wait_gone(self, count: int) -> None:
@@ -158,7 +158,7 @@
         self.load(SLOTS)
         self.send("late", age_s=3.0)
         self.wait_held(1)
-        with mock.patch.object(online_queue_module, "HELD_CHECK_S", WAIT_S):
+        with mock.patch.object(online_queue_module, "RECHECK_INTERVAL_S", WAIT_S):
             self.load(SLOTS)
             began = time.monotonic()
             self.send("fresh")
@@ -195,9 +195,9 @@
     def test_callers_of_another_tenant_with_more_patience_make_nobody_late(self) -> None:
         """A tenant that sends very much would else have all others count as having tried before."""
         self.load(0)
-        for index in range(2 * MIN_PATIENCE_SAMPLES):
+        for index in range(2 * MIN_REMAINING_TIME_SAMPLES):
             self.send(f"patient-{index}", left_s=PATIENCE_S, tenant="large")
-        self.wait_gone(2 * MIN_PATIENCE_SAMPLES)
+        self.wait_gone(2 * MIN_REMAINING_TIME_SAMPLES)
         self.gone.clear()
         self.keep_loaded(SLOTS)
         self.send("late", age_s=3.0, tenant="large")
@@ -211,11 +211,11 @@
 
     def test_samples_of_many_tenants_do_not_grow_without_bound(self) -> None:
         self.load(0)
-        with mock.patch.object(online_queue_module, "MAX_PATIENCE_KINDS", 4):
+        with mock.patch.object(online_queue_module, "MAX_REMAINING_TIME_KEYS", 4):
             for index in range(8):
                 self.send(f"r{index}", tenant=f"t{index}")
             self.wait_gone(8)
-        self.assertEqual(4, len(self.queue._patience_by_kind))
+        self.assertEqual(4, len(self.queue._remaining_times_by_key))
 
     def test_a_few_callers_with_more_patience_make_nobody_late(self) -> None:
         self.know_patience()
