--- a/src/quaymill/process/replica_set/replica.py
+++ b/src/quaymill/process/replica_set/replica.py
@@ -27,9 +27,9 @@
 """Slots of a replica whose entry does not state any."""
 LATENCY_WEIGHT = 0.2
 """Weight of the newest value in the moving average of the time to the first byte."""
-LEAST_SILENCE_S = 0.5
+MIN_SILENCE_S = 0.5
 """Minimum time without any data until a replica counts as silent."""
-OWN_FAILURE_S = 1.0
+RECENT_FAILURE_S = 1.0
 """How long a failure seen by this process justifies a warning to other gateways."""
 WARNING_LIFETIME_S = 2.0
 MIN_WARNINGS = 2
@@ -40,7 +40,7 @@
 QUEUED_SILENCE_S = 2.0
 """Time without any data until a replica counts as silent although all requests of this process may
 still wait for a slot there."""
-REPORT_SHOWS_QUEUE_S = 1.0
+FULL_REPORT_LIFETIME_S = 1.0
 """How long a replica's report that all its slots are in use is relied on."""
 
 
@@ -120,13 +120,13 @@
         self.misdirected = False
         self._lock = threading.Lock()
         self._reported: ReportedLoad | None = None
-        self._others = 0.0
+        self._other_requests = 0.0
         self._reported_at = 0.0
         self._slowness = SlownessRecord()
         self._penalty = 0.0
         self._penalty_at = 0.0
         self._first_byte_s = 0.0
-        self._told_ejected = False
+        self._logged_as_ejected = False
         self._quiet_since = 0.0
         self._failed_at = -math.inf
         self._warnings: dict[str, _Warning] = {}
@@ -195,7 +195,7 @@
         if not self.in_flight:
             return False
         quiet_s = boot_clock.now() - self._quiet_since
-        if quiet_s <= max(LEAST_SILENCE_S, SILENCE_FACTOR * self._first_byte_s):
+        if quiet_s <= max(MIN_SILENCE_S, SILENCE_FACTOR * self._first_byte_s):
             return False
         return self._answering > 0 or quiet_s > QUEUED_SILENCE_S or not self._is_full()
 
@@ -203,10 +203,10 @@
         """Return whether all slots are in use, as far as this process knows."""
         view = self._pool_view
         if self.has_pool_view:
-            own = self.in_flight - self.items_in_flight
-            return own + view.online_elsewhere + view.batch >= self.slots
+            local_online = self.in_flight - self.items_in_flight
+            return local_online + view.online_elsewhere + view.batch >= self.slots
         reported, at = self.reported()
-        if reported is None or boot_clock.now() - at > REPORT_SHOWS_QUEUE_S:
+        if reported is None or boot_clock.now() - at > FULL_REPORT_LIFETIME_S:
             return False
         return reported.running + reported.waiting >= self.slots
 
@@ -241,23 +241,23 @@
         """Record the load reported by the replica, which includes requests of this process."""
         with self._lock:
             self._reported = load
-            self._others = max(0.0, load.running + load.waiting - self.in_flight)
+            self._other_requests = max(0.0, load.running + load.waiting - self.in_flight)
             self._reported_at = boot_clock.now()
-            self._slowness.take(SlownessReading(load.slowness, self._reported_at))
+            self._slowness.add(SlownessReading(load.slowness, self._reported_at))
 
     def take_slowness(self, slowness: float, age_s: float) -> None:
         """Record the slowness that the replica reported to another gateway ``age_s`` ago."""
         with self._lock:
-            self._slowness.take(SlownessReading(slowness, boot_clock.now() - age_s))
+            self._slowness.add(SlownessReading(slowness, boot_clock.now() - age_s))
 
     def reported_slowness(self) -> SlownessReading | None:
         """Return the last slowness reported by the replica; ``None`` if it does not report any."""
         with self._lock:
-            return self._slowness.last if self._slowness.tells else None
+            return self._slowness.last if self._slowness.has_reports else None
 
     def slowness(self) -> float:
         """Return the expected duration of work now, as a multiple of the usual duration."""
-        return self._slowness.at(boot_clock.now())
+        return self._slowness.expected_at(boot_clock.now())
 
     def load(self) -> float:
         """Return the estimated load of the replica, in online requests.
@@ -268,10 +268,10 @@
         """
         view = self._pool_view
         if self.has_pool_view:
-            own = self.in_flight - self.items_in_flight
-            return online_load(own + view.online_elsewhere, view.batch)
+            local_online = self.in_flight - self.items_in_flight
+            return online_load(local_online + view.online_elsewhere, view.batch)
         age_s = boot_clock.now() - self._reported_at
-        return self.in_flight + self._others * 0.5 ** (age_s / REPORT_HALF_LIFE_S)
+        return self.in_flight + self._other_requests * 0.5 ** (age_s / REPORT_HALF_LIFE_S)
 
     def reported(self) -> tuple[ReportedLoad | None, float]:
         """Return the load that the replica last reported, and the monotonic time of the report."""
@@ -285,7 +285,7 @@
     def record_success(self, first_byte_s: float) -> None:
         """Record a timely answer, and halve the penalty."""
         with self._lock:
-            self._set_penalty(self._present_penalty() / 2)
+            self._set_penalty(self._current_penalty() / 2)
             self._first_byte_s += LATENCY_WEIGHT * (first_byte_s - self._first_byte_s)
 
     def record_failure(self, weight: float = 1.0) -> None:
@@ -297,20 +297,20 @@
             return
         with self._lock:
             self._failed_at = boot_clock.now()
-            self._set_penalty(self._present_penalty() + weight)
+            self._set_penalty(self._current_penalty() + weight)
 
-    def take_warning(self, gateway: str, zone: str) -> None:
+    def record_warning(self, gateway: str, zone: str) -> None:
         """Record that the replica fails for another gateway."""
         with self._lock:
             self._warnings[gateway] = _Warning(zone, boot_clock.now())
-            if self._is_warned_of():
+            if self._has_enough_warnings():
                 # Once the warnings expire, it gets only a few requests at first.
-                self._set_penalty(max(EJECTION_PENALTY, self._present_penalty()))
+                self._set_penalty(max(EJECTION_PENALTY, self._current_penalty()))
 
     @property
     def fails_here(self) -> bool:
         """Whether it fails for this process now, regardless of warnings."""
-        failed_just_now = boot_clock.now() - self._failed_at < OWN_FAILURE_S
+        failed_just_now = boot_clock.now() - self._failed_at < RECENT_FAILURE_S
         return self.silent or (failed_just_now and self.ejected)
 
     @property
@@ -321,24 +321,24 @@
         if not self._warnings:
             return False
         with self._lock:
-            return self._is_warned_of()
+            return self._has_enough_warnings()
 
     @property
     def ejected(self) -> bool:
         """Whether its penalty is so high that it is avoided."""
-        return self._present_penalty() >= EJECTION_PENALTY
+        return self._current_penalty() >= EJECTION_PENALTY
 
     @property
     def penalty(self) -> float:
         """Sum of the weights of recent failures, decayed by their age."""
-        return self._present_penalty()
+        return self._current_penalty()
 
     @property
     def first_byte_s(self) -> float:
         """Smoothed time to the first byte of an answer, in seconds; 0 if unknown."""
         return self._first_byte_s
 
-    def _is_warned_of(self) -> bool:
+    def _has_enough_warnings(self) -> bool:
         """Return whether enough gateways warn of it; the lock is held.
 
         Warnings from a single other zone are not enough: its link to this zone may be cut.
@@ -357,8 +357,8 @@
         self._penalty = penalty
         self._penalty_at = boot_clock.now()
         ejected = penalty >= EJECTION_PENALTY
-        if ejected != self._told_ejected:
-            self._told_ejected = ejected
+        if ejected != self._logged_as_ejected:
+            self._logged_as_ejected = ejected
             log_message(
                 "replica:ejected" if ejected else "replica:restored",
                 replica=self.id,
@@ -366,7 +366,7 @@
                 penalty=round(penalty, 2),
             )
 
-    def _present_penalty(self) -> float:
+    def _current_penalty(self) -> float:
         if not self._penalty:
             return 0.0
         age_s = boot_clock.now() - self._penalty_at
@@ -375,9 +375,11 @@
 
 def best_group(replicas: Iterable[Replica]) -> list[Replica]:
     """Return the healthy replicas; if there are none, those in reachable zones, or else all."""
-    every = list(replicas)
-    sound = [one for one in every if not one.avoided]
-    return sound or [one for one in every if not one.unreachable] or every
+    all_replicas = list(replicas)
+    healthy = [replica for replica in all_replicas if not replica.avoided]
+    return (
+        healthy or [replica for replica in all_replicas if not replica.unreachable] or all_replicas
+    )
 
 
 def online_load(online: int, batch: int) -> float:
--- a/src/quaymill/process/replica_set/replica_cost.py
+++ b/src/quaymill/process/replica_set/replica_cost.py
@@ -14,7 +14,7 @@
 OTHER_ZONE_LOAD = 1.5
 """Additional load, in requests, of a replica in another zone: latency is higher, and traffic
 between zones is charged. A larger value would let requests wait in the local zone in bursts."""
-OTHER_ZONE_KEPT_LOAD = 0.75
+OTHER_ZONE_CACHED_LOAD = 0.75
 """The same for a replica that has probably cached a large part of the prompt."""
 
 
@@ -57,7 +57,7 @@
         offset = offsets.get(replica.id, 0.0)
         load = expected_cost(load_of(replica), replica.slots, replica.slowness()) + offset
         if replica.entry.zone != zone:
-            load += OTHER_ZONE_KEPT_LOAD if offset < 0 else OTHER_ZONE_LOAD
+            load += OTHER_ZONE_CACHED_LOAD if offset < 0 else OTHER_ZONE_LOAD
         return load, rng.random()
 
     return min(candidates, key=cost)
--- a/src/quaymill/process/replica_set/router.py
+++ b/src/quaymill/process/replica_set/router.py
@@ -26,7 +26,7 @@
 """Smaller shared parts of a prompt do not affect the choice."""
 AFFINITY_TOKENS_PER_REQUEST = 2000.0
 """Shared tokens that lower the load of a replica by one request."""
-SECOND_HOME_SHARE = 0.5
+SECOND_AFFINITY_SHARE = 0.5
 """Bonus of the second replica that a shared part hashes to, as a share of that of the first."""
 PENALTY_LOAD = 2.0
 """Load of one unit of penalty, in requests."""
@@ -74,7 +74,7 @@
         table: ReplicaTable,
         zone: str,
         seed: str,
-        place: PlaceCall = lambda replica, wishes: None,
+        place: PlaceCall = lambda replica, constraints: None,
     ) -> None:
         self._table = table
         self._zone = zone
@@ -86,11 +86,14 @@
         """Return the service of a route whose share is furthest behind its weight."""
         if len(route.services) == 1:
             return route.services[0].service
-        weighted = [part for part in route.services if part.weight > 0] or list(route.services)
+        weighted = [candidate for candidate in route.services if candidate.weight > 0] or list(
+            route.services
+        )
         # The weights are part of the key, so that a change of them resets the counts.
         counts = self._served.setdefault((route.name, route.services), {})
         chosen = min(
-            weighted, key=lambda part: (counts.get(part.service, 0) + 1) / (part.weight or 1)
+            weighted,
+            key=lambda candidate: (counts.get(candidate.service, 0) + 1) / (candidate.weight or 1),
         )
         counts[chosen.service] = counts.get(chosen.service, 0) + 1
         return chosen.service
@@ -110,16 +113,18 @@
             candidates = [
                 replica
                 for replica in replicas
-                if replica.id not in excluded and _departed_just_now(replica)
+                if replica.id not in excluded and _has_just_departed(replica)
             ]
         if not candidates:
             return NoReplica(service, "no replica of the service is listed and untried")
-        sound = [replica for replica in candidates if not replica.avoided]
-        if not sound:
-            reached = best_group(candidates)
-            return self._least_costly(reached, self._offsets(reached, prompt))
-        first, wishes = self._first_choice(candidates, sound, prompt, frozenset(excluded))
-        return self._place(first, wishes) or first
+        healthy = [replica for replica in candidates if not replica.avoided]
+        if not healthy:
+            reachable = best_group(candidates)
+            return self._least_costly(reachable, self._offsets(reachable, prompt))
+        preferred, constraints = self._local_choice(
+            candidates, healthy, prompt, frozenset(excluded)
+        )
+        return self._place(preferred, constraints) or preferred
 
     def constraints_of(
         self, service: str, prompt: Prompt = NO_PROMPT
@@ -128,21 +133,21 @@
 
         Returns ``None`` if no replica is healthy.
         """
-        candidates = [one for one in self._table.of_service(service) if not one.leaving]
-        sound = [one for one in candidates if not one.avoided]
-        return self._first_choice(candidates, sound, prompt, frozenset()) if sound else None
+        candidates = [replica for replica in self._table.of_service(service) if not replica.leaving]
+        healthy = [replica for replica in candidates if not replica.avoided]
+        return self._local_choice(candidates, healthy, prompt, frozenset()) if healthy else None
 
-    def _first_choice(
+    def _local_choice(
         self,
         candidates: list[Replica],
-        sound: list[Replica],
+        healthy: list[Replica],
         prompt: Prompt,
         excluded: frozenset[str],
     ) -> tuple[Replica, PlacementConstraints]:
-        offsets = self._offsets(sound, prompt)
-        first = self._least_costly(sound, offsets)
-        unsound = {replica.id for replica in candidates} - {replica.id for replica in sound}
-        return first, PlacementConstraints(excluded | unsound, offsets)
+        offsets = self._offsets(healthy, prompt)
+        preferred = self._least_costly(healthy, offsets)
+        unhealthy = {replica.id for replica in candidates} - {replica.id for replica in healthy}
+        return preferred, PlacementConstraints(excluded | unhealthy, offsets)
 
     def may_reach_another(self, service: str, excluded: Iterable[str]) -> bool:
         """Return whether a replica that is not in ``excluded`` is in a reachable zone."""
@@ -156,25 +161,25 @@
 
     def _offsets(self, candidates: list[Replica], prompt: Prompt) -> dict[str, float]:
         """Return the load offsets by recent failures and cached prompt parts, by replica."""
-        homes = self._homes(candidates, prompt)
+        bonuses = self._affinity_bonuses(candidates, prompt)
         offsets = {
-            replica.id: PENALTY_LOAD * replica.penalty - homes.get(replica.id, 0.0)
+            replica.id: PENALTY_LOAD * replica.penalty - bonuses.get(replica.id, 0.0)
             for replica in candidates
         }
         return {name: offset for name, offset in offsets.items() if abs(offset) >= MIN_OFFSET}
 
-    def _homes(self, candidates: list[Replica], prompt: Prompt) -> dict[str, float]:
+    def _affinity_bonuses(self, candidates: list[Replica], prompt: Prompt) -> dict[str, float]:
         """Return the bonuses of the two replicas to which a large shared prompt part hashes."""
         part = prompt.largest_shared_part()
         if part is None or part.tokens < AFFINITY_MIN_TOKENS:
             return {}
         bonus = part.tokens / AFFINITY_TOKENS_PER_REQUEST
         ranked = sorted(candidates, key=lambda replica: _rank(part.id, replica.id))[:2]
-        shares = (1.0, SECOND_HOME_SHARE)
+        shares = (1.0, SECOND_AFFINITY_SHARE)
         return {replica.id: bonus * share for replica, share in zip(ranked, shares, strict=False)}
 
 
-def _departed_just_now(replica: Replica) -> bool:
+def _has_just_departed(replica: Replica) -> bool:
     """Return whether a departed replica may still serve: entries also expire in a store outage."""
     return (
         replica.departed_at is not None
--- a/src/quaymill/process/replica_set/slowness.py
+++ b/src/quaymill/process/replica_set/slowness.py
@@ -10,7 +10,7 @@
 
 SLOWNESS_HALF_LIFE_S = 0.05
 """Half-life of the difference between the last report and the average."""
-USUAL_WEIGHT = 0.02
+AVERAGE_WEIGHT = 0.02
 """Weight of the newest report in the moving average; small, so that a few reports from a short slow
 period change it little."""
 
@@ -27,22 +27,22 @@
     """
 
     def __init__(self) -> None:
-        self.tells = False
+        self.has_reports = False
         self.last: SlownessReading | None = None
-        self._usual = USUAL_SLOWNESS
+        self._average = USUAL_SLOWNESS
 
-    def take(self, reading: SlownessReading) -> None:
+    def add(self, reading: SlownessReading) -> None:
         """Record a report; one that is older than the last affects only the average."""
-        self.tells = self.tells or reading.slowness != USUAL_SLOWNESS
+        self.has_reports = self.has_reports or reading.slowness != USUAL_SLOWNESS
         if self.last is None or reading.at > self.last.at:
             self.last = reading
-        self._usual += USUAL_WEIGHT * (reading.slowness - self._usual)
+        self._average += AVERAGE_WEIGHT * (reading.slowness - self._average)
 
-    def at(self, now: float) -> float:
+    def expected_at(self, now: float) -> float:
         """Return the expected duration of work now, as a multiple of the usual duration."""
         if self.last is None:
             return USUAL_SLOWNESS
         # Only slower reports count: a fast one would attract requests to the replicas that report
         # most often, which are the busy ones.
-        excess = max(0.0, self.last.slowness - self._usual)
-        return self._usual + excess * 0.5 ** (max(0.0, now - self.last.at) / SLOWNESS_HALF_LIFE_S)
+        excess = max(0.0, self.last.slowness - self._average)
+        return self._average + excess * 0.5 ** (max(0.0, now - self.last.at) / SLOWNESS_HALF_LIFE_S)
--- a/src/quaymill/process/replica_set/table.py
+++ b/src/quaymill/process/replica_set/table.py
@@ -57,9 +57,9 @@
         """Return all replicas, departed ones included."""
         return tuple(self._by_id.values())
 
-    def count(self, wanted: Callable[[Replica], bool]) -> int:
+    def count(self, predicate: Callable[[Replica], bool]) -> int:
         """Return the number of replicas for which ``predicate`` is true."""
-        return sum(1 for replica in list(self._by_id.values()) if wanted(replica))
+        return sum(1 for replica in list(self._by_id.values()) if predicate(replica))
 
     def entries(self) -> tuple[ReplicaEntry, ...]:
         """Return the entries of all listed replicas."""
@@ -101,11 +101,11 @@
             if self.revision and listed == known:
                 return kept
             for entry in listed.values():
-                self._put(entry)
+                self._update_entry(entry)
             for replica in list(self._by_id.values()):
                 if replica.id not in listed:
-                    self._depart(replica)
-            self._finish(revision)
+                    self._mark_departed(replica)
+            self._rebuild(revision)
             return kept
 
     def take_from_peer(self, entries: Iterable[ReplicaEntry], revision: int) -> None:
@@ -118,7 +118,7 @@
         with self._lock:
             self.revision = max(self.revision, revision)
 
-    def _put(self, entry: ReplicaEntry) -> None:
+    def _update_entry(self, entry: ReplicaEntry) -> None:
         replica = self._by_id.get(entry.id)
         if replica is None:
             self._by_id[entry.id] = Replica(entry, self._is_unreachable)
@@ -138,20 +138,20 @@
         replica.entry = entry
         replica.departed_at = None
 
-    def _depart(self, replica: Replica) -> None:
+    def _mark_departed(self, replica: Replica) -> None:
         if replica.departed_at is not None:
             return
         replica.departed_at = boot_clock.now()
         log_message("replica:departed", replica=replica.id, service=replica.entry.service)
         self._on_departed(replica)
 
-    def _finish(self, revision: int) -> None:
+    def _rebuild(self, revision: int) -> None:
         self.revision = revision
-        horizon = boot_clock.now() - DEPARTED_RETENTION_S
+        departed_before = boot_clock.now() - DEPARTED_RETENTION_S
         self._by_id = {
             replica_id: replica
             for replica_id, replica in self._by_id.items()
-            if replica.departed_at is None or replica.departed_at > horizon
+            if replica.departed_at is None or replica.departed_at > departed_before
         }
         by_service: dict[str, list[Replica]] = {}
         for replica in self._by_id.values():
--- a/src/quaymill/process/replica_set/warnings.py
+++ b/src/quaymill/process/replica_set/warnings.py
@@ -56,7 +56,7 @@
         self._other_gateways = other_gateways
         self._warned_at_by_replica: dict[str, float] = {}
         self._stopping = threading.Event()
-        peer_server.register(WarnOfReplicas, self.take)
+        peer_server.register(WarnOfReplicas, self.receive_warnings)
 
     def start(self) -> None:
         """Start the thread that sends warnings."""
@@ -66,21 +66,21 @@
         """Stop sending warnings."""
         self._stopping.set()
 
-    def take(self, message: WarnOfReplicas) -> Warned:
+    def receive_warnings(self, message: WarnOfReplicas) -> Warned:
         """Record the warnings of another gateway, and return the reply."""
         for replica_id in message.replica_ids:
             replica = self._table.get(replica_id)
             if replica is not None:
-                replica.take_warning(message.gateway, message.zone)
+                replica.record_warning(message.gateway, message.zone)
         return Warned()
 
     def _run(self) -> None:
         while not self._stopping.wait(CHECK_INTERVAL_S):
-            replica_ids = self._due()
+            replica_ids = self._replicas_to_warn_of()
             if replica_ids:
                 self._warn(replica_ids)
 
-    def _due(self) -> tuple[str, ...]:
+    def _replicas_to_warn_of(self) -> tuple[str, ...]:
         """Return the identities of the replicas to warn of now."""
         replicas = [replica for replica in self._table.replicas() if not replica.leaving]
         failing = [replica for replica in replicas if replica.fails_here]
--- a/tests/test_replica_warnings.py
+++ b/tests/test_replica_warnings.py
@@ -98,7 +98,7 @@
     )
     def test_avoided_after(self, _, warnings, avoided) -> None:
         for gateway, zone in warnings:
-            self.first.take_warning(gateway, zone)
+            self.first.record_warning(gateway, zone)
         self.assertEqual(avoided, self.first.avoided)
 
     def test_replica_that_answers_nobody_draws_no_request_of_a_gateway_that_never_met_it(
@@ -108,20 +108,20 @@
         for replica in self.table.replicas()[1:]:
             replica.begin()
         self.assertEqual("r0", router.choose(SERVICE).id)
-        self.first.take_warning("a", HOME)
-        self.first.take_warning("b", HOME)
+        self.first.record_warning("a", HOME)
+        self.first.record_warning("b", HOME)
         self.assertNotEqual("r0", router.choose(SERVICE).id)
 
     def test_warnings_lapse_and_leave_some_reluctance(self) -> None:
-        self.first.take_warning("a", HOME)
-        self.first.take_warning("b", HOME)
+        self.first.record_warning("a", HOME)
+        self.first.record_warning("b", HOME)
         self.now += WARNING_LIFETIME_S
         self.assertFalse(self.first.avoided)
         self.assertGreater(self.first.penalty, 0.0)
 
     def test_warnings_of_others_are_not_passed_on(self) -> None:
-        self.first.take_warning("a", HOME)
-        self.first.take_warning("b", HOME)
+        self.first.record_warning("a", HOME)
+        self.first.record_warning("b", HOME)
         self.assertFalse(self.first.fails_here)
 
 
@@ -143,28 +143,28 @@
 
     def test_failing_replica_is_told_of_once_a_while(self) -> None:
         self.fail("r0")
-        self.assertEqual(("r0",), self.warnings._due())
-        self.assertEqual((), self.warnings._due())
+        self.assertEqual(("r0",), self.warnings._replicas_to_warn_of())
+        self.assertEqual((), self.warnings._replicas_to_warn_of())
         self.now += REPEAT_AFTER_S / 2
         self.fail("r0")
-        self.assertEqual((), self.warnings._due())
+        self.assertEqual((), self.warnings._replicas_to_warn_of())
         self.now += REPEAT_AFTER_S / 2
-        self.assertEqual(("r0",), self.warnings._due())
+        self.assertEqual(("r0",), self.warnings._replicas_to_warn_of())
 
     def test_silent_replica_is_told_of(self) -> None:
         self.first.begin()
         self.now += 0.6
-        self.assertEqual(("r0",), self.warnings._due())
+        self.assertEqual(("r0",), self.warnings._replicas_to_warn_of())
 
     def test_gateway_for_which_many_fail_keeps_still(self) -> None:
         self.fail("r0", "r1", "r2")
-        self.assertEqual((), self.warnings._due())
+        self.assertEqual((), self.warnings._replicas_to_warn_of())
 
     def test_warning_reaches_the_other_gateway(self) -> None:
         self.warnings._warn(("r0",))
         (_, message, *_), _ = self.client.call.call_args
         self.assertEqual(WarnOfReplicas("a", HOME, ("r0",)), message)
         other = ReplicaWarnings("b", HOME, self.table, mock.Mock(), mock.Mock(), lambda: ())
-        other.take(message)
-        other.take(WarnOfReplicas("c", HOME, ("r0", "unknown")))
+        other.receive_warnings(message)
+        other.receive_warnings(WarnOfReplicas("c", HOME, ("r0", "unknown")))
         self.assertTrue(self.first.avoided)
--- a/tests/test_uneven_replicas.py
+++ b/tests/test_uneven_replicas.py
@@ -25,7 +25,7 @@
 from quaymill.process.jobs.slot_allocator import SlotAllocator
 from quaymill.process.replica_set.replica import Replica
 from quaymill.process.replica_set.replica_cost import (
-    OTHER_ZONE_KEPT_LOAD,
+    OTHER_ZONE_CACHED_LOAD,
     OTHER_ZONE_LOAD,
     expected_cost,
     least_costly,
@@ -53,11 +53,11 @@
     return loads
 
 
-def play(load: UnevenLoad, *, tells: bool = True) -> UnevenOutcome:
+def play(load: UnevenLoad, *, reports_slowness: bool = True) -> UnevenOutcome:
     """Return what callers got over all seeds."""
     whole = UnevenOutcome()
     for seed in SEEDS:
-        outcome = UnevenPlayer(load, seed, tells=tells).play()
+        outcome = UnevenPlayer(load, seed, reports_slowness=reports_slowness).play()
         whole.took_s += outcome.took_s
         whole.waited_s += outcome.waited_s
         whole.to_other_zone += outcome.to_other_zone
@@ -71,31 +71,31 @@
     def record(self, *told: float) -> SlownessRecord:
         record = SlownessRecord()
         for number, slowness in enumerate(told):
-            record.take(SlownessReading(slowness, number * 0.1))
+            record.add(SlownessReading(slowness, number * 0.1))
         return record
 
     def test_nothing_is_told(self) -> None:
         record = self.record(1.0, 1.0, 1.0)
-        self.assertEqual(1.0, record.at(0.25))
-        self.assertFalse(record.tells)
+        self.assertEqual(1.0, record.expected_at(0.25))
+        self.assertFalse(record.has_reports)
 
     def test_new_word_counts_whole_and_an_old_one_for_nothing(self) -> None:
         record = self.record(*[1.0] * 10, 2.5)
-        self.assertAlmostEqual(2.5, record.at(1.0), places=2)
-        self.assertLess(record.at(1.1), 1.5)
-        self.assertAlmostEqual(1.0, record.at(3.0), delta=0.05)
+        self.assertAlmostEqual(2.5, record.expected_at(1.0), places=2)
+        self.assertLess(record.expected_at(1.1), 1.5)
+        self.assertAlmostEqual(1.0, record.expected_at(3.0), delta=0.05)
 
     def test_what_lasts_is_learned(self) -> None:
         record = self.record(*[1.3] * 200)
-        self.assertAlmostEqual(1.3, record.at(60.0), delta=0.02)
+        self.assertAlmostEqual(1.3, record.expected_at(60.0), delta=0.02)
 
     def test_word_that_it_is_quick_now_draws_no_work(self) -> None:
         record = self.record(*[1.5] * 200, 1.0)
-        self.assertGreater(record.at(20.0), 1.45)
+        self.assertGreater(record.expected_at(20.0), 1.45)
 
     def test_older_word_does_not_replace_the_last(self) -> None:
         record = self.record(1.0, 2.5)
-        record.take(SlownessReading(1.0, 0.05))
+        record.add(SlownessReading(1.0, 0.05))
         self.assertEqual(2.5, record.last.slowness)
 
 
@@ -118,7 +118,7 @@
 
         def plain(one: Replica) -> tuple[float, float]:
             offset = offsets[one.id]
-            zone_load = OTHER_ZONE_KEPT_LOAD if offset < 0 else OTHER_ZONE_LOAD
+            zone_load = OTHER_ZONE_CACHED_LOAD if offset < 0 else OTHER_ZONE_LOAD
             own = 0.0 if one.entry.zone == "a" else zone_load
             return loads[one.id] + offset + own, ties.random()
 
@@ -200,7 +200,7 @@
         load = UnevenLoad(
             paces=(1.0, 1.0, 1.3) * 8, high_per_s=high_per_s, low_per_s=100.0, length_s=12.0
         )
-        told, untold = play(load), play(load, tells=False)
+        told, untold = play(load), play(load, reports_slowness=False)
         self.assertLess(told.mean_s, part * untold.mean_s)
         self.assertLess(told.quantile_s(0.95), untold.quantile_s(0.95))
 
@@ -209,7 +209,7 @@
         load = UnevenLoad(
             paces=(1.0,) * 24, high_per_s=high_per_s, low_per_s=100.0, length_s=12.0, **PASSING
         )
-        told, untold = play(load), play(load, tells=False)
+        told, untold = play(load), play(load, reports_slowness=False)
         self.assertLess(told.mean_s, 1.005 * untold.mean_s)
         self.assertLess(told.quantile_s(0.95), 1.02 * untold.quantile_s(0.95))
 
@@ -225,7 +225,7 @@
             views=70,
             **PASSING,
         )
-        told, untold = play(load), play(load, tells=False)
+        told, untold = play(load), play(load, reports_slowness=False)
         self.assertLess(told.mean_s, 1.02 * untold.mean_s)
         self.assertLess(told.quantile_s(0.99), 0.3)
 
--- a/tests/uneven_player.py
+++ b/tests/uneven_player.py
@@ -118,9 +118,9 @@
         Whether replicas tell their slowness.
     """
 
-    def __init__(self, load: UnevenLoad, seed: int, *, tells: bool) -> None:
+    def __init__(self, load: UnevenLoad, seed: int, *, reports_slowness: bool) -> None:
         self._load = load
-        self._tells = tells
+        self._tells = reports_slowness
         self._random = random.Random(seed)
         self._choices = random.Random(seed + 1)
         self._now = 0.0
