--- a/src/quaymill/process/poison/__init__.py
+++ b/src/quaymill/process/poison/__init__.py
@@ -1,1 +1,1 @@
-"""Requests that crash replicas: finds out about crashes, shares them and keeps them."""
+"""Requests that crash replicas: detects crashes, shares them with other gateways, stores them."""
--- a/src/quaymill/process/poison/barred_store.py
+++ b/src/quaymill/process/poison/barred_store.py
@@ -1,6 +1,6 @@
-"""The requests that must not be run, as the platform's store keeps them.
+"""Keeps barred requests (blocked after crashing replicas) in the platform's object store.
 
-Gateways have no disk: when all of them end at once, the store alone still knows.
+Gateways have no disk, so the store is needed if all of them stop at once.
 """
 
 from __future__ import annotations
@@ -26,12 +26,14 @@
 
 
 class _Barred(msgspec.Struct, frozen=True):
-    """What is stored; the name of the object is the content.
+    """Stored object; its name is the content digest.
 
     Attributes
     ----------
+    incarnations
+        Process instances of replicas that crashed while they ran the request.
     crashed_at_ms
-        Time of day of the last crash, in Unix milliseconds.
+        Wall-clock time of the last crash, in Unix milliseconds.
     """
 
     incarnations: tuple[str, ...]
@@ -39,24 +41,24 @@
 
 
 class BarredStore:
-    """Writes and reads barred requests."""
+    """Writes and reads the crash records of barred requests."""
 
     def __init__(self, store: ObjectStore) -> None:
         self._store = store
 
     def write(self, record: CrashRecord) -> bool:
-        """Keep a record; return whether the store has it now."""
+        """Write a record; return whether the request is stored as barred now."""
         crashed_at_ms = int((time.time() - record.age_s) * MS_PER_S)
         spec = msgspec.to_builtins(_Barred(record.incarnations, crashed_at_ms))
         written = self._store.create(ObjectKind.BARRED_REQUESTS, record.content, spec)
         if isinstance(written, StoreRefused | StoreUnanswered):
             log_message("request:not_kept_barred", content=record.content, reason=written.reason)
             return False
-        # It may be there already: the same request is barred by any of the records.
+        # An existing object is kept: any record of the request bars it.
         return True
 
     def read(self) -> tuple[CrashRecord, ...] | StoreFailure:
-        """Return the records that still count; objects past their time are removed."""
+        """Return the records that are still valid, and delete expired objects."""
         listing = self._store.list(ObjectKind.BARRED_REQUESTS)
         if not isinstance(listing, Listing):
             return listing
--- a/src/quaymill/process/poison/guard.py
+++ b/src/quaymill/process/poison/guard.py
@@ -1,7 +1,7 @@
-"""Finds out whether a replica has crashed under a request, and answers whether one may be run.
+"""Detects replicas that crashed while they ran a request, and decides whether a request may be run.
 
-A connection that a replica's side closes too early is no crash: links are reset, and a replica
-may break off one answer. One that has crashed takes no new connection at that moment.
+A connection that is closed early does not prove a crash: it may have been reset, or the replica may
+have aborted a single answer. Only a replica that then accepts no new connection has crashed.
 """
 
 from __future__ import annotations
@@ -19,25 +19,25 @@
 from quaymill.request.poison import MAX_CRASHES, PoisonRecords
 
 PROBE_LIFETIME_S = 0.25
-"""How long the outcome of a probe counts. All requests that a crash cuts ask within some
-milliseconds (23 of them on a recorded day); a crashed replica is back after seconds."""
+"""How long the result of a probe is reused. All requests that a crash interrupts need it within
+milliseconds; a crashed replica takes seconds to restart."""
 
 
 @attrs.frozen
 class _Probe:
-    """Whether a replica took a connection, and the monotonic time when it was asked."""
+    """Result of a connection attempt to a replica, and its monotonic time."""
 
     alive: bool
     at: float
 
 
 class CrashGuard:
-    """The guard of one gateway; safe to use from any thread.
+    """Crash detection of one gateway; safe to use from any thread.
 
     Parameters
     ----------
-    crashed
-        Called with a record that a crash seen here has changed.
+    on_crash
+        Called with the record of a request after this gateway has detected a crash.
     """
 
     def __init__(
@@ -53,11 +53,11 @@
         self._probes_by_endpoint: dict[Endpoint, _Probe] = {}
 
     def barred_for_s(self, content: str) -> float:
-        """Return for how long a content must not be run; 0 if it may be."""
+        """Return for how many seconds a content must not be run; 0 if it may be run."""
         return self._records.barred_for_s(content, boot_clock.now())
 
     def note_closed(self, content: str, incarnation: str, address: Endpoint) -> None:
-        """Note that a replica closed the connection before the answer to a content was whole."""
+        """Check for a crash after a replica closed a connection before its answer was complete."""
         if self._is_alive(address):
             return
         record = self._records.add(content, incarnation, boot_clock.now())
@@ -74,7 +74,7 @@
         self._crashed(record)
 
     def note_served(self, content: str) -> None:
-        """Note that a replica has run a content to its end."""
+        """Record that a replica has completed a content without a crash."""
         self._records.excuse(content)
 
     def _is_alive(self, address: Endpoint) -> bool:
--- a/src/quaymill/process/poison/sharing.py
+++ b/src/quaymill/process/poison/sharing.py
@@ -1,12 +1,11 @@
-"""Lets every gateway know which requests have crashed replicas.
-
-A crash is told to all live gateways at once. What that misses (a gateway that was cut off, stood
-still or has just started) is found by digests: each datagram of the membership tells its sender's,
-and two gateways whose digests differ exchange all they know. A gateway that starts asks others
-first, and the platform's store if none of them knows more than itself. A request that must not be
-run is kept in the store, for the case that all gateways end at once.
-
-States: unsettled (what was known before the start has not been learned), settled.
+"""Shares the records of requests that have crashed replicas among all gateways.
+
+A crash is reported to all live gateways at once. Gateways that miss the report (because they were
+partitioned, frozen or not yet started) are found by digests: each membership datagram carries the
+digest of its sender's records, and two gateways with different digests exchange all their records.
+A gateway that starts catches up first: it requests the records of other gateways, or reads the
+platform's store if no gateway that has caught up responds. Barred requests are written to the
+store, in case all gateways stop at once.
 """
 
 from __future__ import annotations
@@ -29,26 +28,27 @@
 from quaymill.request.poison import PoisonRecords
 
 GATHER_S = 0.01
-"""Wait for other crashes that are told with the first: one end of a replica cuts many requests
-within some milliseconds."""
+"""Delay before crashes are reported, so that all requests interrupted by one crash go into a single
+message."""
 CALL_TIMEOUT_S = 0.5
-"""A gateway that does not answer within it learns by the digests."""
+"""A gateway that does not answer in time is brought up to date by the digests."""
 CALLS_AT_ONCE = 16
-"""Gateways told at the same time, one thread each: 165 are told in about ten round trips."""
+"""Gateways to which a crash is reported concurrently, with one thread each."""
 EXCHANGE_INTERVAL_S = 0.5
-"""Least time between two exchanges that this gateway begins: digests differ with many others while
-news is on its way. Six fit into the 3 s after which gateways are held to what others know."""
+"""Minimum time between two exchanges that this gateway starts, as the digests of many gateways
+differ while a report is being distributed."""
 ASKED_AT_START = 3
+"""Gateways whose records are requested in each attempt to catch up."""
 ASK_INTERVAL_S = 0.3
+"""Time between two attempts to catch up."""
 ALONE_AFTER_S = 1.5
-"""Time after the start from which on the store is asked if no other gateway could answer: in
-a fleet whose gateways know each other, the first answer is there within a second."""
+"""Time after the start from which the store is read if no other gateway could help to catch up."""
 WRITE_AGAIN_S = 1.0
-"""Time between two tries to keep a request in the store."""
+"""Time between two attempts to write a barred request to the store."""
 
 
 class CrashSharing:
-    """Shares the records of one gateway; ``tell`` is safe to use from any thread.
+    """Shares the crash records of one gateway; ``report`` is safe to use from any thread.
 
     Parameters
     ----------
@@ -85,23 +85,23 @@
         membership.on_crash_digest(self._take_digest)
 
     def start(self) -> None:
-        """Begin to learn and to share."""
+        """Start the thread that catches up and shares records."""
         threading.Thread(target=self._run, name="crash-sharing", daemon=True).start()
 
     def stop(self) -> None:
-        """Share nothing more."""
+        """Stop sharing records."""
         self._stopping.set()
         self._wake.set()
 
     def tell(self, record: CrashRecord) -> None:
-        """Tell all gateways of a record that a crash seen here has changed."""
+        """Report a record to all gateways, after a crash detected by this gateway."""
         with self._lock:
             self._untold[record.content] = record
             self._keep_if_barred(record.content, seen_here=True)
         self._tell_digest()
         self._wake.set()
 
-    # From others.
+    # Messages from other gateways.
 
     def _answer(self, message: ShareCrashes) -> KnownCrashes:
         self._merge(message.records, "told")
@@ -124,12 +124,12 @@
         self._wake.set()
 
     def _take_digest(self, name: str, digest: int) -> None:
-        """Note that another node's digest differs; called on the membership's own thread."""
+        """Remember a node whose digest differs; called on the membership's thread."""
         if digest:
             self._differing.add(name)
             self._wake.set()
 
-    # The thread.
+    # Background thread.
 
     def _run(self) -> None:
         while not self._stopping.is_set():
@@ -138,11 +138,11 @@
             try:
                 self._share()
                 self._settle()
-            except Exception as error:  # A bug must not end what protects the replicas.
+            except Exception as error:  # An unexpected error must not end the thread.
                 log_message("request:crash_sharing_error", error=repr(error))
 
     def _pause_s(self) -> float | None:
-        """Return after what time there is something to do without news."""
+        """Return the time until there is work without being woken; ``None`` if there is none."""
         if not self._settled:
             return ASK_INTERVAL_S
         if self._differing:
@@ -150,14 +150,14 @@
         return WRITE_AGAIN_S if self._unkept else None
 
     def _settle(self) -> None:
-        """Learn what was known before this gateway started, unless it has."""
+        """Fetch the records from before the start of this gateway, unless that is done."""
         if self._settled:
             return
         alone = boot_clock.now() - self._started_at > ALONE_AFTER_S
         self._settled = self._ask_others() or (alone and self._read_store())
 
     def _ask_others(self) -> bool:
-        """Ask some gateways for all they know; return whether one of them is settled."""
+        """Exchange records with some gateways; return whether one of them has caught up."""
         others = self._other_gateways()
         asked = random.sample(others, min(ASKED_AT_START, len(others)))
         return any([self._exchange(member) for member in asked])
@@ -201,7 +201,7 @@
     def _exchange_with_one(self) -> None:
         """Exchange all records with one gateway whose digest differs.
 
-        Those that still differ afterwards say so again with their next datagrams.
+        Gateways that still differ afterwards are reported again by their next datagrams.
         """
         now = boot_clock.now()
         if not self._differing or now < self._exchange_at:
@@ -213,7 +213,7 @@
             self._exchange(random.choice(members))
 
     def _exchange(self, member: Member) -> bool:
-        """Exchange all records with a gateway; return whether it is settled."""
+        """Exchange all records with a gateway; return whether it has caught up."""
         records = self._records.records(boot_clock.now())
         message = ShareCrashes(records, wants_all=True)
         reply = self._client.call(member.peer, message, KnownCrashes, CALL_TIMEOUT_S)
@@ -223,9 +223,10 @@
         return reply.settled
 
     def _keep_if_barred(self, content: str, *, seen_here: bool) -> None:
-        """Enter a content to be kept in the store; the lock is held.
+        """Mark a content to be written to the store if it is barred; the lock is held.
 
-        Where crashes that several gateways saw add up, the one that ranks first keeps it.
+        If the crashes were detected by other gateways, only the one that ranks first for the
+        content writes it.
         """
         if not self._is_barred(content):
             return
