--- a/src/quaymill/process/poison/guard.py
+++ b/src/quaymill/process/poison/guard.py
@@ -44,11 +44,11 @@
         self,
         records: PoisonRecords,
         connections: ReplicaConnections,
-        crashed: Callable[[CrashRecord], None],
+        on_crash: Callable[[CrashRecord], None],
     ) -> None:
         self._records = records
         self._connections = connections
-        self._crashed = crashed
+        self._on_crash = on_crash
         self._lock = threading.Lock()
         self._probes_by_endpoint: dict[Endpoint, _Probe] = {}
 
@@ -71,7 +71,7 @@
             crashes=crashes,
             barred=crashes >= MAX_CRASHES,
         )
-        self._crashed(record)
+        self._on_crash(record)
 
     def note_served(self, content: str) -> None:
         """Record that a replica has completed a content without a crash."""
@@ -80,15 +80,15 @@
     def _is_alive(self, address: Endpoint) -> bool:
         now = boot_clock.now()
         with self._lock:
-            known = self._probes_by_endpoint.get(address)
-        if known is not None and now - known.at < PROBE_LIFETIME_S:
-            return known.alive
+            cached_probe = self._probes_by_endpoint.get(address)
+        if cached_probe is not None and now - cached_probe.at < PROBE_LIFETIME_S:
+            return cached_probe.alive
         probe = _Probe(self._connections.takes_connection(address), boot_clock.now())
         with self._lock:
             self._probes_by_endpoint = {
-                endpoint: one
-                for endpoint, one in self._probes_by_endpoint.items()
-                if now - one.at < PROBE_LIFETIME_S
+                endpoint: cached
+                for endpoint, cached in self._probes_by_endpoint.items()
+                if now - cached.at < PROBE_LIFETIME_S
             }
             self._probes_by_endpoint[address] = probe
         return probe.alive
--- a/src/quaymill/process/poison/sharing.py
+++ b/src/quaymill/process/poison/sharing.py
@@ -27,7 +27,7 @@
 from quaymill.process.poison.barred_store import BarredStore
 from quaymill.request.poison import PoisonRecords
 
-GATHER_S = 0.01
+REPORT_DELAY_S = 0.01
 """Delay before crashes are reported, so that all requests interrupted by one crash go into a single
 message."""
 CALL_TIMEOUT_S = 0.5
@@ -37,13 +37,13 @@
 EXCHANGE_INTERVAL_S = 0.5
 """Minimum time between two exchanges that this gateway starts, as the digests of many gateways
 differ while a report is being distributed."""
-ASKED_AT_START = 3
+GATEWAYS_ASKED = 3
 """Gateways whose records are requested in each attempt to catch up."""
-ASK_INTERVAL_S = 0.3
+CATCH_UP_INTERVAL_S = 0.3
 """Time between two attempts to catch up."""
-ALONE_AFTER_S = 1.5
+READ_STORE_AFTER_S = 1.5
 """Time after the start from which the store is read if no other gateway could help to catch up."""
-WRITE_AGAIN_S = 1.0
+WRITE_RETRY_S = 1.0
 """Time between two attempts to write a barred request to the store."""
 
 
@@ -73,16 +73,16 @@
         self._other_gateways = other_gateways
         self._gateways = gateways
         self._lock = threading.Lock()
-        self._untold: dict[str, CrashRecord] = {}
-        self._unkept: set[str] = set()
+        self._unreported: dict[str, CrashRecord] = {}
+        self._unstored: set[str] = set()
         self._differing: set[str] = set()
-        self._exchange_at = 0.0
-        self._settled = False
+        self._next_exchange_at = 0.0
+        self._caught_up = False
         self._started_at = boot_clock.now()
         self._wake = threading.Event()
         self._stopping = threading.Event()
-        server.register(ShareCrashes, self._answer)
-        membership.on_crash_digest(self._take_digest)
+        server.register(ShareCrashes, self._handle_share)
+        membership.on_crash_digest(self._handle_digest)
 
     def start(self) -> None:
         """Start the thread that catches up and shares records."""
@@ -96,34 +96,34 @@
     def tell(self, record: CrashRecord) -> None:
         """Report a record to all gateways, after a crash detected by this gateway."""
         with self._lock:
-            self._untold[record.content] = record
-            self._keep_if_barred(record.content, seen_here=True)
-        self._tell_digest()
+            self._unreported[record.content] = record
+            self._mark_if_barred(record.content, detected_here=True)
+        self._publish_digest()
         self._wake.set()
 
     # Messages from other gateways.
 
-    def _answer(self, message: ShareCrashes) -> KnownCrashes:
+    def _handle_share(self, message: ShareCrashes) -> KnownCrashes:
         self._merge(message.records, "told")
         records = self._records.records(boot_clock.now()) if message.wants_all else ()
-        return KnownCrashes(records, self._settled)
+        return KnownCrashes(records, self._caught_up)
 
-    def _tell_digest(self) -> None:
+    def _publish_digest(self) -> None:
         self._membership.tell_crash_digest(self._records.digest(boot_clock.now()))
 
     def _merge(self, records: tuple[CrashRecord, ...], source: str) -> None:
         changed = self._records.merge(records, boot_clock.now())
-        self._tell_digest()
+        self._publish_digest()
         if not changed:
             return
         with self._lock:
             for record in changed:
-                self._keep_if_barred(record.content, seen_here=False)
+                self._mark_if_barred(record.content, detected_here=False)
         barred = [one.content for one in changed if self._is_barred(one.content)]
         log_message("request:crashes_learned", source=source, records=len(changed), barred=barred)
         self._wake.set()
 
-    def _take_digest(self, name: str, digest: int) -> None:
+    def _handle_digest(self, name: str, digest: int) -> None:
         """Remember a node whose digest differs; called on the membership's thread."""
         if digest:
             self._differing.add(name)
@@ -133,34 +133,34 @@
 
     def _run(self) -> None:
         while not self._stopping.is_set():
-            self._wake.wait(self._pause_s())
+            self._wake.wait(self._wait_s())
             self._wake.clear()
             try:
-                self._share()
-                self._settle()
+                self._share_records()
+                self._catch_up()
             except Exception as error:  # An unexpected error must not end the thread.
                 log_message("request:crash_sharing_error", error=repr(error))
 
-    def _pause_s(self) -> float | None:
+    def _wait_s(self) -> float | None:
         """Return the time until there is work without being woken; ``None`` if there is none."""
-        if not self._settled:
-            return ASK_INTERVAL_S
+        if not self._caught_up:
+            return CATCH_UP_INTERVAL_S
         if self._differing:
             return EXCHANGE_INTERVAL_S
-        return WRITE_AGAIN_S if self._unkept else None
+        return WRITE_RETRY_S if self._unstored else None
 
-    def _settle(self) -> None:
+    def _catch_up(self) -> None:
         """Fetch the records from before the start of this gateway, unless that is done."""
-        if self._settled:
+        if self._caught_up:
             return
-        alone = boot_clock.now() - self._started_at > ALONE_AFTER_S
-        self._settled = self._ask_others() or (alone and self._read_store())
+        may_read_store = boot_clock.now() - self._started_at > READ_STORE_AFTER_S
+        self._caught_up = self._exchange_with_some() or (may_read_store and self._read_store())
 
-    def _ask_others(self) -> bool:
+    def _exchange_with_some(self) -> bool:
         """Exchange records with some gateways; return whether one of them has caught up."""
         others = self._other_gateways()
-        asked = random.sample(others, min(ASKED_AT_START, len(others)))
-        return any([self._exchange(member) for member in asked])
+        chosen = random.sample(others, min(GATEWAYS_ASKED, len(others)))
+        return any([self._exchange(member) for member in chosen])
 
     def _read_store(self) -> bool:
         records = self._store.read()
@@ -169,15 +169,15 @@
         self._merge(records, "store")
         return True
 
-    def _share(self) -> None:
-        self._stopping.wait(GATHER_S)
-        self._tell_all()
-        self._keep_in_store()
+    def _share_records(self) -> None:
+        self._stopping.wait(REPORT_DELAY_S)
+        self._report_to_all()
+        self._write_to_store()
         self._exchange_with_one()
 
-    def _tell_all(self) -> None:
+    def _report_to_all(self) -> None:
         with self._lock:
-            records, self._untold = tuple(self._untold.values()), {}
+            records, self._unreported = tuple(self._unreported.values()), {}
         members = self._other_gateways()
         if not records or not members:
             return
@@ -204,9 +204,9 @@
         Gateways that still differ afterwards are reported again by their next datagrams.
         """
         now = boot_clock.now()
-        if not self._differing or now < self._exchange_at:
+        if not self._differing or now < self._next_exchange_at:
             return
-        self._exchange_at = now + EXCHANGE_INTERVAL_S
+        self._next_exchange_at = now + EXCHANGE_INTERVAL_S
         differing, self._differing = self._differing, set()
         members = [member for member in self._other_gateways() if member.name in differing]
         if members:
@@ -222,7 +222,7 @@
         self._merge(reply.records, member.name)
         return reply.settled
 
-    def _keep_if_barred(self, content: str, *, seen_here: bool) -> None:
+    def _mark_if_barred(self, content: str, *, detected_here: bool) -> None:
         """Mark a content to be written to the store if it is barred; the lock is held.
 
         If the crashes were detected by other gateways, only the one that ranks first for the
@@ -232,19 +232,19 @@
             return
         first = rank_nodes(content, self._gateways())[:1]
         ranks_first = bool(first) and first[0].name == self._membership.local().name
-        if seen_here or ranks_first:
-            self._unkept.add(content)
+        if detected_here or ranks_first:
+            self._unstored.add(content)
 
-    def _keep_in_store(self) -> None:
+    def _write_to_store(self) -> None:
         with self._lock:
-            unkept = set(self._unkept)
-        if not unkept:
+            unstored = set(self._unstored)
+        if not unstored:
             return
         records = {one.content: one for one in self._records.records(boot_clock.now())}
-        for content in unkept:
+        for content in unstored:
             if content not in records or self._store.write(records[content]):
                 with self._lock:
-                    self._unkept.discard(content)
+                    self._unstored.discard(content)
 
     def _is_barred(self, content: str) -> bool:
         return self._records.barred_for_s(content, boot_clock.now()) > 0
--- a/tests/test_crash_guard.py
+++ b/tests/test_crash_guard.py
@@ -144,7 +144,7 @@
             "the old object is removed",
         )
         for name in self.rig.gateways:
-            wait_until(lambda n=name: self.rig.gateways[n]._crash_sharing._settled, "settled")
+            wait_until(lambda n=name: self.rig.gateways[n]._crash_sharing._caught_up, "settled")
             self.assertFalse(self.bars(name, "old") or self.bars(name, "foreign"))
 
 
