--- a/src/quaymill/process/limits/__init__.py
+++ b/src/quaymill/process/limits/__init__.py
@@ -1,1 +1,1 @@
-"""What each tenant may send."""
+"""Rate and concurrency limits of tenants, enforced over all gateways."""
--- a/src/quaymill/process/limits/bucket.py
+++ b/src/quaymill/process/limits/bucket.py
@@ -1,4 +1,4 @@
-"""Token bucket: credits that come in at a rate and are kept up to a burst."""
+"""Token bucket: credits are added at a fixed rate and kept up to a capacity."""
 
 from __future__ import annotations
 
@@ -6,17 +6,16 @@
 
 
 class Bucket:
-    """Credits of one limit. Not locked; its owner's lock guards it.
+    """Credits of one limit; not thread-safe, guarded by the lock of its owner.
 
-    The balance may go below zero where a whole amount is taken at once (``take_whole``);
-    later takers then wait until it is positive again.
+    ``take_whole`` may make the balance negative; nothing can be taken until it is positive again.
 
     Parameters
     ----------
-    most
-        Credits that are kept at most; those of one second if ``None``.
+    capacity
+        Maximum number of credits; the credits of one second if ``None``.
     balance
-        Credits that there are to begin with; ``most`` if ``None``.
+        Initial number of credits; ``capacity`` if ``None``.
     """
 
     def __init__(
@@ -29,31 +28,31 @@
 
     @property
     def rate_per_s(self) -> float:
-        """Credits that come in each second."""
+        """Credits that are added each second."""
         return self._rate_per_s
 
     @property
     def balance(self) -> float:
-        """Credits that there are now."""
+        """Current number of credits."""
         self._refill()
         return self._balance
 
     def change(self, rate_per_s: float, most: float) -> None:
-        """Go on with another rate and burst; what is beyond the burst is lost."""
+        """Change the rate and the capacity; credits beyond the capacity are lost."""
         self._refill()
         self._rate_per_s = rate_per_s
         self._most = max(1.0, most)
         self._balance = min(self._most, self._balance)
 
     def take_up_to(self, wanted: int) -> int:
-        """Take as many whole credits as there are, at most ``wanted``."""
+        """Take at most ``wanted`` whole credits; return how many were taken."""
         self._refill()
         taken = max(0, min(wanted, int(self._balance)))
         self._balance -= taken
         return taken
 
     def take_whole(self, amount: float) -> bool:
-        """Take the whole amount if the balance is positive, even if it is less than that."""
+        """Take ``amount`` if the balance is positive, even if it is smaller; return whether."""
         self._refill()
         if self._balance <= 0.0:
             return False
@@ -61,11 +60,11 @@
         return True
 
     def give_back(self, amount: float) -> None:
-        """Add credits that were taken and not used."""
+        """Return credits that were taken and not used."""
         self._balance = min(self._most, self._balance + amount)
 
     def wait_s(self, level: float = 1.0) -> float:
-        """Seconds until the balance reaches ``level``."""
+        """Return the seconds until the balance reaches ``level``."""
         self._refill()
         return max(0.0, (level - self._balance) / self._rate_per_s)
 
--- a/src/quaymill/process/limits/fleet.py
+++ b/src/quaymill/process/limits/fleet.py
@@ -1,4 +1,4 @@
-"""The gateways among which tenants' limits are shared out, as one of them sees them."""
+"""Ranks and counts the gateways that share tenants' limits, from the view of one gateway."""
 
 from __future__ import annotations
 
@@ -11,29 +11,28 @@
 from quaymill.process.membership.ranking import rank_nodes, strongest
 
 SILENT_COUNTED_S = 30.0
-"""How long a gateway that fell silent counts as one that may be cut off and serve on: longer than
-the partitions that are ridden out (12 s at most on the days known). One that was taken away for
-good costs its part of the rate for as long."""
+"""How long an unresponsive gateway counts as one that may be partitioned and still serve. It should
+exceed the length of network partitions; until then the share of a removed gateway is not used."""
 YOUNG_S = 4.0
-"""Time after the start within which the others are looked for (``TIMING.join_period_s``)."""
+"""Time after the start in which other gateways may still be unknown (``TIMING.join_period_s``)."""
 VIEW_LIFETIME_S = 0.25
-"""How long one count of the gateways is used: half a period of the probes that change it."""
+"""How long one count of the gateways is used: half of the membership's probe interval."""
 GRANTERS_ASKED = 2
-"""Others that may have granted a tenant's credits before: the one that ranks next, and one that
-ranked before and is leaving."""
+"""Other gateways that may have granted a tenant's credits before: the one that ranks next, and one
+that ranked higher and is leaving."""
 
 
 class MembershipView(Protocol):
-    """What is needed of the membership."""
+    """The part of the membership that is used here."""
 
     def live(self) -> tuple[Member, ...]:
-        """Return the members that may be given work."""
+        """Return the members that may get work."""
 
     def members(self) -> tuple[Member, ...]:
-        """Return every member known, this node and the dead included."""
+        """Return all known members, including this node and dead ones."""
 
     def dead_for_s(self, name: str) -> float:
-        """Return how long ago a member was marked as dead; 0 if it is not."""
+        """Return the seconds since a member was marked as dead; 0 if it is not dead."""
 
 
 class GatewayFleet:
@@ -41,10 +40,10 @@
 
     Parameters
     ----------
-    belongs
-        Whether a member is one of the gateways that share the limits.
+    is_gateway
+        Returns whether a member is one of the gateways that share the limits.
     is_unreachable
-        Returns whether a zone cannot be reached now.
+        Returns whether a zone is unreachable now.
     """
 
     def __init__(
@@ -63,11 +62,10 @@
         self._viewed_at = -VIEW_LIFETIME_S
 
     def ranked(self, tenant: str) -> tuple[Member, ...]:
-        """Return the live gateways, those first that grant the tenant's credits before others.
+        """Return the live gateways in reachable zones; the first grants the tenant's credits.
 
-        Not those in a zone that cannot be reached; the own zone always can.
-        Strong ones come first: a weak one would answer the requests of a tenant at its limit
-        for all others.
+        Gateways with more processor time rank first, as the granter of a tenant at its limit
+        answers the requests of all other gateways.
         """
         gateways = [
             member
@@ -77,12 +75,12 @@
         return _ranked(tenant, gateways)
 
     def is_first(self, tenant: str) -> bool:
-        """Return whether this gateway grants the tenant's credits, by its own view."""
+        """Return whether this gateway is the tenant's granter, in its own view."""
         ranked = self.ranked(tenant)
         return not ranked or ranked[0].name == self._own_name
 
     def earlier_granters(self, tenant: str) -> tuple[Member, ...]:
-        """Return the others that may have granted the tenant's credits until now."""
+        """Return the other gateways that may have granted the tenant's credits so far."""
         others = [
             member
             for member in self._membership.members()
@@ -93,14 +91,14 @@
         return _ranked(tenant, others)[:GRANTERS_ASKED]
 
     def member(self, name: str) -> Member | None:
-        """Return a gateway that is not known to be dead."""
+        """Return a gateway by its name; ``None`` if it is unknown or dead."""
         for member in self._membership.members():
             if member.name == name and member.state is not MemberState.DEAD:
                 return member
         return None
 
     def view(self) -> FleetView:
-        """Return how much of the fleet is seen."""
+        """Return how many gateways are live and known."""
         now = boot_clock.now()
         if now - self._viewed_at >= VIEW_LIFETIME_S:
             self._viewed_at = now
--- a/src/quaymill/process/limits/granter.py
+++ b/src/quaymill/process/limits/granter.py
@@ -1,9 +1,9 @@
-"""Lends credits of the tenants for which this gateway ranks first.
+"""Lends credits of the tenants for which this gateway ranks first, and so is their granter.
 
-Nothing is kept on disk. A gateway that comes to grant a tenant's credits tells those that may have
-granted them before, which grant none from then on; what they granted is told by those who use it
-(``request_credits``). Slots in use are learnt again within ``SLOT_LEASE_S`` from the gateways'
-renewals.
+Nothing is stored on disk. A gateway that becomes the granter of a tenant takes over from those that
+may have been it before, which stop granting. The gateways that use credits report what the earlier
+granters granted (``request_credits``), and the slots in use are known again within
+``SLOT_LEASE_S`` from their renewals.
 """
 
 from __future__ import annotations
@@ -30,25 +30,32 @@
 from quaymill.version.tenants import TenantLimits
 
 SLOT_LEASE_S = 5.0
+"""How long lent slots count as in use without a renewal."""
 RETRY_AFTER_SLOTS_S = 1.0
+"""Time after which a request that was refused for lack of slots may be retried."""
 HANDED_OVER_S = 3.0
-"""How long a gateway that has handed a tenant over sends askers on, whatever it sees itself: twice
-the time that news of a gateway takes to reach all (0.5 s a probe, 1 s of suspicion)."""
+"""How long a gateway that has handed a tenant over refers requests to the new granter, regardless
+of its own view: twice the time that a membership change takes to reach all gateways."""
 
 LimitsOf = Callable[[str], TenantLimits | None]
-"""Returns the limits of a tenant by the configuration in force; ``None`` if there are none."""
+"""Returns the limits of a tenant in the current configuration; ``None`` if it has none."""
 
 
 @attrs.frozen
 class LimitRules:
-    """By what a granter goes.
+    """Parameters of a granter.
 
     Attributes
     ----------
     granter
         Name of the process that grants.
+    overrun
+        By how much the limits on requests may be exceeded.
+    view
+        Returns how many gateways are live and known.
     share
-        Part of the limits on tokens and slots that is lent: 1, or less for a gateway on its own.
+        Share of the limits on tokens and slots that is lent: 1, or less for a gateway that lends
+        only to itself.
     """
 
     granter: str
@@ -65,14 +72,18 @@
 
 
 class _TenantCredits:
-    """What one tenant has left; its lock guards it.
+    """Remaining credits of one tenant, guarded by ``lock``.
 
     Attributes
     ----------
     requests
-        ``None`` until this gateway has begun to grant, and where requests have no limit.
+        ``None`` until this gateway has begun to grant, and if requests are not limited.
+    tokens
+        ``None`` if tokens are not limited.
+    leases
+        Slots in use, by gateway.
     handed_to, handed_until
-        Who grants instead, and until when that is told on.
+        The new granter, and until when requests are referred to it.
     """
 
     def __init__(self) -> None:
@@ -85,7 +96,7 @@
         self.handed_until = 0.0
 
     def follow(self, limits: TenantLimits, share: float) -> None:
-        """Take the limits as they are now; a changed one on tokens begins with a full bucket."""
+        """Apply the current limits; a changed limit on tokens starts with a full bucket."""
         rate = limits.tokens_per_s * share
         held_rate = self.tokens.rate_per_s if self.tokens is not None else 0.0
         if rate != held_rate:
@@ -120,7 +131,7 @@
         now = boot_clock.now()
         self.leases = {name: one for name, one in self.leases.items() if one.until > now}
         others = sum(one.slots for name, one in self.leases.items() if name != gateway)
-        # Slots that a gateway already uses are never taken away, only not renewed.
+        # Slots that a gateway already uses are not revoked, just not renewed.
         lent = max(0, min(wanted, most - others))
         self.leases[gateway] = _SlotLease(lent)
         return lent
@@ -138,8 +149,8 @@
     Parameters
     ----------
     take_over
-        Tells those that may have granted a tenant's credits before to do so no more; returns
-        whether one of them had.
+        Makes the gateways that may have granted a tenant's credits before stop it; returns whether
+        one of them may have granted some.
     """
 
     def __init__(
@@ -151,7 +162,7 @@
         self._by_tenant: dict[str, _TenantCredits] = {}
 
     def lend(self, message: BorrowCredits) -> LentCredits:
-        """Lend what the tenant has left; a tenant without limits gets all it asks for."""
+        """Lend remaining credits of the tenant; without limits, lend all that is requested."""
         limits = self.rules.limits_of(message.tenant)
         if limits is None or not limits.any_set:
             return LentCredits(requests=message.requests, slots=message.slots)
@@ -165,16 +176,16 @@
             return msgspec.structs.replace(lent, by=self.rules.granter)
 
     def take_back(self, message: ReturnCredits) -> ReturnedCredits:
-        """Add what a gateway did not use."""
+        """Add credits that a gateway did not use."""
         credits = self._credits_of(message.tenant)
         with credits.lock:
             credits.take_back(message)
         return ReturnedCredits()
 
     def hand_over(self, message: TakeOverCredits) -> CreditsTakenOver:
-        """Grant a tenant's credits no more."""
+        """Stop granting a tenant's credits, as another gateway takes over."""
         credits = self._credits_of(message.tenant)
-        # Two that take over from each other at once would wait for each other.
+        # Not blocking: two gateways that take over from each other would deadlock.
         if not credits.lock.acquire(blocking=False):
             return CreditsTakenOver(False)
         try:
@@ -187,7 +198,7 @@
             credits.lock.release()
 
     def handed_to(self, tenant: str) -> str:
-        """Return to whom a tenant was handed over just now; empty if to nobody."""
+        """Return the gateway to which a tenant was recently handed over; empty if there is none."""
         credits = self._by_tenant.get(tenant)
         if credits is None or boot_clock.now() >= credits.handed_until:
             return ""
@@ -198,7 +209,7 @@
             return self._by_tenant.setdefault(tenant, _TenantCredits())
 
     def _follow_requests(self, tenant: str, credits: _TenantCredits) -> None:
-        """Let the requests' count be as the limits and the view of the fleet have it now."""
+        """Apply the current limits and fleet view to the request credits, or create these."""
         limits = credits.limits
         if not limits.requests_per_s:
             credits.requests = None
--- a/src/quaymill/process/limits/limiter.py
+++ b/src/quaymill/process/limits/limiter.py
@@ -1,7 +1,8 @@
-"""Admits a tenant's requests within its limits, by credits borrowed from the gateway that grants.
+"""Admits a tenant's requests within its limits, with credits borrowed from the tenant's granter.
 
-A tenant's limits hold over all gateways: the one that ranks first for the tenant lends credits. A
-gateway that cannot reach it admits its own part of the limit (``shares``) until one answers again.
+A tenant's limits apply to all gateways together. The gateway that ranks first for the tenant is its
+granter and lends credits. A gateway that gets no answer from a granter admits requests from its own
+share of the limits (``shares``) until a granter answers again.
 """
 
 from __future__ import annotations
@@ -32,33 +33,36 @@
 from quaymill.version.tenants import TenantLimits
 
 BORROW_TIMEOUT_S = 0.15
-"""Time for a granter's answer: half of the shortest objective known (0.3 s). Answers come within
-some milliseconds from a gateway that lives."""
+"""Timeout of a request for credits; a live granter answers within a few milliseconds."""
 RETURN_TIMEOUT_S = 0.5
 TAKE_OVER_TIMEOUT_S = 0.05
-"""Time for each earlier granter's answer, while the first request of a tenant waits."""
+"""Timeout of the call to each earlier granter; the first request of a tenant waits for them."""
 AVOID_S = 1.0
-"""How long a granter that did not answer is passed over: one request in a while waits for it."""
+"""How long a granter that did not answer is not asked again."""
 PACED_PATIENCE_S = 1.0
-"""How long a request waits for its turn at a granter that has just begun and knows little: after a
-kill of all gateways 145 requests of the backlog were refused for good (of 1,243 in two seconds), as
-callers had used up their tries by then."""
+"""How long a request waits for credits at a granter that has just started and paces its grants.
+Without the wait, callers would use up their retries after a restart of all gateways."""
 RENEW_INTERVAL_S = SLOT_LEASE_S / 3
+"""Interval at which slots in use are renewed."""
 
 
 class TenantLimiter:
-    """Requests/s, tokens/s and concurrency of each tenant, as seen by one gateway.
+    """Limits the requests/s, tokens/s and concurrency of tenants at one gateway.
 
     Parameters
     ----------
-    name, process_name
-        Of this gateway, and of its process: another after a restart.
+    name
+        Name of this gateway.
+    process_name
+        Name of this gateway process; differs after a restart.
     limits_of
-        Returns a tenant's limits by the configuration in force.
+        Returns a tenant's limits in the current configuration.
     fleet
-        The gateways over which the limits hold.
-    paced_patience_s
-        How long a request waits at most while its granter has just begun.
+        The gateways that share the limits.
+    overrun
+        By how much the limits on requests may be exceeded.
+    paced_timeout_s
+        Maximum time for which a request waits while its granter has just started.
     """
 
     def __init__(
@@ -92,19 +96,19 @@
         peer_server.register(TakeOverCredits, self._granter.hand_over)
 
     def start(self) -> None:
-        """Begin to give credits back and to renew slots in the background."""
+        """Start the threads that return credits and renew slots."""
         threading.Thread(target=self._send_returns, name="credit-returns", daemon=True).start()
         threading.Thread(target=self._renew_slots, name="credit-renewal", daemon=True).start()
 
     def stop(self) -> None:
-        """End the background work."""
+        """Stop the background threads."""
         self._stopping.set()
         self._returns.put(None)
 
     def admit(self, tenant: str, tokens: int) -> NotRun | None:
-        """Take one request that may generate ``tokens``, or refuse it with 429.
+        """Admit a request that may generate ``tokens``, or return its refusal with status 429.
 
-        An admitted request must be ended by ``release``.
+        Each admitted request must be ended by ``release``.
         """
         limits = self._limits_of(tenant)
         if limits is None or not limits.any_set:
@@ -121,13 +125,13 @@
                 slots=stock.in_service + 1,
                 granted=stock.granted() if limits.requests_per_s else (),
             )
-            # The request counts while the granter is asked, so that others ask for more.
+            # Counted before the granter answers, so that concurrent requests borrow more slots.
             stock.in_service += 1
         lent = self._borrow_in_turn(stock, message)
         return self._take_lent(stock, limits, message, lent)
 
     def release(self, tenant: str, reserved_tokens: int, used_tokens: int) -> None:
-        """End a request that was admitted; tokens that it did not use are given back."""
+        """End a request that was admitted, and return the tokens that it did not use."""
         with self._lock:
             stock = self._stock_by_tenant.get(tenant)
             if stock is None or stock.in_service == 0:
@@ -158,7 +162,7 @@
         return _refusal(message.tenant, limits, lent)
 
     def _borrow_in_turn(self, stock: LocalCredits, message: BorrowCredits) -> LentCredits:
-        """Borrow; wait for the turn that is told where the granter has just begun."""
+        """Borrow credits; wait and retry as long as the granter paces its grants."""
         until = boot_clock.now() + self._paced_patience_s
         while True:
             lent = self._borrow(stock, message)
@@ -167,7 +171,7 @@
             time.sleep(lent.retry_after_s)
 
     def _borrow(self, stock: LocalCredits, message: BorrowCredits) -> LentCredits:
-        """Ask the granter; without one, lend from this gateway's own part of the limit."""
+        """Borrow from the granter, or from the local share of the limits if none answers."""
         lent = self._ask(self._first_answering(message.tenant), message)
         if lent is not None and lent.granter:
             lent = self._ask(self._fleet.member(lent.granter), message)
@@ -198,7 +202,7 @@
         return None
 
     def _answer_borrow(self, message: BorrowCredits) -> LentCredits:
-        """Lend, if it is this gateway that grants; name the one that does otherwise."""
+        """Lend if this gateway is the granter; otherwise return the name of the granter."""
         granter = self._granter.handed_to(message.tenant)
         if not granter and not self._fleet.is_first(message.tenant):
             granter = self._fleet.ranked(message.tenant)[0].name
@@ -207,7 +211,7 @@
         return self._granter.lend(message)
 
     def _own(self) -> CreditGranter:
-        """Return what this gateway lends itself: its part of the limits."""
+        """Return the granter of this gateway's local share of the limits."""
         view = self._fleet.view().alone()
         if self._own_part is None or self._own_part.rules.share != view.part:
             own = LimitRules(
@@ -224,9 +228,9 @@
         return self._own_part
 
     def _take_over(self, tenant: str) -> bool:
-        """Tell those that may have granted a tenant's credits before to do so no more.
+        """Make the gateways that may have granted a tenant's credits before stop granting.
 
-        Returns whether one of them had granted some, or does not tell.
+        Returns whether one of them has granted some or did not answer.
         """
         message = TakeOverCredits(tenant, self._name)
         had_granted = False
@@ -246,11 +250,11 @@
             if granter is None or granter.name == self._name:
                 self._granter.take_back(message)
             else:
-                # A return that is lost costs the tenant its unused tokens; slots lapse.
+                # If the message is lost, the tenant loses its unused tokens; slot leases expire.
                 self._peer_client.call(granter.peer, message, ReturnedCredits, RETURN_TIMEOUT_S)
 
     def _renew_slots(self) -> None:
-        """Keep the slots of long requests from lapsing at the granter."""
+        """Renew the slots of long requests before their leases at the granter expire."""
         while not self._stopping.wait(RENEW_INTERVAL_S):
             with self._lock:
                 in_service = {name: one.in_service for name, one in self._stock_by_tenant.items()}
@@ -265,6 +269,6 @@
     return NotRun(
         429,
         f"tenant {tenant} is at its limit {limit} = {getattr(limits, limit):g}",
-        f"come back later, or ask the operator to raise tenants/{tenant}/{limit}",
+        f"retry later, or ask the operator to raise tenants/{tenant}/{limit}",
         lent.retry_after_s,
     )
--- a/src/quaymill/process/limits/local_credits.py
+++ b/src/quaymill/process/limits/local_credits.py
@@ -1,4 +1,4 @@
-"""What one gateway holds of a tenant's credits."""
+"""Credits of a tenant that one gateway has borrowed."""
 
 from __future__ import annotations
 
@@ -8,23 +8,25 @@
 from quaymill.version.tenants import TenantLimits
 
 STOCK_S = 0.1
-"""A gateway borrows requests for this time ahead; they lapse after as long again, so that what was
-lent in one window is hardly used in the next."""
+"""A gateway borrows the requests for this time in advance; they expire after twice this time, so
+that few of them are used in a later window than they were lent in."""
 
 
 class LocalCredits:
-    """Credits of one tenant, and who granted them; its owner's lock guards it.
+    """Credits of one tenant and their granters; not thread-safe, guarded by the lock of its owner.
 
     Attributes
     ----------
-    requests, requests_lapse_at
-        Requests that may still be admitted, until then.
-    slots, in_service
-        Slots lent at the last word; requests that were admitted and have not ended.
+    requests, requests_expire_at
+        Requests that may still be admitted, and until when (monotonic time).
+    slots
+        Slots lent by the last answer.
+    in_service
+        Requests that were admitted and have not ended.
     admitted, admitted_since
-        Requests admitted since the last borrowing.
-    own_until
-        Until when this gateway lends to itself, as no granter answers.
+        Requests admitted since the last borrowing, and its monotonic time.
+    local_until
+        Until when this gateway lends from its local share, as no granter answers.
     """
 
     def __init__(self) -> None:
@@ -38,7 +40,7 @@
         self._granted_by_granter: dict[str, WindowCount] = {}
 
     def take(self, limits: TenantLimits) -> bool:
-        """Admit a request without a word to the granter, if what is held suffices."""
+        """Admit a request from the borrowed credits; return ``False`` if the granter is needed."""
         if limits.tokens_per_s or limits.concurrency:
             return False
         if self.requests < 1 or boot_clock.now() > self.requests_lapse_at:
@@ -49,7 +51,7 @@
         return True
 
     def add(self, lent: LentCredits, window_s: float) -> None:
-        """Add what was lent for a request, without the one that it uses itself."""
+        """Add the credits lent for a request, less the one that the request itself uses."""
         now = boot_clock.now()
         held = self.requests if now < self.requests_lapse_at else 0
         self.requests = held + lent.requests - 1
@@ -57,10 +59,10 @@
         self._note_granted(lent, window_s)
 
     def wanted_requests(self, limits: TenantLimits) -> int:
-        """Return the requests to borrow: what the demand of late uses in ``STOCK_S``."""
+        """Return how many requests to borrow: the recent rate times ``BORROW_AHEAD_S``."""
         if not limits.requests_per_s:
             return 0
-        # Tokens and slots are asked for request by request, so that a stock would lapse unused.
+        # Tokens and slots are borrowed for each request, so requests borrowed ahead are not needed.
         if limits.tokens_per_s or limits.concurrency:
             return 1
         elapsed_s = max(STOCK_S, boot_clock.now() - self.admitted_since)
@@ -70,7 +72,7 @@
         return max(1, int(rate_per_s * STOCK_S))
 
     def granted(self) -> tuple[GrantedBy, ...]:
-        """Return what was granted within the last window, by whomever."""
+        """Return the requests granted to this gateway within the last window, by granter."""
         now = boot_clock.now()
         for granter in [
             one for one, held in self._granted_by_granter.items() if not held.total(now)
@@ -82,7 +84,7 @@
         )
 
     def _note_granted(self, lent: LentCredits, window_s: float) -> None:
-        """Remember who granted how much, for as long as a window."""
+        """Record granted requests by their granter, for one window."""
         held = self._granted_by_granter.get(lent.by)
         if held is None or held.window_s != window_s:
             held = self._granted_by_granter[lent.by] = WindowCount(window_s)
--- a/src/quaymill/process/limits/region.py
+++ b/src/quaymill/process/limits/region.py
@@ -1,4 +1,4 @@
-"""Limits of the tenants in the operators' table, which hold for each region by itself."""
+"""Builds the limiter for the tenants in the operators' table, whose limits apply to each region."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from quaymill.version.tenants import TenantLimits
 
 WINDOW_S = 1.0
-"""The cell says requests a second: no more come within any second."""
+"""The table states requests per second, so that the limit must hold within any second."""
 PROCESS_ID_BYTES = 4
 
 
@@ -25,7 +25,7 @@
     peer_client: PeerClient,
     peer_server: PeerServer,
 ) -> TenantLimiter:
-    """Return the limiter of one node, which shares limits with the nodes of its region."""
+    """Return the limiter of one node, which shares the limits with all nodes of its region."""
 
     def limits_of(tenant: str) -> TenantLimits | None:
         row = holder.current().tenants.get(tenant)
--- a/src/quaymill/process/limits/request_credits.py
+++ b/src/quaymill/process/limits/request_credits.py
@@ -1,9 +1,9 @@
-"""What is left of one tenant's requests, as the gateway that grants them counts it.
+"""Counts the requests that the granter of a tenant may still grant.
 
-Within each window of the operator's no more is granted than the limit allows there. What others
-granted before is not handed over but told by those who use it: whoever asks tells what it had
-within the last window, and of whom. Where somebody may have granted before, what nobody has told of
-yet is covered by granting no faster than the limit's rate until a window has passed.
+Within any window, no more requests are granted than the limit allows. An earlier granter does not
+hand over its counts. Instead, each gateway that borrows reports what it was granted within the last
+window, and by which granter. If there may have been an earlier granter, grants are paced to the
+rate of the limit until a whole window has passed, as not all gateways have reported before.
 """
 
 from __future__ import annotations
@@ -26,26 +26,26 @@
 from quaymill.version.tenants import TenantLimits
 
 MAX_RETRY_AFTER_S = 5.0
-"""Longest time to come back that is told: within the patience of the callers known (5 s)."""
+"""Longest retry time that is sent to a caller; callers would time out if it were longer."""
 
 
 @attrs.frozen
 class _Told:
-    """What one gateway had of other granters, as it told at a monotonic time."""
+    """Requests granted to one gateway by other granters, as reported at a monotonic time."""
 
     at: float
     by_age: tuple[float, ...]
 
 
 class RequestCredits:
-    """One tenant's requests at its granter; guarded by its owner's lock.
+    """Requests of one tenant at its granter; not thread-safe, guarded by the lock of its owner.
 
     Parameters
     ----------
     granter
         Name of the process that grants.
     may_follow
-        Whether another may have granted within the last window.
+        Whether another process may have granted requests within the last window.
     """
 
     def __init__(
@@ -73,16 +73,16 @@
 
     @property
     def allowed(self) -> float:
-        """Requests that may be granted within a window."""
+        """Number of requests that may be granted within a window."""
         return self._allowed
 
     @property
     def limits_window_s(self) -> float:
-        """Length of the window."""
+        """Length of the window in seconds."""
         return self._granted.window_s
 
     def follow(self, limits: TenantLimits, view: FleetView) -> None:
-        """Go by the limits and the view of the fleet as they are now."""
+        """Apply the current limits and view of the fleet."""
         window_s = window_of(limits, self._overrun)
         if window_s != self._granted.window_s:
             counted = self._granted.total(boot_clock.now())
@@ -93,7 +93,7 @@
         self._pace.change(max(limits.requests_per_s, 1.0 / window_s), limits.burst)
 
     def learn(self, gateway: str, granted: tuple[GrantedBy, ...]) -> None:
-        """Take what a gateway had of others within the last window."""
+        """Record what other granters granted to a gateway within the last window."""
         others = [one.by_age for one in granted if one.granter != self._granter]
         if not others:
             self._told_by_gateway.pop(gateway, None)
@@ -103,12 +103,12 @@
 
     @property
     def paced(self) -> bool:
-        """Whether a request would be granted but for what others may have granted before."""
+        """Whether a request is refused only because grants are paced after a takeover."""
         now = boot_clock.now()
         return now < self._paced_until and self._free(now) >= 1.0
 
     def take_up_to(self, wanted: int) -> int:
-        """Grant as many requests as are left, at most ``wanted``."""
+        """Grant at most ``wanted`` requests; return how many were granted."""
         now = boot_clock.now()
         taken = max(0, min(wanted, int(self._free(now))))
         if now < self._paced_until:
@@ -118,14 +118,15 @@
         return taken
 
     def _free(self, now: float) -> float:
-        """Return the requests that the window has room for."""
+        """Return how many requests may still be granted within the window."""
         return self._allowed - self._granted.total(now) - self._granted_by_others(now)
 
     def next_turn_s(self) -> float:
-        """Return when a refused caller may come back: each a turn after the one before.
+        """Return the seconds after which a refused caller may retry.
 
-        Told the same time, all that were refused would come back at once, for one credit. Those
-        for whom there is no turn soon are spread over the later half of the time.
+        Refused callers get different times, each one credit later than the one before; otherwise
+        all of them would retry at once for a single credit. Times beyond ``MAX_RETRY_AFTER_S``
+        are replaced by random ones in its second half.
         """
         now = boot_clock.now()
         missing = max(0.0, 1.0 - self._free(now))
@@ -139,7 +140,7 @@
         return self._promised_at - now
 
     def _granted_by_others(self, now: float) -> float:
-        """Return what others granted within the window, by what gateways have told."""
+        """Return the requests granted by others within the window, as reported by gateways."""
         if not self._told_by_gateway:
             return 0.0
         total = 0.0
@@ -149,7 +150,7 @@
             if since_s >= self._granted.window_s:
                 del self._told_by_gateway[gateway]
                 continue
-            # Of each part the youngest decides: all of it counts until that is too old.
+            # A whole part counts until its newest request has left the window.
             total += sum(
                 count
                 for part, count in enumerate(told.by_age)
--- a/src/quaymill/process/limits/shares.py
+++ b/src/quaymill/process/limits/shares.py
@@ -1,12 +1,12 @@
-"""What may be granted of a tenant's rate of requests, by how much of the fleet is seen.
+"""Calculates how many requests of a tenant's limit may be granted in a network partition.
 
-Nothing that has been given away may be given again before it has run out. A gateway that sees
-only a part of the fleet cannot tell gateways that have ended from gateways that are cut off and
-serve on, so it grants only its part of the limit: whatever parts a fleet falls into, all of them
-together grant the limit once. The overrun that operators tolerate pays for the rest: for granters
-that change, and for gateways that do not know yet that they are cut off.
+A gateway that reaches only some of the gateways cannot know whether the others have stopped or are
+partitioned and still serve. So it grants only a share of the limit that is proportional to the
+gateways it reaches: the shares of all partitions add up to the limit. The overrun tolerated by
+operators covers the remaining cases: changes of the granter, and gateways that have not detected
+the partition yet.
 
-The functions here decide; ``granter`` and ``limiter`` keep the state.
+This module has no state; ``granter`` and ``limiter`` keep it.
 """
 
 from __future__ import annotations
@@ -16,27 +16,27 @@
 from quaymill.version.tenants import TenantLimits
 
 PARTS_SHARE = 0.35
-"""Part of the tolerated overrun that the parts of a divided fleet may grant beyond the limit."""
+"""Share of the tolerated overrun that the partitions of a fleet may grant beyond the limit."""
 TAKEOVER_SHARE = 0.35
-"""Part of it that a granter may grant at once while it does not know what was granted before. Two
-of them may follow each other within a window: a gateway that ends, and its return. What is left
-covers credits that were lent a moment before they are used."""
+"""Share of the tolerated overrun that a new granter may grant at once without knowing what was
+granted before. It is less than half, as there may be two changes of the granter within a window:
+when a gateway stops and when it returns."""
 ASSUMED_GATEWAYS = 10
-"""Gateways that a process assumes which has just started and found none beside itself."""
+"""Number of gateways that a process assumes if it has just started and found no other."""
 
 
 @attrs.frozen
 class Overrun:
-    """By how much a tenant's requests may exceed their limit, as operators tolerate it.
+    """By how much a tenant's requests may exceed their limit.
 
     Attributes
     ----------
     window_s
-        The span in which requests are counted, wherever it falls.
+        Length of the sliding window in which requests are counted.
     share
-        Part of the requests allowed in a window by which they may be exceeded.
+        Tolerated excess as a share of the requests allowed in a window.
     requests
-        Requests by which they may be exceeded beside that.
+        Tolerated excess in requests, in addition to ``share``.
     """
 
     window_s: float = 5.0
@@ -44,22 +44,22 @@
     requests: float = 0.0
 
     def tolerated(self, limits: TenantLimits) -> float:
-        """Return the requests in a window that are tolerated beyond those allowed."""
+        """Return how many requests in a window are tolerated beyond those allowed."""
         return self.share * (limits.requests_per_s * self.window_s + limits.burst) + self.requests
 
 
 @attrs.frozen
 class FleetView:
-    """How much of the fleet a gateway sees.
+    """How many gateways one gateway reaches and knows.
 
     Attributes
     ----------
     live
-        Gateways that answer, this one included.
+        Reachable gateways, including this one.
     known
-        These, and those that have fallen silent not long ago.
-    young
-        Whether this process has just started, so that it may not know all of them.
+        Live gateways and those that became unresponsive recently.
+    recently_started
+        Whether this process has just started, so that it may not know all gateways.
     """
 
     live: int
@@ -68,7 +68,7 @@
 
     @property
     def part(self) -> float:
-        """Part of the fleet that is seen."""
+        """Share of the gateways that is reachable."""
         if self.young and self.known <= 1:
             return 1.0 / ASSUMED_GATEWAYS
         return min(1.0, self.live / max(1, self.known))
@@ -79,12 +79,18 @@
 
 
 def window_of(limits: TenantLimits, overrun: Overrun) -> float:
-    """Return the window of a limit, in seconds: at least the time in which one request comes."""
+    """Return the window of a limit in seconds, long enough for at least one request."""
     return max(overrun.window_s, 1.0 / limits.requests_per_s)
 
 
 def allowed_in_window(limits: TenantLimits, overrun: Overrun, part: float) -> float:
-    """Return the requests that a part of the fleet may grant within a window; one at least."""
+    """Return how many requests a partition may grant in a window; at least one.
+
+    Parameters
+    ----------
+    fleet_share
+        Share of the fleet in the partition.
+    """
     whole = limits.requests_per_s * window_of(limits, overrun) + limits.burst
     if part < 1.0:
         whole = min(whole, (whole + PARTS_SHARE * overrun.tolerated(limits)) * part)
@@ -92,5 +98,5 @@
 
 
 def first_balance(limits: TenantLimits, overrun: Overrun, view: FleetView) -> float:
-    """Return the requests that a granter may grant at once before it knows what others granted."""
+    """Return how many requests a new granter may grant at once before it knows earlier grants."""
     return max(1.0, TAKEOVER_SHARE * overrun.tolerated(limits) * view.part)
--- a/src/quaymill/process/limits/window.py
+++ b/src/quaymill/process/limits/window.py
@@ -1,4 +1,4 @@
-"""Counts what was granted within a span, wherever that span falls."""
+"""Counts amounts within a sliding window."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 import attrs
 
 SLOTS = 50
-"""Parts of a window that are counted together. One that is partly over counts as a whole, so that
-a fiftieth of a limit that is used up comes free late."""
+"""Intervals of a window whose amounts are counted together. An interval counts until the whole of
+it has left the window."""
 
 
 @attrs.define
 class WindowCount:
-    """What was granted within the last window.
+    """Amounts counted within the last window.
 
     Attributes
     ----------
     window_s
-        Length of the window.
+        Length of the window in seconds.
     """
 
     window_s: float
@@ -27,14 +27,14 @@
     _total: float = 0.0
 
     def add(self, amount: float, now: float) -> None:
-        """Count what is granted now."""
+        """Add an amount at the time ``now``."""
         slot = math.floor(now / self._slot_s)
         same = self._slots.pop()[1] if self._slots and self._slots[-1][0] == slot else 0.0
         self._slots.append((slot, same + amount))
         self._total += amount
 
     def total(self, now: float) -> float:
-        """Return what was granted within the window that ends now."""
+        """Return the total of the window that ends at ``now``."""
         oldest = (now - self.window_s) / self._slot_s - 1.0
         while self._slots and self._slots[0][0] < oldest:
             self._total -= self._slots.popleft()[1]
@@ -43,7 +43,7 @@
         return self._total
 
     def wait_s(self, excess: float, now: float) -> float:
-        """Return when so much of what was granted has left the window."""
+        """Return the seconds until the total has decreased by ``excess``."""
         left = self.total(now) - excess
         leaving = self._total
         for slot, count in self._slots:
@@ -53,7 +53,7 @@
         return self.window_s
 
     def by_age(self, parts: int, now: float) -> tuple[float, ...]:
-        """Return what was granted by its age, in so many parts of the window, newest first."""
+        """Return the total of the window split by age into equal parts, newest first."""
         self.total(now)
         found = [0.0] * parts
         for slot, count in self._slots:
