--- a/src/quaymill/process/limits/bucket.py
+++ b/src/quaymill/process/limits/bucket.py
@@ -19,11 +19,11 @@
     """
 
     def __init__(
-        self, rate_per_s: float, most: float | None = None, balance: float | None = None
+        self, rate_per_s: float, capacity: float | None = None, balance: float | None = None
     ) -> None:
         self._rate_per_s = rate_per_s
-        self._most = max(1.0, rate_per_s if most is None else most)
-        self._balance = self._most if balance is None else min(self._most, balance)
+        self._capacity = max(1.0, rate_per_s if capacity is None else capacity)
+        self._balance = self._capacity if balance is None else min(self._capacity, balance)
         self._refilled_at = boot_clock.now()
 
     @property
@@ -37,12 +37,12 @@
         self._refill()
         return self._balance
 
-    def change(self, rate_per_s: float, most: float) -> None:
+    def reconfigure(self, rate_per_s: float, capacity: float) -> None:
         """Change the rate and the capacity; credits beyond the capacity are lost."""
         self._refill()
         self._rate_per_s = rate_per_s
-        self._most = max(1.0, most)
-        self._balance = min(self._most, self._balance)
+        self._capacity = max(1.0, capacity)
+        self._balance = min(self._capacity, self._balance)
 
     def take_up_to(self, wanted: int) -> int:
         """Take at most ``wanted`` whole credits; return how many were taken."""
@@ -59,9 +59,9 @@
         self._balance -= amount
         return True
 
-    def give_back(self, amount: float) -> None:
+    def put_back(self, amount: float) -> None:
         """Return credits that were taken and not used."""
-        self._balance = min(self._most, self._balance + amount)
+        self._balance = min(self._capacity, self._balance + amount)
 
     def wait_s(self, level: float = 1.0) -> float:
         """Return the seconds until the balance reaches ``level``."""
@@ -72,4 +72,4 @@
         now = boot_clock.now()
         gained = (now - self._refilled_at) * self._rate_per_s
         self._refilled_at = now
-        self._balance = min(self._most, self._balance + gained)
+        self._balance = min(self._capacity, self._balance + gained)
--- a/src/quaymill/process/limits/fleet.py
+++ b/src/quaymill/process/limits/fleet.py
@@ -10,14 +10,14 @@
 from quaymill.process.limits.shares import FleetView
 from quaymill.process.membership.ranking import rank_nodes, strongest
 
-SILENT_COUNTED_S = 30.0
+SILENT_GATEWAY_LIFETIME_S = 30.0
 """How long an unresponsive gateway counts as one that may be partitioned and still serve. It should
 exceed the length of network partitions; until then the share of a removed gateway is not used."""
-YOUNG_S = 4.0
+RECENT_START_S = 4.0
 """Time after the start in which other gateways may still be unknown (``TIMING.join_period_s``)."""
 VIEW_LIFETIME_S = 0.25
 """How long one count of the gateways is used: half of the membership's probe interval."""
-GRANTERS_ASKED = 2
+MAX_EARLIER_GRANTERS = 2
 """Other gateways that may have granted a tenant's credits before: the one that ranks next, and one
 that ranked higher and is leaving."""
 
@@ -50,16 +50,16 @@
         self,
         membership: MembershipView,
         own_name: str,
-        belongs: Callable[[Member], bool],
+        is_gateway: Callable[[Member], bool],
         is_unreachable: Callable[[str], bool] = lambda zone: False,
     ) -> None:
         self._membership = membership
         self._own_name = own_name
-        self._belongs = belongs
+        self._is_gateway = is_gateway
         self._is_unreachable = is_unreachable
         self._started_at = boot_clock.now()
-        self._view = FleetView(1, 1, young=True)
-        self._viewed_at = -VIEW_LIFETIME_S
+        self._view = FleetView(1, 1, recently_started=True)
+        self._counted_at = -VIEW_LIFETIME_S
 
     def ranked(self, tenant: str) -> tuple[Member, ...]:
         """Return the live gateways in reachable zones; the first grants the tenant's credits.
@@ -70,7 +70,7 @@
         gateways = [
             member
             for member in self._membership.live()
-            if self._belongs(member) and not self._is_unreachable(member.zone)
+            if self._is_gateway(member) and not self._is_unreachable(member.zone)
         ]
         return _ranked(tenant, gateways)
 
@@ -84,11 +84,11 @@
         others = [
             member
             for member in self._membership.members()
-            if self._belongs(member)
+            if self._is_gateway(member)
             and member.state is not MemberState.DEAD
             and member.name != self._own_name
         ]
-        return _ranked(tenant, others)[:GRANTERS_ASKED]
+        return _ranked(tenant, others)[:MAX_EARLIER_GRANTERS]
 
     def member(self, name: str) -> Member | None:
         """Return a gateway by its name; ``None`` if it is unknown or dead."""
@@ -100,8 +100,8 @@
     def view(self) -> FleetView:
         """Return how many gateways are live and known."""
         now = boot_clock.now()
-        if now - self._viewed_at >= VIEW_LIFETIME_S:
-            self._viewed_at = now
+        if now - self._counted_at >= VIEW_LIFETIME_S:
+            self._counted_at = now
             self._view = self._count(now)
         return self._view
 
@@ -109,13 +109,15 @@
         live = 0
         silent = 0
         for member in self._membership.members():
-            if not self._belongs(member):
+            if not self._is_gateway(member):
                 continue
             if member.state is not MemberState.DEAD and not self._is_unreachable(member.zone):
                 live += 1
-            elif self._membership.dead_for_s(member.name) < SILENT_COUNTED_S:
+            elif self._membership.dead_for_s(member.name) < SILENT_GATEWAY_LIFETIME_S:
                 silent += 1
-        return FleetView(max(1, live), max(1, live + silent), now - self._started_at < YOUNG_S)
+        return FleetView(
+            max(1, live), max(1, live + silent), now - self._started_at < RECENT_START_S
+        )
 
 
 def _ranked(tenant: str, gateways: list[Member]) -> tuple[Member, ...]:
--- a/src/quaymill/process/limits/granter.py
+++ b/src/quaymill/process/limits/granter.py
@@ -68,7 +68,7 @@
 class _SlotLease:
     def __init__(self, slots: int) -> None:
         self.slots = slots
-        self.until = boot_clock.now() + SLOT_LEASE_S
+        self.expires_at = boot_clock.now() + SLOT_LEASE_S
 
 
 class _TenantCredits:
@@ -95,11 +95,11 @@
         self.handed_to = ""
         self.handed_until = 0.0
 
-    def follow(self, limits: TenantLimits, share: float) -> None:
+    def update(self, limits: TenantLimits, share: float) -> None:
         """Apply the current limits; a changed limit on tokens starts with a full bucket."""
         rate = limits.tokens_per_s * share
-        held_rate = self.tokens.rate_per_s if self.tokens is not None else 0.0
-        if rate != held_rate:
+        current_rate = self.tokens.rate_per_s if self.tokens is not None else 0.0
+        if rate != current_rate:
             self.tokens = Bucket(rate) if rate else None
         self.limits = limits
 
@@ -116,7 +116,7 @@
                 return LentCredits(
                     slots=slots,
                     refused_by="requests_per_s",
-                    retry_after_s=self.requests.next_turn_s(),
+                    retry_after_s=self.requests.next_retry_s(),
                     paced=self.requests.paced,
                 )
         if self.tokens is not None and not self.tokens.take_whole(message.tokens):
@@ -127,18 +127,18 @@
     def _lend_slots(self, gateway: str, wanted: int, share: float) -> int:
         if not self.limits.concurrency:
             return wanted
-        most = max(1, int(self.limits.concurrency * share))
+        max_slots = max(1, int(self.limits.concurrency * share))
         now = boot_clock.now()
-        self.leases = {name: one for name, one in self.leases.items() if one.until > now}
-        others = sum(one.slots for name, one in self.leases.items() if name != gateway)
+        self.leases = {name: lease for name, lease in self.leases.items() if lease.expires_at > now}
+        others = sum(lease.slots for name, lease in self.leases.items() if name != gateway)
         # Slots that a gateway already uses are not revoked, just not renewed.
-        lent = max(0, min(wanted, most - others))
+        lent = max(0, min(wanted, max_slots - others))
         self.leases[gateway] = _SlotLease(lent)
         return lent
 
-    def take_back(self, message: ReturnCredits) -> None:
+    def handle_return(self, message: ReturnCredits) -> None:
         if self.tokens is not None:
-            self.tokens.give_back(message.tokens)
+            self.tokens.put_back(message.tokens)
         if self.limits.concurrency:
             self.leases[message.gateway] = _SlotLease(message.slots)
 
@@ -168,18 +168,18 @@
             return LentCredits(requests=message.requests, slots=message.slots)
         credits = self._credits_of(message.tenant)
         with credits.lock:
-            credits.follow(limits, self.rules.share)
-            self._follow_requests(message.tenant, credits)
+            credits.update(limits, self.rules.share)
+            self._update_requests(message.tenant, credits)
             if credits.requests is not None:
-                credits.requests.learn(message.gateway, message.granted)
+                credits.requests.record_grants(message.gateway, message.granted)
             lent = credits.lend(message, self.rules.share)
             return msgspec.structs.replace(lent, by=self.rules.granter)
 
-    def take_back(self, message: ReturnCredits) -> ReturnedCredits:
+    def handle_return(self, message: ReturnCredits) -> ReturnedCredits:
         """Add credits that a gateway did not use."""
         credits = self._credits_of(message.tenant)
         with credits.lock:
-            credits.take_back(message)
+            credits.handle_return(message)
         return ReturnedCredits()
 
     def hand_over(self, message: TakeOverCredits) -> CreditsTakenOver:
@@ -208,7 +208,7 @@
         with self._lock:
             return self._by_tenant.setdefault(tenant, _TenantCredits())
 
-    def _follow_requests(self, tenant: str, credits: _TenantCredits) -> None:
+    def _update_requests(self, tenant: str, credits: _TenantCredits) -> None:
         """Apply the current limits and fleet view to the request credits, or create these."""
         limits = credits.limits
         if not limits.requests_per_s:
@@ -216,7 +216,7 @@
             return
         view = self.rules.view()
         if credits.requests is not None:
-            credits.requests.follow(limits, view)
+            credits.requests.update(limits, view)
             return
         had_granted = self._take_over(tenant)
         credits.requests = RequestCredits(
@@ -224,7 +224,7 @@
             limits,
             self.rules.overrun,
             view,
-            may_follow=had_granted or view.young or view.part < 1.0,
+            may_have_predecessor=had_granted or view.recently_started or view.reachable_share < 1.0,
         )
         log_message(
             "limit:granting",
--- a/src/quaymill/process/limits/limiter.py
+++ b/src/quaymill/process/limits/limiter.py
@@ -39,7 +39,7 @@
 """Timeout of the call to each earlier granter; the first request of a tenant waits for them."""
 AVOID_S = 1.0
 """How long a granter that did not answer is not asked again."""
-PACED_PATIENCE_S = 1.0
+PACED_TIMEOUT_S = 1.0
 """How long a request waits for credits at a granter that has just started and paces its grants.
 Without the wait, callers would use up their retries after a restart of all gateways."""
 RENEW_INTERVAL_S = SLOT_LEASE_S / 3
@@ -74,25 +74,25 @@
         peer_client: PeerClient,
         peer_server: PeerServer,
         overrun: Overrun | None = None,
-        paced_patience_s: float = PACED_PATIENCE_S,
+        paced_timeout_s: float = PACED_TIMEOUT_S,
     ) -> None:
         self._name = name
         self._limits_of = limits_of
         self._fleet = fleet
         self._peer_client = peer_client
         self._overrun = overrun or Overrun()
-        self._paced_patience_s = paced_patience_s
+        self._paced_timeout_s = paced_timeout_s
         self._process_name = process_name
         rules = LimitRules(process_name, limits_of, self._overrun, fleet.view)
         self._granter = CreditGranter(rules, self._take_over)
-        self._own_part: CreditGranter | None = None
+        self._local_granter: CreditGranter | None = None
         self._avoided_until_by_name: dict[str, float] = {}
         self._lock = threading.Lock()
-        self._stock_by_tenant: dict[str, LocalCredits] = {}
+        self._credits_by_tenant: dict[str, LocalCredits] = {}
         self._returns: queue.SimpleQueue[ReturnCredits | None] = queue.SimpleQueue()
         self._stopping = threading.Event()
         peer_server.register(BorrowCredits, self._answer_borrow)
-        peer_server.register(ReturnCredits, self._granter.take_back)
+        peer_server.register(ReturnCredits, self._granter.handle_return)
         peer_server.register(TakeOverCredits, self._granter.hand_over)
 
     def start(self) -> None:
@@ -114,73 +114,73 @@
         if limits is None or not limits.any_set:
             return None
         with self._lock:
-            stock = self._stock_by_tenant.setdefault(tenant, LocalCredits())
-            if stock.take(limits):
+            credits = self._credits_by_tenant.setdefault(tenant, LocalCredits())
+            if credits.take_request(limits):
                 return None
             message = BorrowCredits(
                 tenant=tenant,
                 gateway=self._name,
-                requests=stock.wanted_requests(limits),
+                requests=credits.wanted_requests(limits),
                 tokens=tokens if limits.tokens_per_s else 0,
-                slots=stock.in_service + 1,
-                granted=stock.granted() if limits.requests_per_s else (),
+                slots=credits.in_service + 1,
+                granted=credits.granted() if limits.requests_per_s else (),
             )
             # Counted before the granter answers, so that concurrent requests borrow more slots.
-            stock.in_service += 1
-        lent = self._borrow_in_turn(stock, message)
-        return self._take_lent(stock, limits, message, lent)
+            credits.in_service += 1
+        lent = self._borrow_with_retry(credits, message)
+        return self._add_lent(credits, limits, message, lent)
 
     def release(self, tenant: str, reserved_tokens: int, used_tokens: int) -> None:
         """End a request that was admitted, and return the tokens that it did not use."""
         with self._lock:
-            stock = self._stock_by_tenant.get(tenant)
-            if stock is None or stock.in_service == 0:
+            credits = self._credits_by_tenant.get(tenant)
+            if credits is None or credits.in_service == 0:
                 return
-            stock.in_service -= 1
-            stock.slots = min(stock.slots, stock.in_service)
-            slots = stock.in_service
+            credits.in_service -= 1
+            credits.slots = min(credits.slots, credits.in_service)
+            slots = credits.in_service
         limits = self._limits_of(tenant)
         if limits is None or not (limits.concurrency or limits.tokens_per_s):
             return
         unused = reserved_tokens - used_tokens if limits.tokens_per_s else 0
         message = ReturnCredits(tenant, self._name, unused, slots)
-        if boot_clock.now() < stock.own_until:
-            self._own().take_back(message)
+        if boot_clock.now() < credits.local_until:
+            self._get_local_granter().handle_return(message)
         self._returns.put(message)
 
-    def _take_lent(
-        self, stock: LocalCredits, limits: TenantLimits, message: BorrowCredits, lent: LentCredits
+    def _add_lent(
+        self, credits: LocalCredits, limits: TenantLimits, message: BorrowCredits, lent: LentCredits
     ) -> NotRun | None:
         with self._lock:
-            stock.slots = max(stock.slots, lent.slots)
+            credits.slots = max(credits.slots, lent.slots)
             if not lent.refused_by:
                 if limits.requests_per_s:
-                    stock.add(lent, window_of(limits, self._overrun))
-                stock.admitted += 1
+                    credits.add(lent, window_of(limits, self._overrun))
+                credits.admitted += 1
                 return None
-            stock.in_service -= 1
+            credits.in_service -= 1
         return _refusal(message.tenant, limits, lent)
 
-    def _borrow_in_turn(self, stock: LocalCredits, message: BorrowCredits) -> LentCredits:
+    def _borrow_with_retry(self, credits: LocalCredits, message: BorrowCredits) -> LentCredits:
         """Borrow credits; wait and retry as long as the granter paces its grants."""
-        until = boot_clock.now() + self._paced_patience_s
+        until = boot_clock.now() + self._paced_timeout_s
         while True:
-            lent = self._borrow(stock, message)
+            lent = self._borrow(credits, message)
             if not lent.paced or boot_clock.now() + lent.retry_after_s > until:
                 return lent
             time.sleep(lent.retry_after_s)
 
-    def _borrow(self, stock: LocalCredits, message: BorrowCredits) -> LentCredits:
+    def _borrow(self, credits: LocalCredits, message: BorrowCredits) -> LentCredits:
         """Borrow from the granter, or from the local share of the limits if none answers."""
-        lent = self._ask(self._first_answering(message.tenant), message)
+        lent = self._call_granter(self._first_available(message.tenant), message)
         if lent is not None and lent.granter:
-            lent = self._ask(self._fleet.member(lent.granter), message)
+            lent = self._call_granter(self._fleet.member(lent.granter), message)
         if lent is not None and not lent.granter:
             return lent
-        stock.own_until = boot_clock.now() + AVOID_S
-        return self._own().lend(message)
+        credits.local_until = boot_clock.now() + AVOID_S
+        return self._get_local_granter().lend(message)
 
-    def _first_answering(self, tenant: str) -> Member | None:
+    def _first_available(self, tenant: str) -> Member | None:
         for member in self._fleet.ranked(tenant):
             if not self._is_avoided(member):
                 return member
@@ -189,7 +189,7 @@
     def _is_avoided(self, member: Member) -> bool:
         return self._avoided_until_by_name.get(member.name, 0.0) > boot_clock.now()
 
-    def _ask(self, granter: Member | None, message: BorrowCredits) -> LentCredits | None:
+    def _call_granter(self, granter: Member | None, message: BorrowCredits) -> LentCredits | None:
         if granter is None or self._is_avoided(granter):
             return None
         if granter.name == self._name:
@@ -210,22 +210,22 @@
             return LentCredits(granter=granter)
         return self._granter.lend(message)
 
-    def _own(self) -> CreditGranter:
+    def _get_local_granter(self) -> CreditGranter:
         """Return the granter of this gateway's local share of the limits."""
-        view = self._fleet.view().alone()
-        if self._own_part is None or self._own_part.rules.share != view.part:
-            own = LimitRules(
+        view = self._fleet.view().isolated()
+        if self._local_granter is None or self._local_granter.rules.share != view.reachable_share:
+            rules = LimitRules(
                 f"{self._process_name}/own part",
                 self._limits_of,
                 self._overrun,
                 lambda: view,
-                view.part,
+                view.reachable_share,
             )
-            if self._own_part is None:
-                self._own_part = CreditGranter(own)
+            if self._local_granter is None:
+                self._local_granter = CreditGranter(rules)
             else:
-                self._own_part.rules = own
-        return self._own_part
+                self._local_granter.rules = rules
+        return self._local_granter
 
     def _take_over(self, tenant: str) -> bool:
         """Make the gateways that may have granted a tenant's credits before stop granting.
@@ -246,9 +246,9 @@
             message = self._returns.get()
             if message is None:
                 return
-            granter = self._first_answering(message.tenant)
+            granter = self._first_available(message.tenant)
             if granter is None or granter.name == self._name:
-                self._granter.take_back(message)
+                self._granter.handle_return(message)
             else:
                 # If the message is lost, the tenant loses its unused tokens; slot leases expire.
                 self._peer_client.call(granter.peer, message, ReturnedCredits, RETURN_TIMEOUT_S)
@@ -257,7 +257,7 @@
         """Renew the slots of long requests before their leases at the granter expire."""
         while not self._stopping.wait(RENEW_INTERVAL_S):
             with self._lock:
-                in_service = {name: one.in_service for name, one in self._stock_by_tenant.items()}
+                in_service = {name: one.in_service for name, one in self._credits_by_tenant.items()}
             for name, slots in in_service.items():
                 limits = self._limits_of(name)
                 if slots and limits is not None and limits.concurrency:
--- a/src/quaymill/process/limits/shares.py
+++ b/src/quaymill/process/limits/shares.py
@@ -15,7 +15,7 @@
 
 from quaymill.version.tenants import TenantLimits
 
-PARTS_SHARE = 0.35
+PARTITIONS_SHARE = 0.35
 """Share of the tolerated overrun that the partitions of a fleet may grant beyond the limit."""
 TAKEOVER_SHARE = 0.35
 """Share of the tolerated overrun that a new granter may grant at once without knowing what was
@@ -64,18 +64,18 @@
 
     live: int
     known: int
-    young: bool = False
+    recently_started: bool = False
 
     @property
-    def part(self) -> float:
+    def reachable_share(self) -> float:
         """Share of the gateways that is reachable."""
-        if self.young and self.known <= 1:
+        if self.recently_started and self.known <= 1:
             return 1.0 / ASSUMED_GATEWAYS
         return min(1.0, self.live / max(1, self.known))
 
-    def alone(self) -> FleetView:
+    def isolated(self) -> FleetView:
         """Return the view of a gateway that reaches no other."""
-        return FleetView(1, max(self.live, self.known), self.young)
+        return FleetView(1, max(self.live, self.known), self.recently_started)
 
 
 def window_of(limits: TenantLimits, overrun: Overrun) -> float:
@@ -83,7 +83,7 @@
     return max(overrun.window_s, 1.0 / limits.requests_per_s)
 
 
-def allowed_in_window(limits: TenantLimits, overrun: Overrun, part: float) -> float:
+def allowed_in_window(limits: TenantLimits, overrun: Overrun, fleet_share: float) -> float:
     """Return how many requests a partition may grant in a window; at least one.
 
     Parameters
@@ -92,11 +92,11 @@
         Share of the fleet in the partition.
     """
     whole = limits.requests_per_s * window_of(limits, overrun) + limits.burst
-    if part < 1.0:
-        whole = min(whole, (whole + PARTS_SHARE * overrun.tolerated(limits)) * part)
+    if fleet_share < 1.0:
+        whole = min(whole, (whole + PARTITIONS_SHARE * overrun.tolerated(limits)) * fleet_share)
     return max(1.0, whole)
 
 
 def first_balance(limits: TenantLimits, overrun: Overrun, view: FleetView) -> float:
     """Return how many requests a new granter may grant at once before it knows earlier grants."""
-    return max(1.0, TAKEOVER_SHARE * overrun.tolerated(limits) * view.part)
+    return max(1.0, TAKEOVER_SHARE * overrun.tolerated(limits) * view.reachable_share)
--- a/src/quaymill/process/limits/window.py
+++ b/src/quaymill/process/limits/window.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-SLOTS = 50
+INTERVALS = 50
 """Intervals of a window whose amounts are counted together. An interval counts until the whole of
 it has left the window."""
 
@@ -23,44 +23,48 @@
     """
 
     window_s: float
-    _slots: deque[tuple[int, float]] = attrs.field(factory=deque)
+    _intervals: deque[tuple[int, float]] = attrs.field(factory=deque)
     _total: float = 0.0
 
     def add(self, amount: float, now: float) -> None:
         """Add an amount at the time ``now``."""
-        slot = math.floor(now / self._slot_s)
-        same = self._slots.pop()[1] if self._slots and self._slots[-1][0] == slot else 0.0
-        self._slots.append((slot, same + amount))
+        interval = math.floor(now / self._interval_s)
+        previous = (
+            self._intervals.pop()[1]
+            if self._intervals and self._intervals[-1][0] == interval
+            else 0.0
+        )
+        self._intervals.append((interval, previous + amount))
         self._total += amount
 
     def total(self, now: float) -> float:
         """Return the total of the window that ends at ``now``."""
-        oldest = (now - self.window_s) / self._slot_s - 1.0
-        while self._slots and self._slots[0][0] < oldest:
-            self._total -= self._slots.popleft()[1]
-        if not self._slots:
+        oldest = (now - self.window_s) / self._interval_s - 1.0
+        while self._intervals and self._intervals[0][0] < oldest:
+            self._total -= self._intervals.popleft()[1]
+        if not self._intervals:
             self._total = 0.0
         return self._total
 
     def wait_s(self, excess: float, now: float) -> float:
         """Return the seconds until the total has decreased by ``excess``."""
-        left = self.total(now) - excess
-        leaving = self._total
-        for slot, count in self._slots:
-            leaving -= count
-            if leaving <= left:
-                return max(0.0, (slot + 1) * self._slot_s + self.window_s - now)
+        target = self.total(now) - excess
+        remaining = self._total
+        for interval, count in self._intervals:
+            remaining -= count
+            if remaining <= target:
+                return max(0.0, (interval + 1) * self._interval_s + self.window_s - now)
         return self.window_s
 
     def by_age(self, parts: int, now: float) -> tuple[float, ...]:
         """Return the total of the window split by age into equal parts, newest first."""
         self.total(now)
-        found = [0.0] * parts
-        for slot, count in self._slots:
-            age_s = max(0.0, now - (slot + 1) * self._slot_s)
-            found[min(parts - 1, int(age_s / self.window_s * parts))] += count
-        return tuple(found)
+        totals = [0.0] * parts
+        for interval, count in self._intervals:
+            age_s = max(0.0, now - (interval + 1) * self._interval_s)
+            totals[min(parts - 1, int(age_s / self.window_s * parts))] += count
+        return tuple(totals)
 
     @property
-    def _slot_s(self) -> float:
-        return self.window_s / SLOTS
+    def _interval_s(self) -> float:
+        return self.window_s / INTERVALS
--- a/tests/limit_player.py
+++ b/tests/limit_player.py
@@ -234,7 +234,7 @@
         bucket = self._buckets.get(tenant)
         if bucket is None:
             bucket = self._buckets[tenant] = Bucket(limits.requests_per_s, limits.burst)
-        bucket.change(limits.requests_per_s, limits.burst)
+        bucket.reconfigure(limits.requests_per_s, limits.burst)
         return bucket.take_up_to(wanted)
 
 
@@ -308,7 +308,7 @@
         bucket = self._buckets.get(tenant)
         if bucket is None:
             bucket = self._buckets[tenant] = Bucket(limits.requests_per_s * part, most)
-        bucket.change(limits.requests_per_s * part, most)
+        bucket.reconfigure(limits.requests_per_s * part, most)
         return None if bucket.take_up_to(1) else object()
 
 
@@ -387,7 +387,7 @@
                 _Peers(self, gateway),
                 gateway.handlers,
                 self._overrun,
-                paced_patience_s=0.0,
+                paced_timeout_s=0.0,
             )
         elif self._way == "store":
             gateway.limiter = StoreLimiter(self, gateway, self._store)
