--- a/src/quaymill/process/limits/limiter.py
+++ b/src/quaymill/process/limits/limiter.py
@@ -214,7 +214,7 @@
         """Return the granter of this gateway's local share of the limits."""
         view = self._fleet.view().isolated()
         if self._local_granter is None or self._local_granter.rules.share != view.reachable_share:
-            rules = LimitRules(
+            local_rules = LimitRules(
                 f"{self._process_name}/own part",
                 self._limits_of,
                 self._overrun,
@@ -222,9 +222,9 @@
                 view.reachable_share,
             )
             if self._local_granter is None:
-                self._local_granter = CreditGranter(rules)
+                self._local_granter = CreditGranter(local_rules)
             else:
-                self._local_granter.rules = rules
+                self._local_granter.rules = local_rules
         return self._local_granter
 
     def _take_over(self, tenant: str) -> bool:
