--- a/tests/test_online_queue.py
+++ b/tests/test_online_queue.py
@@ -1,4 +1,7 @@
-"""Which online requests are held while every engine is full, and which go first."""
+"""Which online requests are queued while every engine is full, and in which order they go.
+
+Guards against requests that queue at full engines and make all later requests late.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +24,7 @@
 
 SERVICE = "engine"
 SLOTS = 4
-PATIENCE_S = 8.0
+CALLER_TIMEOUT_S = 8.0
 OBJECTIVE_S = 0.4
 SERVICE_S = 0.8
 ROUTE = RequestRoute(
@@ -31,7 +34,7 @@
 
 
 class QueueCase(unittest.TestCase):
-    """Two engines whose loads the test tells, and a queue that knows how long they serve."""
+    """Two engines whose loads the test sets, and a queue with a known service time."""
 
     def setUp(self) -> None:
         self.table = ReplicaTable()
@@ -41,33 +44,33 @@
         self.table.replace_all(entries, 1)
         self.queue = OnlineQueue(self.table)
         self.queue.record(SERVICE, SERVICE_S, 0.05)
-        self.gone: list[str] = []
+        self.dispatched: list[str] = []
         self.presences: dict[str, CallerPresence] = {}
         self.threads: list[threading.Thread] = []
-        self.addCleanup(self.release_all)
+        self.addCleanup(self.end_all)
 
-    def release_all(self) -> None:
+    def end_all(self) -> None:
         for presence in self.presences.values():
             presence.leave()
         for thread in self.threads:
             thread.join()
 
-    def load(self, online: int, batch: int = 0) -> None:
+    def report_load(self, online: int, batch: int = 0) -> None:
         for replica in self.table.replicas():
             replica.take_pool_view(online, batch)
         self.queue.recheck()
 
-    def keep_loaded(self, online: int) -> None:
-        """Tell the same load again and again: a keeper's word ages."""
+    def keep_reporting_load(self, online: int) -> None:
+        """Repeat the load report, as reports of the allocator expire."""
         stop = threading.Event()
 
-        def tell() -> None:
+        def repeat_report() -> None:
             while not stop.wait(0.1):
-                self.load(self.online)
+                self.report_load(self.online)
 
         self.online = online
-        self.load(online)
-        thread = threading.Thread(target=tell)
+        self.report_load(online)
+        thread = threading.Thread(target=repeat_report)
         thread.start()
         self.addCleanup(thread.join)
         self.addCleanup(stop.set)
@@ -76,156 +79,156 @@
         self,
         name: str,
         age_s: float = 0.0,
-        left_s: float = PATIENCE_S,
+        timeout_s: float = CALLER_TIMEOUT_S,
         tenant: str | None = None,
     ) -> None:
-        """Send a request of a caller that has tried for a while."""
-        deadline = Deadline.after(left_s - age_s)
+        """Send a request of a caller that made its first attempt ``age_s`` ago."""
+        deadline = Deadline.after(timeout_s - age_s)
         request = ForwardedRequest(name, "POST", "/x", (), b"", deadline, tenant=tenant)
         presence = self.presences[name] = CallerPresence()
 
         def run() -> None:
             self.queue.wait_for_slot(SERVICE, ROUTE, request, presence)
-            self.gone.append(name)
+            self.dispatched.append(name)
 
         thread = threading.Thread(target=run)
         self.threads.append(thread)
         thread.start()
 
-    def know_patience(self) -> None:
-        """Let the queue learn how long a fresh caller waits."""
-        self.load(0)
+    def learn_remaining_time(self) -> None:
+        """Let the queue learn the remaining time of first attempts."""
+        self.report_load(0)
         for index in range(2 * MIN_REMAINING_TIME_SAMPLES):
             self.send(f"sample-{index}")
-        self.wait_gone(2 * MIN_REMAINING_TIME_SAMPLES)
-        self.gone.clear()
+        self.wait_dispatched(2 * MIN_REMAINING_TIME_SAMPLES)
+        self.dispatched.clear()
 
-    def wait_gone(self, count: int) -> None:
+    def wait_dispatched(self, count: int) -> None:
         deadline = time.monotonic() + WAIT_S
-        while len(self.gone) < count:
-            self.assertLess(time.monotonic(), deadline, f"only {self.gone} went")
+        while len(self.dispatched) < count:
+            self.assertLess(time.monotonic(), deadline, f"only {self.dispatched} were dispatched")
             time.sleep(0.005)
 
-    def wait_held(self, count: int) -> None:
+    def wait_queued(self, count: int) -> None:
         deadline = time.monotonic() + WAIT_S
         while self.queue.held != count:
-            self.assertLess(time.monotonic(), deadline, f"{self.queue.held} are held")
+            self.assertLess(time.monotonic(), deadline, f"{self.queue.held} are queued")
             time.sleep(0.005)
 
 
 class OnlineQueueTest(QueueCase):
-    """Holding and letting go."""
+    """Queueing and dispatch of requests."""
 
     @params((0, 0), (SLOTS - 1, 0), (0, SLOTS))
-    def test_a_request_that_finds_a_slot_or_items_that_give_way_goes_at_once(
+    def test_request_is_dispatched_at_once_if_a_slot_is_free_or_held_by_batch_items(
         self, online, batch
     ) -> None:
-        self.know_patience()
-        self.load(online, batch)
+        self.learn_remaining_time()
+        self.report_load(online, batch)
         self.send("r", age_s=3.0)
-        self.wait_gone(1)
+        self.wait_dispatched(1)
 
-    def test_a_fresh_request_queues_at_an_engine_while_it_will_be_in_time(self) -> None:
-        self.know_patience()
-        self.keep_loaded(SLOTS)
+    def test_first_attempt_is_dispatched_to_a_full_engine_if_it_can_be_in_time(self) -> None:
+        self.learn_remaining_time()
+        self.keep_reporting_load(SLOTS)
         self.send("fresh")
-        self.wait_gone(1)
+        self.wait_dispatched(1)
 
-    def test_a_late_request_waits_for_a_free_slot(self) -> None:
-        self.know_patience()
-        self.keep_loaded(SLOTS)
+    def test_late_request_waits_for_a_free_slot(self) -> None:
+        self.learn_remaining_time()
+        self.keep_reporting_load(SLOTS)
         self.send("late", age_s=3.0)
-        self.wait_held(1)
+        self.wait_queued(1)
         self.send("fresh")
-        self.wait_gone(1)
-        self.assertEqual(["fresh"], self.gone)
+        self.wait_dispatched(1)
+        self.assertEqual(["fresh"], self.dispatched)
         self.online = SLOTS - 1
-        self.wait_gone(2)
+        self.wait_dispatched(2)
 
-    def test_late_requests_wait_also_before_any_has_been_served(self) -> None:
-        """After an outage of everything a backlog comes before the first answer."""
+    def test_late_request_waits_before_the_first_answer(self) -> None:
+        """After a complete outage, a backlog arrives before the first answer."""
         self.queue = OnlineQueue(self.table)
-        self.know_patience()
-        self.keep_loaded(SLOTS)
+        self.learn_remaining_time()
+        self.keep_reporting_load(SLOTS)
         self.send("late", age_s=3.0)
-        self.wait_held(1)
+        self.wait_queued(1)
         self.send("fresh")
-        self.wait_gone(1)
-        self.assertEqual(["fresh"], self.gone)
+        self.wait_dispatched(1)
+        self.assertEqual(["fresh"], self.dispatched)
 
-    def test_a_fresh_request_passes_late_ones_at_once(self) -> None:
-        self.know_patience()
-        self.load(SLOTS)
+    def test_first_attempt_overtakes_late_requests_at_once(self) -> None:
+        self.learn_remaining_time()
+        self.report_load(SLOTS)
         self.send("late", age_s=3.0)
-        self.wait_held(1)
+        self.wait_queued(1)
         with mock.patch.object(online_queue_module, "RECHECK_INTERVAL_S", WAIT_S):
-            self.load(SLOTS)
+            self.report_load(SLOTS)
             began = time.monotonic()
             self.send("fresh")
-            self.wait_gone(1)
-        self.assertEqual(["fresh"], self.gone)
+            self.wait_dispatched(1)
+        self.assertEqual(["fresh"], self.dispatched)
         self.assertLess(time.monotonic() - began, WAIT_S / 2)
 
-    def test_nothing_is_held_until_its_caller_gives_up(self) -> None:
-        self.know_patience()
-        self.keep_loaded(10 * SLOTS)
+    def test_request_is_dispatched_before_its_caller_times_out(self) -> None:
+        self.learn_remaining_time()
+        self.keep_reporting_load(10 * SLOTS)
         began = time.monotonic()
-        self.send("late", age_s=PATIENCE_S - 3.0)
-        self.wait_gone(1)
-        # Let go with time enough to be served, although no slot is free.
+        self.send("late", age_s=CALLER_TIMEOUT_S - 3.0)
+        self.wait_dispatched(1)
+        # Dispatched early enough to be served, although no slot is free.
         self.assertLess(time.monotonic() - began, 3.0 - SERVICE_S)
 
-    def test_a_caller_that_leaves_is_not_held(self) -> None:
-        self.know_patience()
-        self.keep_loaded(10 * SLOTS)
+    def test_request_of_a_disconnected_caller_is_removed(self) -> None:
+        self.learn_remaining_time()
+        self.keep_reporting_load(10 * SLOTS)
         self.send("late", age_s=3.0)
-        self.wait_held(1)
+        self.wait_queued(1)
         self.presences["late"].leave()
-        self.wait_gone(1)
-        self.wait_held(0)
+        self.wait_dispatched(1)
+        self.wait_queued(0)
 
-    def test_without_word_of_the_loads_nothing_is_held(self) -> None:
-        self.know_patience()
-        self.load(10 * SLOTS)
+    def test_without_load_reports_nothing_is_queued(self) -> None:
+        self.learn_remaining_time()
+        self.report_load(10 * SLOTS)
         for replica in self.table.replicas():
             replica._pool_view = None
         self.send("late", age_s=3.0)
-        self.wait_gone(1)
+        self.wait_dispatched(1)
 
-    def test_callers_of_another_tenant_with_more_patience_make_nobody_late(self) -> None:
-        """A tenant that sends very much would else have all others count as having tried before."""
-        self.load(0)
+    def test_longer_timeouts_of_another_tenant_make_no_request_late(self) -> None:
+        """Otherwise a large tenant would make the requests of all others look like retries."""
+        self.report_load(0)
         for index in range(2 * MIN_REMAINING_TIME_SAMPLES):
-            self.send(f"patient-{index}", left_s=PATIENCE_S, tenant="large")
-        self.wait_gone(2 * MIN_REMAINING_TIME_SAMPLES)
-        self.gone.clear()
-        self.keep_loaded(SLOTS)
+            self.send(f"patient-{index}", timeout_s=CALLER_TIMEOUT_S, tenant="large")
+        self.wait_dispatched(2 * MIN_REMAINING_TIME_SAMPLES)
+        self.dispatched.clear()
+        self.keep_reporting_load(SLOTS)
         self.send("late", age_s=3.0, tenant="large")
-        self.wait_held(1)
+        self.wait_queued(1)
         began = time.monotonic()
-        self.send("fresh", left_s=PATIENCE_S / 2, tenant="small")
-        self.wait_gone(1)
-        self.assertEqual(["fresh"], self.gone)
-        # Its last call would be later.
+        self.send("fresh", timeout_s=CALLER_TIMEOUT_S / 2, tenant="small")
+        self.wait_dispatched(1)
+        self.assertEqual(["fresh"], self.dispatched)
+        # Its dispatch deadline is later.
         self.assertLess(time.monotonic() - began, 1.0)
 
-    def test_samples_of_many_tenants_do_not_grow_without_bound(self) -> None:
-        self.load(0)
+    def test_samples_of_many_tenants_are_bounded(self) -> None:
+        self.report_load(0)
         with mock.patch.object(online_queue_module, "MAX_REMAINING_TIME_KEYS", 4):
             for index in range(8):
                 self.send(f"r{index}", tenant=f"t{index}")
-            self.wait_gone(8)
+            self.wait_dispatched(8)
         self.assertEqual(4, len(self.queue._remaining_times_by_key))
 
-    def test_a_few_callers_with_more_patience_make_nobody_late(self) -> None:
-        self.know_patience()
+    def test_a_few_longer_timeouts_make_no_request_late(self) -> None:
+        self.learn_remaining_time()
         for index in range(3):
-            self.send(f"patient-{index}", left_s=30.0)
-        self.wait_gone(3)
-        self.gone.clear()
-        self.keep_loaded(SLOTS)
+            self.send(f"patient-{index}", timeout_s=30.0)
+        self.wait_dispatched(3)
+        self.dispatched.clear()
+        self.keep_reporting_load(SLOTS)
         self.send("fresh")
-        self.wait_gone(1)
+        self.wait_dispatched(1)
 
 
 if __name__ == "__main__":
