--- a/tests/test_replica_choice.py
+++ b/tests/test_replica_choice.py
@@ -1,4 +1,7 @@
-"""Which replica is chosen: load, zone, prompt, failures, silence."""
+"""Which replica is chosen, by load, zone, prompt, failures and silence.
+
+Guards against requests to replicas that are busy, leaving, failing or unreachable.
+"""
 
 from __future__ import annotations
 
@@ -26,7 +29,7 @@
 
 
 class ChoiceCase(unittest.TestCase):
-    """A router over a table."""
+    """A router and its table of replicas."""
 
     def setUp(self) -> None:
         self.lost_zones: set[str] = set()
@@ -41,7 +44,7 @@
 
 
 class RouterTest(ChoiceCase):
-    """One service."""
+    """Choice among the replicas of one service."""
 
     def test_less_loaded_one(self) -> None:
         self.list(entry("a"), entry("b"))
@@ -92,7 +95,7 @@
         else:
             bad.begin()
             bad._quiet_since = time.monotonic() - 5.0
-            # Load alone must not be what decides.
+            # By load alone, the silent replica would be chosen.
             for _ in range(5):
                 self.table.get("good").begin()
             self.table.get("good").hear()
@@ -164,7 +167,7 @@
 
 
 class WeightsTest(ChoiceCase):
-    """Routes that are split over services."""
+    """Choice of the service of a route with several weighted services."""
 
     def route(self, **weights: float) -> RequestRoute:
         parts = tuple(WeightedService(name, weight) for name, weight in weights.items())
--- a/tests/test_replica_table.py
+++ b/tests/test_replica_table.py
@@ -1,4 +1,7 @@
-"""The list of replicas: what is newer holds, and only news raises the revision."""
+"""The table of replicas takes newer lists only, and its revision rises with its content.
+
+Guards against gateways that return to old lists or exchange equal lists again and again.
+"""
 
 from __future__ import annotations
 
--- a/tests/test_replica_warnings.py
+++ b/tests/test_replica_warnings.py
@@ -1,4 +1,7 @@
-"""Gateways warn each other of replicas that fail."""
+"""Silent replicas are detected, and gateways warn each other of failing replicas.
+
+Guards against a replica that answers nothing and attracts requests of every gateway.
+"""
 
 from __future__ import annotations
 
@@ -26,7 +29,7 @@
 
 
 class WarningsCase(unittest.TestCase):
-    """Time is the test's own."""
+    """Eight replicas and a clock that the test sets."""
 
     def setUp(self) -> None:
         self.now = 1000.0
@@ -43,7 +46,7 @@
 
 
 class SilenceTest(WarningsCase):
-    """When a replica that sends nothing counts as silent; it has 8 slots."""
+    """When a replica with 8 slots that sends nothing counts as silent."""
 
     def full(self) -> None:
         self.first.take_pool_view(online_elsewhere=3, batch=4)
@@ -62,8 +65,8 @@
         ("for a moment", "full", True, 0.45, False),
         ("waits for a slot", "full", False, 0.55, False),
         ("waits though one is free", "some_free", False, 0.55, True),
-        ("waits behind what the replica told", "told_full", False, 0.55, False),
-        ("nothing is known of its slots", "unknown", False, 0.55, True),
+        ("waits, by the report of the replica", "told_full", False, 0.55, False),
+        ("the used slots are unknown", "unknown", False, 0.55, True),
         ("waits for very long", "full", False, QUEUED_SILENCE_S + 0.1, True),
     )
     def test_silent_after(self, _, slots, answer_begun, quiet_s, silent) -> None:
@@ -87,7 +90,7 @@
 
 
 class TakenWarningsTest(WarningsCase):
-    """What warnings of others do to a replica."""
+    """Effect of warnings received from other gateways."""
 
     @params(
         ("one gateway alone", [("a", HOME)], False),
--- a/tests/test_uneven_replicas.py
+++ b/tests/test_uneven_replicas.py
@@ -1,4 +1,7 @@
-"""Replicas that are not equally quick: what is believed of them, and what callers get."""
+"""Replicas with different speeds: their estimated slowness, and the choice among them.
+
+Guards against requests that wait at slow replicas while faster ones are free.
+"""
 
 from __future__ import annotations
 
@@ -47,14 +50,14 @@
 
 
 def _loads() -> EngineLoads:
-    """Return reports of engines that say nothing against the counts."""
+    """Return engine loads that confirm the allocator's counts."""
     loads = mock.create_autospec(EngineLoads, instance=True)
     loads.excess.return_value = 0
     return loads
 
 
 def play(load: UnevenLoad, *, reports_slowness: bool = True) -> UnevenOutcome:
-    """Return what callers got over all seeds."""
+    """Return the outcome over all seeds."""
     whole = UnevenOutcome()
     for seed in SEEDS:
         outcome = UnevenPlayer(load, seed, reports_slowness=reports_slowness).play()
@@ -66,7 +69,7 @@
 
 
 class SlownessTest(unittest.TestCase):
-    """What is believed of one replica, by the age of its word."""
+    """Expected slowness of one replica by its reports and their age."""
 
     def record(self, *told: float) -> SlownessRecord:
         record = SlownessRecord()
@@ -100,7 +103,7 @@
 
 
 class CostTest(unittest.TestCase):
-    """What a request costs at a replica."""
+    """Cost of a request at a replica."""
 
     def test_choice_is_the_least_load_where_all_take_their_usual_time(self) -> None:
         rng = random.Random(5)
@@ -108,7 +111,7 @@
             self.assertEqual(*self.both_choices(rng, seed))
 
     def both_choices(self, rng: random.Random, seed: int) -> tuple[str, str]:
-        """Return the choice by load alone, and the product's."""
+        """Return the choice by load alone, and that of ``least_costly``."""
         replicas = [replica(f"r{n}", rng.choice("ab")) for n in range(6)]
         loads = {one.id: rng.choice((0, 1, 2, 4.25, 8, 9, 17.5)) for one in replicas}
         offsets = {one.id: rng.choice((0.0, -1.0, 2.0)) for one in replicas}
@@ -134,7 +137,7 @@
 
 
 class KeeperTest(unittest.TestCase):
-    """The keeper of room hears of slow replicas from other gateways."""
+    """Slowness reports between gateways and the slot allocator."""
 
     def setUp(self) -> None:
         self.table = ReplicaTable()
@@ -190,7 +193,7 @@
 
 
 class UnevenPlayTest(unittest.TestCase):
-    """Bursts of requests before replicas that are not equally quick."""
+    """Simulated bursts of requests to replicas with different speeds."""
 
     @params(
         ("few requests", 300.0, 0.96),
--- a/tests/uneven_player.py
+++ b/tests/uneven_player.py
@@ -1,9 +1,9 @@
-"""Plays requests against replicas that are not equally quick, in virtual time.
+"""Simulates requests to replicas with different speeds, in virtual time.
 
-A replica works on as many requests as it has slots, the rest wait in the order of arrival. Some are
-always slower, and each of them for a part of every period. Gateways count the requests in flight
-and hear of the slowness with the heads of answers: at once, or through the keeper of the pool.
-Which replica gets a request is decided by the product's own function.
+A replica serves as many requests as it has slots; the rest wait in the order of arrival. Some
+replicas are always slower, and each replica is slow for a part of every period. Gateways count the
+requests in flight, and receive the slowness with the heads of answers: directly, or through the
+slot allocator of the pool. Replicas are chosen by ``least_costly``.
 """
 
 from __future__ import annotations
@@ -29,26 +29,25 @@
 
 @attrs.frozen
 class UnevenLoad:
-    """A load, and the replicas before which it comes.
+    """Load parameters and the replicas that serve the load.
 
     Attributes
     ----------
     paces
-        How many times as long as usual work takes at each replica, all the time.
+        Permanent slowness of each replica: duration of work as a multiple of the usual duration.
     zones
-        Zones of the replicas, by turns.
+        Zones to which the replicas are assigned in turn.
     callers
-        Part of the requests that comes in each zone.
+        Share of the requests that arrives in each zone.
     high_per_s, low_per_s
-        Requests a second in bursts, and between them.
+        Requests per second in bursts, and between them.
     slow_s, period_s, slow_factor
-        How long a spell lasts in which work takes so many times as long, and the mean time from
-        one to the next.
+        Duration of slow periods, mean time between their starts, and the slowness in them.
     views
-        Gateways, each of which knows only what it has heard itself; 1 stands for a pool whose
-        keeper hears all.
-    told_after_s
-        How long after the head of an answer its word of the slowness counts.
+        Number of gateways that know only the reports they received; 1 stands for a pool whose
+        slot allocator receives all reports.
+    report_delay_s
+        Delay from the head of an answer until its slowness report is used.
     """
 
     paces: tuple[float, ...]
@@ -71,13 +70,13 @@
 
 @attrs.define
 class UnevenOutcome:
-    """What callers got."""
+    """Results of a simulation."""
 
     took_s: list[float] = attrs.field(factory=list)
     waited_s: list[float] = attrs.field(factory=list)
     to_other_zone: int = 0
     needless: int = 0
-    """Requests that left a zone where a slot was free."""
+    """Requests that were sent to another zone although their own had a free slot."""
 
     @property
     def mean_s(self) -> float:
@@ -85,18 +84,18 @@
         return sum(self.took_s) / len(self.took_s)
 
     def quantile_s(self, part: float) -> float:
-        """Return the time that so large a part of the requests stays below."""
+        """Return the quantile of the times from a request to its answer."""
         ordered = sorted(self.took_s)
         return ordered[min(len(ordered) - 1, int(part * len(ordered)))]
 
 
 @attrs.define
 class _Server:
-    """A replica as it is, beside what gateways know of it."""
+    """Actual state of a replica, which gateways know only in part."""
 
     pace: float
     spells: list[float]
-    """When each slow spell begins and ends, by turns."""
+    """Start and end of each slow period, in turn."""
     running: int = 0
     queue: list[_Request] = attrs.field(factory=list)
 
@@ -110,12 +109,12 @@
 
 
 class UnevenPlayer:
-    """One play.
+    """One simulation.
 
     Parameters
     ----------
-    tells
-        Whether replicas tell their slowness.
+    reports_slowness
+        Whether replicas report their slowness.
     """
 
     def __init__(self, load: UnevenLoad, seed: int, *, reports_slowness: bool) -> None:
@@ -146,7 +145,7 @@
         ]
 
     def play(self) -> UnevenOutcome:
-        """Play the load to its end, and until what waits is served."""
+        """Simulate the load until all requests are served."""
         self._plan_arrivals()
         with mock.patch.object(boot_clock, "now", lambda: self._now):
             while self._events:
@@ -228,7 +227,7 @@
         return server.pace * (self._load.slow_factor if is_slow else 1.0)
 
     def _end_of(self, server: _Server, work_s: float) -> float:
-        """Return when so much work is done that begins now."""
+        """Return when work that starts now is done."""
         at = self._now
         while True:
             slowness = self._slowness(server, at)
