--- a/tests/test_replica_choice.py
+++ b/tests/test_replica_choice.py
@@ -36,7 +36,7 @@
         self.table = ReplicaTable(is_unreachable=self.lost_zones.__contains__)
         self.router = Router(self.table, "here", "seed")
 
-    def list(self, *entries: ReplicaEntry) -> None:
+    def set_entries(self, *entries: ReplicaEntry) -> None:
         self.table.replace_all(entries, self.table.revision + 1)
 
     def choices(self, count: int = 20, prompt: Prompt = NO_PROMPT, excluded=()) -> set[str]:
@@ -46,51 +46,51 @@
 class RouterTest(ChoiceCase):
     """Choice among the replicas of one service."""
 
-    def test_less_loaded_one(self) -> None:
-        self.list(entry("a"), entry("b"))
+    def test_less_loaded_replica_is_chosen(self) -> None:
+        self.set_entries(entry("a"), entry("b"))
         self.table.get("a").take_report(ReportedLoad(5, 2, 8))
         self.assertEqual({"b"}, self.choices())
 
-    def test_own_requests_count_at_once(self) -> None:
-        self.list(entry("a"), entry("b"))
+    def test_local_requests_count_at_once(self) -> None:
+        self.set_entries(entry("a"), entry("b"))
         self.table.get("a").begin()
         self.assertEqual({"b"}, self.choices())
 
-    def test_own_zone_unless_it_is_busier(self) -> None:
-        self.list(entry("near"), entry("far", zone="there"))
+    def test_local_zone_is_preferred_unless_it_is_busier(self) -> None:
+        self.set_entries(entry("near"), entry("far", zone="there"))
         self.assertEqual({"near"}, self.choices())
         for _ in range(3):
             self.table.get("near").begin()
         self.assertEqual({"far"}, self.choices())
 
-    def test_large_shared_part_has_a_home(self) -> None:
+    def test_large_shared_prompt_part_goes_to_one_replica(self) -> None:
         names = [f"r{number}" for number in range(6)]
-        self.list(*map(entry, names))
+        self.set_entries(*map(entry, names))
         prompt = Prompt((PromptPart("shared", 12_000), PromptPart("own", 500)))
-        home = self.choices(prompt=prompt)
-        self.assertEqual(1, len(home))
-        replica = self.table.get(home.pop())
+        chosen = self.choices(prompt=prompt)
+        self.assertEqual(1, len(chosen))
+        replica = self.table.get(chosen.pop())
         for _ in range(20):
             replica.begin()
         self.assertNotIn(replica.id, self.choices(prompt=prompt))
 
     @params("draining", "departed", "misdirected", "ejected", "silent", "unreachable")
-    def test_replica_that_is_avoided(self, how) -> None:
-        self.list(entry("bad"), entry("good"))
+    def test_avoided_replica_is_not_chosen(self, state) -> None:
+        self.set_entries(entry("bad"), entry("good"))
         bad = self.table.get("bad")
-        if how == "unreachable":
-            self.list(entry("bad", zone="there"), entry("good"))
+        if state == "unreachable":
+            self.set_entries(entry("bad", zone="there"), entry("good"))
             self.lost_zones.add("there")
             for _ in range(5):
                 self.table.get("good").begin()
             self.table.get("good").hear()
-        elif how == "draining":
-            self.list(entry("bad", draining=True), entry("good"))
-        elif how == "departed":
-            self.list(entry("good"))
-        elif how == "misdirected":
+        elif state == "draining":
+            self.set_entries(entry("bad", draining=True), entry("good"))
+        elif state == "departed":
+            self.set_entries(entry("good"))
+        elif state == "misdirected":
             bad.misdirected = True
-        elif how == "ejected":
+        elif state == "ejected":
             bad.record_failure(2.0)
         else:
             bad.begin()
@@ -102,7 +102,7 @@
         self.assertEqual({"good"}, self.choices())
 
     def test_answers_of_other_requests_end_the_silence(self) -> None:
-        self.list(entry("a"))
+        self.set_entries(entry("a"))
         replica = self.table.get("a")
         replica.begin()
         replica._quiet_since = time.monotonic() - 5.0
@@ -110,8 +110,8 @@
         replica.hear()
         self.assertFalse(replica.silent)
 
-    def test_connection_that_is_closed_is_no_word_of_the_replica(self) -> None:
-        self.list(entry("a"))
+    def test_closed_connection_is_not_received_data(self) -> None:
+        self.set_entries(entry("a"))
         replica = self.table.get("a")
         replica.begin()
         replica.begin_answer()
@@ -119,46 +119,46 @@
         replica.hear()
         self.assertGreater(replica.heard_at, 0.0)
 
-    def test_all_bad_is_better_than_none(self) -> None:
-        self.list(entry("a"), entry("b"))
+    def test_failing_replicas_are_used_if_there_are_no_others(self) -> None:
+        self.set_entries(entry("a"), entry("b"))
         for name in ("a", "b"):
             self.table.get(name).record_failure(3.0)
         self.assertLessEqual(self.choices(60), {"a", "b"})
 
-    def test_all_unreachable_is_better_than_none(self) -> None:
-        self.list(entry("a", zone="there"), entry("b", zone="there"))
+    def test_unreachable_replicas_are_used_if_there_are_no_others(self) -> None:
+        self.set_entries(entry("a", zone="there"), entry("b", zone="there"))
         self.lost_zones.add("there")
         self.assertEqual({"a", "b"}, self.choices(60))
         self.assertFalse(self.router.may_reach_another(SERVICE, ()))
 
-    def test_one_that_fails_is_better_than_one_that_is_not_reached(self) -> None:
-        self.list(entry("fails"), entry("lost", zone="there"))
+    def test_failing_replica_is_preferred_to_an_unreachable_one(self) -> None:
+        self.set_entries(entry("fails"), entry("lost", zone="there"))
         self.lost_zones.add("there")
         self.table.get("fails").record_failure(3.0)
         self.assertEqual({"fails"}, self.choices())
         self.assertTrue(self.router.may_reach_another(SERVICE, {"lost"}))
         self.assertFalse(self.router.may_reach_another(SERVICE, {"fails"}))
 
-    def test_failure_while_its_zone_is_not_reached_says_nothing_of_a_replica(self) -> None:
-        self.list(entry("a", zone="there"))
+    def test_failure_in_an_unreachable_zone_is_ignored(self) -> None:
+        self.set_entries(entry("a", zone="there"))
         self.lost_zones.add("there")
         self.table.get("a").record_failure(3.0)
         self.lost_zones.clear()
         self.assertFalse(self.table.get("a").avoided)
 
-    def test_only_leaving_ones_is_none(self) -> None:
-        self.list(entry("a", draining=True))
+    def test_leaving_replicas_are_not_chosen(self) -> None:
+        self.set_entries(entry("a", draining=True))
         self.assertIsInstance(self.router.choose(SERVICE), NoReplica)
 
-    def test_entry_that_lapsed_just_now_is_a_last_resort(self) -> None:
-        self.list(entry("a"))
-        self.list()
+    def test_recently_expired_entry_is_a_last_resort(self) -> None:
+        self.set_entries(entry("a"))
+        self.set_entries()
         self.assertEqual({"a"}, self.choices())
         self.table.get("a").departed_at -= 5.0
         self.assertIsInstance(self.router.choose(SERVICE), NoReplica)
 
-    def test_old_reports_fade(self) -> None:
-        self.list(entry("a"))
+    def test_old_reports_decay(self) -> None:
+        self.set_entries(entry("a"))
         replica = self.table.get("a")
         replica.take_report(ReportedLoad(8, 8, 8))
         at = time.monotonic()
@@ -180,9 +180,9 @@
     def test_shares_follow_the_weights(self) -> None:
         self.assertEqual({"a": 180, "b": 20}, self.shares(self.route(a=90, b=10)))
 
-    def test_changed_weights_hold_at_once(self) -> None:
+    def test_changed_weights_apply_at_once(self) -> None:
         self.shares(self.route(a=90, b=10))
         self.assertEqual({"a": 100, "b": 100}, self.shares(self.route(a=50, b=50)))
 
-    def test_weight_of_nothing_gets_nothing(self) -> None:
+    def test_weight_of_zero_gets_no_requests(self) -> None:
         self.assertEqual({"b": 50}, self.shares(self.route(a=0, b=1), 50))
--- a/tests/test_replica_table.py
+++ b/tests/test_replica_table.py
@@ -39,7 +39,7 @@
         self.assertEqual(names, {one.id for one in table.entries()})
         self.assertEqual(revision, table.revision)
 
-    def test_missing_replicas_are_kept_only_when_told_so(self):
+    def test_missing_replicas_are_kept_only_if_requested(self):
         table = ReplicaTable()
         table.replace_all((A, B), 10)
         warm = entry("a", cold_left_s=1.0)
@@ -49,14 +49,14 @@
         self.assertEqual({"a"}, {one.id for one in table.entries()})
         self.assertEqual(30, table.revision)
 
-    def test_a_replica_that_is_gone_already_is_not_kept(self):
+    def test_departed_replica_is_not_kept(self):
         table = ReplicaTable()
         table.replace_all((A, B), 10)
         table.replace_all((A,), 20)
         self.assertEqual(0, table.replace_all((A,), 30, keep_missing=True))
         self.assertTrue(table.get("b").leaving)
 
-    def test_older_news_of_another_gateway_raises_the_revision_above_it(self):
+    def test_older_list_of_another_gateway_raises_the_revision_above_it(self):
         table = ReplicaTable()
         table.replace_all((A, B), 10)
         table.replace_all((A, B), 30)
@@ -64,14 +64,14 @@
         self.assertEqual({"a", "b"}, {one.id for one in table.entries()})
         self.assertEqual(30, table.revision)
 
-    def test_same_content_of_a_peer_that_is_ahead_is_asked_for_once(self):
+    def test_same_content_at_a_newer_revision_is_requested_once(self):
         table = ReplicaTable()
         table.replace_all((A, B), 10)
         table.take_from_peer((B, A), 20)
         self.assertEqual({"a", "b"}, {one.id for one in table.entries()})
         self.assertEqual(20, table.revision)
 
-    def test_entry_that_comes_back_keeps_its_load(self):
+    def test_returning_entry_keeps_its_state(self):
         table = ReplicaTable()
         table.replace_all((A,), 10)
         replica = table.get("a")
--- a/tests/test_replica_warnings.py
+++ b/tests/test_replica_warnings.py
@@ -25,7 +25,7 @@
 from quaymill.process.replica_set.warnings import REPEAT_AFTER_S, ReplicaWarnings
 
 SERVICE = "engine"
-HOME = "x"
+REPLICA_ZONE = "x"
 
 
 class WarningsCase(unittest.TestCase):
@@ -38,7 +38,7 @@
         self.addCleanup(patch.stop)
         self.table = ReplicaTable()
         entries = [
-            ReplicaEntry(f"r{index}", SERVICE, Endpoint("127.0.0.1", index + 1), HOME, 8)
+            ReplicaEntry(f"r{index}", SERVICE, Endpoint("127.0.0.1", index + 1), REPLICA_ZONE, 8)
             for index in range(8)
         ]
         self.table.replace_all(entries, 1)
@@ -54,7 +54,7 @@
     def some_free(self) -> None:
         self.first.take_pool_view(online_elsewhere=3, batch=3)
 
-    def told_full(self) -> None:
+    def reported_full(self) -> None:
         self.first.take_report(ReportedLoad(running=8, waiting=0, slots=8))
 
     def unknown(self) -> None:
@@ -65,7 +65,7 @@
         ("for a moment", "full", True, 0.45, False),
         ("waits for a slot", "full", False, 0.55, False),
         ("waits though one is free", "some_free", False, 0.55, True),
-        ("waits, by the report of the replica", "told_full", False, 0.55, False),
+        ("waits, by the report of the replica", "reported_full", False, 0.55, False),
         ("the used slots are unknown", "unknown", False, 0.55, True),
         ("waits for very long", "full", False, QUEUED_SILENCE_S + 0.1, True),
     )
@@ -78,7 +78,7 @@
         getattr(self, slots)()
         self.assertEqual(silent, self.first.silent)
 
-    def test_ended_answers_leave_those_that_wait(self) -> None:
+    def test_replica_is_not_silent_after_its_only_answer_ended(self) -> None:
         self.first.begin()
         self.first.begin_answer()
         self.first.begin()
@@ -89,13 +89,13 @@
         self.assertFalse(self.first.silent)
 
 
-class TakenWarningsTest(WarningsCase):
+class ReceivedWarningsTest(WarningsCase):
     """Effect of warnings received from other gateways."""
 
     @params(
-        ("one gateway alone", [("a", HOME)], False),
-        ("one gateway twice", [("a", HOME), ("a", HOME)], False),
-        ("two of the replica's zone", [("a", HOME), ("b", HOME)], True),
+        ("one gateway alone", [("a", REPLICA_ZONE)], False),
+        ("one gateway twice", [("a", REPLICA_ZONE), ("a", REPLICA_ZONE)], False),
+        ("two of the replica's zone", [("a", REPLICA_ZONE), ("b", REPLICA_ZONE)], True),
         ("two of two zones", [("a", "y"), ("b", "z")], True),
         ("two of one other zone, whose link may be cut", [("a", "y"), ("b", "y")], False),
     )
@@ -104,27 +104,27 @@
             self.first.record_warning(gateway, zone)
         self.assertEqual(avoided, self.first.avoided)
 
-    def test_replica_that_answers_nobody_draws_no_request_of_a_gateway_that_never_met_it(
+    def test_warned_replica_gets_no_request_of_a_gateway_without_failures(
         self,
     ) -> None:
-        router = Router(self.table, HOME, "seed")
+        router = Router(self.table, REPLICA_ZONE, "seed")
         for replica in self.table.replicas()[1:]:
             replica.begin()
         self.assertEqual("r0", router.choose(SERVICE).id)
-        self.first.record_warning("a", HOME)
-        self.first.record_warning("b", HOME)
+        self.first.record_warning("a", REPLICA_ZONE)
+        self.first.record_warning("b", REPLICA_ZONE)
         self.assertNotEqual("r0", router.choose(SERVICE).id)
 
-    def test_warnings_lapse_and_leave_some_reluctance(self) -> None:
-        self.first.record_warning("a", HOME)
-        self.first.record_warning("b", HOME)
+    def test_expired_warnings_leave_a_penalty(self) -> None:
+        self.first.record_warning("a", REPLICA_ZONE)
+        self.first.record_warning("b", REPLICA_ZONE)
         self.now += WARNING_LIFETIME_S
         self.assertFalse(self.first.avoided)
         self.assertGreater(self.first.penalty, 0.0)
 
-    def test_warnings_of_others_are_not_passed_on(self) -> None:
-        self.first.record_warning("a", HOME)
-        self.first.record_warning("b", HOME)
+    def test_received_warnings_are_not_forwarded(self) -> None:
+        self.first.record_warning("a", REPLICA_ZONE)
+        self.first.record_warning("b", REPLICA_ZONE)
         self.assertFalse(self.first.fails_here)
 
 
@@ -134,17 +134,17 @@
     def setUp(self) -> None:
         super().setUp()
         endpoint = Endpoint("127.0.0.1", 1)
-        others = (Member("b", HOME, "r", endpoint, endpoint),)
+        others = (Member("b", REPLICA_ZONE, "r", endpoint, endpoint),)
         self.client = mock.Mock()
         self.warnings = ReplicaWarnings(
-            "a", HOME, self.table, self.client, mock.Mock(), lambda: others
+            "a", REPLICA_ZONE, self.table, self.client, mock.Mock(), lambda: others
         )
 
     def fail(self, *replica_ids: str) -> None:
         for replica_id in replica_ids:
             self.table.get(replica_id).record_failure(EJECTION_PENALTY)
 
-    def test_failing_replica_is_told_of_once_a_while(self) -> None:
+    def test_warning_is_repeated_after_an_interval(self) -> None:
         self.fail("r0")
         self.assertEqual(("r0",), self.warnings._replicas_to_warn_of())
         self.assertEqual((), self.warnings._replicas_to_warn_of())
@@ -154,20 +154,20 @@
         self.now += REPEAT_AFTER_S / 2
         self.assertEqual(("r0",), self.warnings._replicas_to_warn_of())
 
-    def test_silent_replica_is_told_of(self) -> None:
+    def test_silent_replica_is_warned_of(self) -> None:
         self.first.begin()
         self.now += 0.6
         self.assertEqual(("r0",), self.warnings._replicas_to_warn_of())
 
-    def test_gateway_for_which_many_fail_keeps_still(self) -> None:
+    def test_gateway_with_many_failing_replicas_does_not_warn(self) -> None:
         self.fail("r0", "r1", "r2")
         self.assertEqual((), self.warnings._replicas_to_warn_of())
 
     def test_warning_reaches_the_other_gateway(self) -> None:
         self.warnings._warn(("r0",))
         (_, message, *_), _ = self.client.call.call_args
-        self.assertEqual(WarnOfReplicas("a", HOME, ("r0",)), message)
-        other = ReplicaWarnings("b", HOME, self.table, mock.Mock(), mock.Mock(), lambda: ())
+        self.assertEqual(WarnOfReplicas("a", REPLICA_ZONE, ("r0",)), message)
+        other = ReplicaWarnings("b", REPLICA_ZONE, self.table, mock.Mock(), mock.Mock(), lambda: ())
         other.receive_warnings(message)
-        other.receive_warnings(WarnOfReplicas("c", HOME, ("r0", "unknown")))
+        other.receive_warnings(WarnOfReplicas("c", REPLICA_ZONE, ("r0", "unknown")))
         self.assertTrue(self.first.avoided)
--- a/tests/test_uneven_replicas.py
+++ b/tests/test_uneven_replicas.py
@@ -42,7 +42,7 @@
 SEEDS = (1, 2, 3)
 THREE_ZONES = ("a", "b", "c")
 UNEVEN_CALLERS = (0.31, 0.28, 0.41)
-PASSING = {"slow_s": 0.09, "period_s": 0.6, "slow_factor": 2.5}
+SHORT_SLOW_PERIODS = {"slow_s": 0.09, "period_s": 0.6, "slow_factor": 2.5}
 
 
 def replica(name: str, zone: str = "a") -> Replica:
@@ -64,39 +64,39 @@
         whole.took_s += outcome.took_s
         whole.waited_s += outcome.waited_s
         whole.to_other_zone += outcome.to_other_zone
-        whole.needless += outcome.needless
+        whole.avoidable_to_other_zone += outcome.avoidable_to_other_zone
     return whole
 
 
 class SlownessTest(unittest.TestCase):
     """Expected slowness of one replica by its reports and their age."""
 
-    def record(self, *told: float) -> SlownessRecord:
+    def record(self, *reported: float) -> SlownessRecord:
         record = SlownessRecord()
-        for number, slowness in enumerate(told):
+        for number, slowness in enumerate(reported):
             record.add(SlownessReading(slowness, number * 0.1))
         return record
 
-    def test_nothing_is_told(self) -> None:
+    def test_usual_slowness_is_no_report(self) -> None:
         record = self.record(1.0, 1.0, 1.0)
         self.assertEqual(1.0, record.expected_at(0.25))
         self.assertFalse(record.has_reports)
 
-    def test_new_word_counts_whole_and_an_old_one_for_nothing(self) -> None:
+    def test_effect_of_a_report_decays(self) -> None:
         record = self.record(*[1.0] * 10, 2.5)
         self.assertAlmostEqual(2.5, record.expected_at(1.0), places=2)
         self.assertLess(record.expected_at(1.1), 1.5)
         self.assertAlmostEqual(1.0, record.expected_at(3.0), delta=0.05)
 
-    def test_what_lasts_is_learned(self) -> None:
+    def test_permanent_slowness_is_learned(self) -> None:
         record = self.record(*[1.3] * 200)
         self.assertAlmostEqual(1.3, record.expected_at(60.0), delta=0.02)
 
-    def test_word_that_it_is_quick_now_draws_no_work(self) -> None:
+    def test_fast_report_does_not_lower_the_estimate(self) -> None:
         record = self.record(*[1.5] * 200, 1.0)
         self.assertGreater(record.expected_at(20.0), 1.45)
 
-    def test_older_word_does_not_replace_the_last(self) -> None:
+    def test_older_report_does_not_replace_the_last(self) -> None:
         record = self.record(1.0, 2.5)
         record.add(SlownessReading(1.0, 0.05))
         self.assertEqual(2.5, record.last.slowness)
@@ -105,7 +105,7 @@
 class CostTest(unittest.TestCase):
     """Cost of a request at a replica."""
 
-    def test_choice_is_the_least_load_where_all_take_their_usual_time(self) -> None:
+    def test_choice_at_usual_slowness_is_by_load(self) -> None:
         rng = random.Random(5)
         for seed in range(300):
             self.assertEqual(*self.both_choices(rng, seed))
@@ -122,13 +122,15 @@
         def plain(one: Replica) -> tuple[float, float]:
             offset = offsets[one.id]
             zone_load = OTHER_ZONE_CACHED_LOAD if offset < 0 else OTHER_ZONE_LOAD
-            own = 0.0 if one.entry.zone == "a" else zone_load
-            return loads[one.id] + offset + own, ties.random()
+            other_zone_load = 0.0 if one.entry.zone == "a" else zone_load
+            return loads[one.id] + offset + other_zone_load, ties.random()
 
-        seen = least_costly(replicas, lambda one: loads[one.id], "a", offsets, random.Random(seed))
-        return min(replicas, key=plain).id, seen.id
+        actual = least_costly(
+            replicas, lambda one: loads[one.id], "a", offsets, random.Random(seed)
+        )
+        return min(replicas, key=plain).id, actual.id
 
-    def test_slow_replica_costs_more_the_more_wait_there(self) -> None:
+    def test_cost_of_a_slow_replica_grows_with_its_queue(self) -> None:
         self.assertEqual(3.0, expected_cost(3.0, 8, 1.0))
         idle = expected_cost(0.0, 8, 1.5)
         full = expected_cost(8.0, 8, 1.5) - 8.0
@@ -136,7 +138,7 @@
         self.assertEqual((4.0, 4.0, 8.0), (idle, full, queued))
 
 
-class KeeperTest(unittest.TestCase):
+class SlotAllocatorTest(unittest.TestCase):
     """Slowness reports between gateways and the slot allocator."""
 
     def setUp(self) -> None:
@@ -145,37 +147,39 @@
             ReplicaEntry(name, SERVICE, Endpoint("127.0.0.1", 1), "a", 8) for name in ("x1", "x2")
         ]
         self.table.replace_all(entries, 1)
-        self.keeper = SlotAllocator(self.table, _loads())
+        self.allocator = SlotAllocator(self.table, _loads())
 
     @params("notice", "question")
-    def test_slow_one_is_passed_over(self, how: str) -> None:
-        told = (SlownessReport("x1", 2.5, 0.01), SlownessReport("gone", 2.5, 0.01))
+    def test_slow_replica_is_avoided(self, how: str) -> None:
+        reported = (SlownessReport("x1", 2.5, 0.01), SlownessReport("gone", 2.5, 0.01))
         if how == "notice":
-            self.keeper.record_online(OnlineInFlight("g", SERVICE, (), slowness_reports=told))
-            told = ()
-        placed = self.keeper.place_online(
-            PlaceOnline("g", "a", SERVICE, (ItemsAt("x2", 3),), slowness_reports=told)
+            self.allocator.record_online(
+                OnlineInFlight("g", SERVICE, (), slowness_reports=reported)
+            )
+            reported = ()
+        placed = self.allocator.place_online(
+            PlaceOnline("g", "a", SERVICE, (ItemsAt("x2", 3),), slowness_reports=reported)
         )
         self.assertEqual("x2", placed.replica_id)
 
-    def test_word_of_a_replica_goes_with_the_next_message_once(self) -> None:
+    def test_slowness_report_is_sent_once_with_the_next_message(self) -> None:
         sent: list[PeerMessage] = []
         client = mock.Mock()
         client.call.side_effect = lambda peer, message, *rest: sent.append(message)
         peer = Endpoint("127.0.0.1", 1)
         other = Member("other", "z", "r", peer, peer)
-        notices = OnlineReporter(
-            "g", "a", self.table, self.keeper, client, lambda: (other,), lambda: (SERVICE,)
+        reporter = OnlineReporter(
+            "g", "a", self.table, self.allocator, client, lambda: (other,), lambda: (SERVICE,)
         )
         slow = self.table.get("x1")
-        notices.began(slow)
+        reporter.began(slow)
         slow.take_report(ReportedLoad(1, 0, 8, 2.5))
-        notices.ended(slow)
-        notices.place(slow, PlacementConstraints(frozenset(), {}))
-        notices._place_again_at = 0.0
-        notices.place(slow, PlacementConstraints(frozenset(), {}))
-        (told,), none = (message.slowness_reports for message in sent)
-        self.assertEqual(("x1", 2.5), (told.replica_id, told.slowness))
+        reporter.ended(slow)
+        reporter.place(slow, PlacementConstraints(frozenset(), {}))
+        reporter._place_again_at = 0.0
+        reporter.place(slow, PlacementConstraints(frozenset(), {}))
+        (reported,), none = (message.slowness_reports for message in sent)
+        self.assertEqual(("x1", 2.5), (reported.replica_id, reported.slowness))
         self.assertEqual((), none)
 
     def test_message_of_an_earlier_build_is_read(self) -> None:
@@ -199,24 +203,30 @@
         ("few requests", 300.0, 0.96),
         ("bursts that fill most slots", 1200.0, 0.99),
     )
-    def test_what_lasts_is_avoided(self, _name: str, high_per_s: float, part: float) -> None:
+    def test_permanently_slow_replicas_are_avoided(
+        self, _name: str, high_per_s: float, max_ratio: float
+    ) -> None:
         load = UnevenLoad(
             paces=(1.0, 1.0, 1.3) * 8, high_per_s=high_per_s, low_per_s=100.0, length_s=12.0
         )
-        told, untold = play(load), play(load, reports_slowness=False)
-        self.assertLess(told.mean_s, part * untold.mean_s)
-        self.assertLess(told.quantile_s(0.95), untold.quantile_s(0.95))
+        reported, unreported = play(load), play(load, reports_slowness=False)
+        self.assertLess(reported.mean_s, max_ratio * unreported.mean_s)
+        self.assertLess(reported.quantile_s(0.95), unreported.quantile_s(0.95))
 
     @params(("few requests", 300.0), ("bursts that fill most slots", 1300.0))
-    def test_passing_slowness_does_no_harm(self, _name: str, high_per_s: float) -> None:
+    def test_short_slow_periods_do_no_harm(self, _name: str, high_per_s: float) -> None:
         load = UnevenLoad(
-            paces=(1.0,) * 24, high_per_s=high_per_s, low_per_s=100.0, length_s=12.0, **PASSING
+            paces=(1.0,) * 24,
+            high_per_s=high_per_s,
+            low_per_s=100.0,
+            length_s=12.0,
+            **SHORT_SLOW_PERIODS,
         )
-        told, untold = play(load), play(load, reports_slowness=False)
-        self.assertLess(told.mean_s, 1.005 * untold.mean_s)
-        self.assertLess(told.quantile_s(0.95), 1.02 * untold.quantile_s(0.95))
+        reported, unreported = play(load), play(load, reports_slowness=False)
+        self.assertLess(reported.mean_s, 1.005 * unreported.mean_s)
+        self.assertLess(reported.quantile_s(0.95), 1.02 * unreported.quantile_s(0.95))
 
-    def test_many_gateways_before_few_replicas(self) -> None:
+    def test_many_gateways_with_few_replicas(self) -> None:
         load = UnevenLoad(
             paces=(1.0, 1.0, 1.3),
             zones=THREE_ZONES,
@@ -226,17 +236,17 @@
             service_s=0.045,
             slots=6,
             views=70,
-            **PASSING,
+            **SHORT_SLOW_PERIODS,
         )
-        told, untold = play(load), play(load, reports_slowness=False)
-        self.assertLess(told.mean_s, 1.02 * untold.mean_s)
-        self.assertLess(told.quantile_s(0.99), 0.3)
+        reported, unreported = play(load), play(load, reports_slowness=False)
+        self.assertLess(reported.mean_s, 1.02 * unreported.mean_s)
+        self.assertLess(reported.quantile_s(0.99), 0.3)
 
     @params(
         ("few requests", 310.0, 0.01, 0.001),
         ("bursts that fill most slots", 2500.0, 0.10, 0.02),
     )
-    def test_work_leaves_its_zone_when_it_would_wait(
+    def test_requests_leave_their_zone_only_if_they_would_wait(
         self, _name: str, high_per_s: float, to_other: float, waiting: float
     ) -> None:
         load = UnevenLoad(
--- a/tests/uneven_player.py
+++ b/tests/uneven_player.py
@@ -23,8 +23,8 @@
 from quaymill.process.replica_set.replica import Replica
 from quaymill.process.replica_set.replica_cost import least_costly
 
-OWN_ZONE_ROUND_TRIP_S = 0.0004
-LAST_SPELL_S = 10.0
+LOCAL_ZONE_ROUND_TRIP_S = 0.0004
+EXTRA_SLOW_PERIODS_S = 10.0
 
 
 @attrs.frozen
@@ -63,7 +63,7 @@
     period_s: float = 0.6
     slow_factor: float = 1.0
     views: int = 1
-    told_after_s: float = 0.02
+    report_delay_s: float = 0.02
     other_zone_s: float = 0.009
     length_s: float = 40.0
 
@@ -75,7 +75,7 @@
     took_s: list[float] = attrs.field(factory=list)
     waited_s: list[float] = attrs.field(factory=list)
     to_other_zone: int = 0
-    needless: int = 0
+    avoidable_to_other_zone: int = 0
     """Requests that were sent to another zone although their own had a free slot."""
 
     @property
@@ -83,10 +83,10 @@
         """Mean time from a request to its answer."""
         return sum(self.took_s) / len(self.took_s)
 
-    def quantile_s(self, part: float) -> float:
+    def quantile_s(self, fraction: float) -> float:
         """Return the quantile of the times from a request to its answer."""
         ordered = sorted(self.took_s)
-        return ordered[min(len(ordered) - 1, int(part * len(ordered)))]
+        return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
 
 
 @attrs.define
@@ -94,7 +94,7 @@
     """Actual state of a replica, which gateways know only in part."""
 
     pace: float
-    spells: list[float]
+    slow_periods: list[float]
     """Start and end of each slow period, in turn."""
     running: int = 0
     queue: list[_Request] = attrs.field(factory=list)
@@ -102,7 +102,7 @@
 
 @attrs.frozen
 class _Request:
-    came_at: float
+    arrived_at: float
     zone: str
     view: int
     work_s: float
@@ -119,13 +119,13 @@
 
     def __init__(self, load: UnevenLoad, seed: int, *, reports_slowness: bool) -> None:
         self._load = load
-        self._tells = reports_slowness
+        self._reports_slowness = reports_slowness
         self._random = random.Random(seed)
         self._choices = random.Random(seed + 1)
         self._now = 0.0
         self._events: list[tuple[float, int, Callable[..., None], tuple[object, ...]]] = []
         self._number = 0
-        self._servers = [_Server(pace, self._spells()) for pace in load.paces]
+        self._servers = [_Server(pace, self._draw_slow_periods()) for pace in load.paces]
         self._views = [self._replicas() for _ in range(load.views)]
         self.outcome = UnevenOutcome()
 
@@ -176,7 +176,7 @@
         server = self._servers[number]
         if chosen.entry.zone != request.zone:
             self.outcome.to_other_zone += 1
-            self.outcome.needless += any(
+            self.outcome.avoidable_to_other_zone += any(
                 self._servers[int(one.id)].running < self._load.slots
                 for one in replicas
                 if one.entry.zone == request.zone
@@ -189,41 +189,43 @@
     def _start(self, request: _Request, number: int) -> None:
         server = self._servers[number]
         server.running += 1
-        self.outcome.waited_s.append(self._now - request.came_at)
-        if self._tells and self._load.views == 1:
-            told = self._slowness(server, self._now)
-            self._push(self._now + self._load.told_after_s, self._tell, request.view, number, told)
+        self.outcome.waited_s.append(self._now - request.arrived_at)
+        if self._reports_slowness and self._load.views == 1:
+            slowness = self._slowness(server, self._now)
+            self._push(
+                self._now + self._load.report_delay_s, self._report, request.view, number, slowness
+            )
         self._push(self._end_of(server, request.work_s), self._end, request, number)
 
-    def _tell(self, view: int, number: int, slowness: float) -> None:
-        self._views[view][number].take_slowness(slowness, self._load.told_after_s)
+    def _report(self, view: int, number: int, slowness: float) -> None:
+        self._views[view][number].take_slowness(slowness, self._load.report_delay_s)
 
     def _end(self, request: _Request, number: int) -> None:
         server = self._servers[number]
         server.running -= 1
         replica = self._views[request.view][number]
         replica.end()
-        far = replica.entry.zone != request.zone
-        way_s = self._load.other_zone_s if far else OWN_ZONE_ROUND_TRIP_S
-        self.outcome.took_s.append(self._now - request.came_at + way_s)
+        in_other_zone = replica.entry.zone != request.zone
+        round_trip_s = self._load.other_zone_s if in_other_zone else LOCAL_ZONE_ROUND_TRIP_S
+        self.outcome.took_s.append(self._now - request.arrived_at + round_trip_s)
         if server.queue:
             self._start(server.queue.pop(0), number)
         if self._load.views > 1:
-            told = self._slowness(server, self._now) if self._tells else 1.0
+            slowness = self._slowness(server, self._now) if self._reports_slowness else 1.0
             slots = self._load.slots
-            replica.take_report(ReportedLoad(server.running, len(server.queue), slots, told))
+            replica.take_report(ReportedLoad(server.running, len(server.queue), slots, slowness))
 
-    def _spells(self) -> list[float]:
+    def _draw_slow_periods(self) -> list[float]:
         load = self._load
-        found: list[float] = []
+        slow_periods: list[float] = []
         at = self._random.random() * load.period_s
-        while load.slow_s and at < load.length_s + LAST_SPELL_S:
-            found += [at, at + load.slow_s]
+        while load.slow_s and at < load.length_s + EXTRA_SLOW_PERIODS_S:
+            slow_periods += [at, at + load.slow_s]
             at += load.slow_s + self._random.expovariate(1 / (load.period_s - load.slow_s))
-        return found
+        return slow_periods
 
     def _slowness(self, server: _Server, at: float) -> float:
-        is_slow = bisect.bisect_right(server.spells, at) % 2 == 1
+        is_slow = bisect.bisect_right(server.slow_periods, at) % 2 == 1
         return server.pace * (self._load.slow_factor if is_slow else 1.0)
 
     def _end_of(self, server: _Server, work_s: float) -> float:
@@ -231,8 +233,8 @@
         at = self._now
         while True:
             slowness = self._slowness(server, at)
-            change = bisect.bisect_right(server.spells, at)
-            until = server.spells[change] if change < len(server.spells) else math.inf
+            change = bisect.bisect_right(server.slow_periods, at)
+            until = server.slow_periods[change] if change < len(server.slow_periods) else math.inf
             if work_s * slowness <= until - at:
                 return at + work_s * slowness
             work_s -= (until - at) / slowness
