--- a/tests/limit_player.py
+++ b/tests/limit_player.py
@@ -1,16 +1,16 @@
-"""Plays tenants' requests against ways to keep their limits, in virtual time.
+"""Simulates methods that enforce tenants' limits, in virtual time.
 
-A minute of load of 50 gateways takes some seconds. Gateways are killed, return as new processes,
-or are cut off without knowing it; each hears of the others' fate late. Three ways are played:
+Gateways are killed and restarted, partitioned or paused, and learn of each other's faults with a
+delay. There are three methods:
 
 ``granted``
-    the product's own: the gateway that ranks first for a tenant lends credits.
+    The product's ``TenantLimiter``: the gateway that ranks first for a tenant lends credits.
 ``store``
-    credits are taken from one object a tenant in the platform's store, by compare-and-swap.
+    Credits are taken from one object per tenant in the platform's store, by compare-and-swap.
 ``shares``
-    each gateway keeps to a part of the rate, by the demand that all told each other a second ago.
+    Each gateway admits a share of the rate, by the demands that gateways sent each other before.
 
-The player decides nothing but when requests come and who hears of whom.
+The simulation only determines when requests arrive and what gateways know of each other.
 """
 
 from __future__ import annotations
@@ -37,11 +37,12 @@
 STRONG_CORES = 2.15
 WEAK_CORES = 0.516
 DEATH_HEARD_S = 1.5
-"""Until all others hold a gateway that fell silent for dead: probe, suspicion, spread."""
+"""Time until all gateways consider an unresponsive one dead: probe, suspicion and dissemination."""
 RETURN_HEARD_S = 0.5
+"""Time until all gateways know that one has returned."""
 PROBE_INTERVAL_S = 0.5
 TICK_S = 0.5
-"""How often gateways tell each other their demand, and fates are looked at."""
+"""Interval at which gateways send each other their demand."""
 STORE_CALL_S = 0.004
 PEER_CALL_S = 0.002
 SHORT_S = 1e-6
@@ -49,15 +50,19 @@
 
 @attrs.frozen
 class Fate:
-    """What happens to some gateways.
+    """A fault of some gateways.
 
     Attributes
     ----------
+    at, for_s
+        Start and duration.
     share
-        Part of all gateways, drawn by the seed.
+        Share of the gateways, drawn by the seed.
     kind
-        ``killed``: their callers go elsewhere; ``cut``: they serve on and reach no other;
-        ``paused``: their callers wait, and they go on with what they knew before.
+        ``killed``: callers use other gateways; ``cut``: partitioned from the other gateways, but
+        still serving; ``paused``: callers wait, and the gateways continue with their old state.
+    with_granter
+        Whether granters are among these gateways.
     """
 
     at: float
@@ -69,18 +74,20 @@
 
 @attrs.frozen
 class LimitLoad:
-    """A load.
+    """Load parameters.
 
     Attributes
     ----------
     usual_per_s
-        Requests of all tenants together, as they usually come; tenants' parts fall as 1/rank.
+        Usual requests per second of all tenants; the shares of tenants decrease with their rank.
+    headroom_x
+        Limit of a tenant as a multiple of its usual rate.
     hot_x, hot_from, hot_until
-        By how much the largest tenant exceeds its usual, and when.
-    limit_at
-        When the largest tenant's limit becomes ``limit_x`` of what it was.
+        Factor of the largest tenant's rate, and when it applies.
+    limit_at, limit_x
+        Time of a change of the largest tenant's limit, and its factor.
     store_down
-        When the platform's store does not answer, from and until.
+        Start and end of an outage of the platform's store.
     """
 
     gateways: int = 50
@@ -97,30 +104,30 @@
     length_s: float = 30.0
 
     def usual_of(self, rank: int) -> float:
-        """Return the usual requests a second of the tenant of a rank."""
+        """Return the usual requests per second of the tenant with a rank."""
         total = sum(1.0 / (one + 1) ** 0.7 for one in range(self.tenants))
         return self.usual_per_s / (rank + 1) ** 0.7 / total
 
     def limit_of(self, rank: int) -> float:
-        """Return the limit of the tenant of a rank, in requests a second and at once."""
+        """Return the limit of the tenant with a rank: requests per second, and its burst."""
         return max(5.0, round(self.headroom_x * self.usual_of(rank)))
 
 
 @attrs.define
 class LimitOutcome:
-    """What tenants and operators got.
+    """Results of a simulation.
 
     Attributes
     ----------
     overrun
-        Largest excess of a tenant's admitted requests over what is allowed in a window, overrun
-        tolerated included; negative if it was never reached.
-    refused_below
-        Part of the requests within the limit, by one count that sees all, that were refused.
+        Largest excess of a tenant's admitted requests in a window over those that are allowed and
+        tolerated; negative if there was none.
+    refused_within_limit
+        Refused share of the requests that are within the limit by a global count.
     peer_calls, store_calls
-        A second.
+        Calls per second.
     longest_wait_s
-        Time that the slowest decision took.
+        Time of the slowest decision.
     """
 
     overrun: float = float("-inf")
@@ -141,7 +148,7 @@
 
 
 class _Handlers:
-    """Stands for a gateway's server of peers."""
+    """Replaces a gateway's ``PeerServer``."""
 
     def __init__(self) -> None:
         self.by_type: dict[type, Callable] = {}
@@ -152,7 +159,15 @@
 
 @attrs.define(eq=False)
 class _Gateway:
-    """One gateway, and what it holds of the others' fates."""
+    """One gateway, and its view of the others.
+
+    Attributes
+    ----------
+    queued
+        Tenants whose requests wait while it is paused.
+    dead_since
+        When it learned of the death of other gateways, by name.
+    """
 
     index: int
     member: Member
@@ -167,7 +182,7 @@
 
 
 class _View:
-    """The membership as one gateway sees it: late."""
+    """Delayed view that one gateway has of the membership."""
 
     def __init__(self, player: LimitPlayer, own: _Gateway) -> None:
         self._player = player
@@ -193,14 +208,14 @@
 
 
 def attrs_dead(member: Member) -> Member:
-    """Return a member's record as one that is held for dead."""
+    """Return the record of a member with the state dead."""
     return Member(
         member.name, member.zone, member.region, member.peer, member.http, MemberState.DEAD
     )
 
 
 class _Peers:
-    """Delivers one gateway's messages to the others' handlers."""
+    """Replaces a gateway's ``PeerClient``: calls the handlers of other gateways directly."""
 
     def __init__(self, player: LimitPlayer, own: _Gateway) -> None:
         self._player = player
@@ -220,7 +235,7 @@
 
 
 class _StoreCredits:
-    """One object a tenant in the store: its bucket. Gateways take what a second needs."""
+    """Buckets in the store, one object per tenant, from which gateways take credits."""
 
     def __init__(self, player: LimitPlayer) -> None:
         self._player = player
@@ -239,7 +254,7 @@
 
 
 class StoreLimiter:
-    """Takes credits from the store as they are needed, a few ahead for busy tenants."""
+    """Takes credits from the store on demand, and some in advance for busy tenants."""
 
     AHEAD_S = 0.2
 
@@ -266,7 +281,7 @@
 
 
 class SharesLimiter:
-    """Keeps to a part of each tenant's rate by the demand that gateways told each other."""
+    """Admits a share of each tenant's rate, by the demands that gateways sent each other."""
 
     FLOOR = 0.5
 
@@ -279,7 +294,7 @@
         self._buckets: dict[str, Bucket] = {}
 
     def tick(self) -> None:
-        """Tell all others what came, and take what they told."""
+        """Update the local demand, and collect the demands of all reachable gateways."""
         for tenant in self._counts.keys() | self.demand.keys():
             newest = self._counts.get(tenant, 0) / TICK_S
             known = self.demand.get(tenant, 0.0)
@@ -313,7 +328,7 @@
 
 
 class LimitPlayer:
-    """One play of a load."""
+    """One simulation of a load."""
 
     def __init__(self, load: LimitLoad, way: str, seed: int, overrun: Overrun) -> None:
         self.load = load
@@ -330,14 +345,14 @@
         self.gateways = [self._gateway(index) for index in range(load.gateways)]
 
     def play(self) -> LimitOutcome:
-        """Play the load; nothing real is waited for."""
+        """Simulate the load in virtual time."""
         with mock.patch.object(boot_clock, "now", self.clock):
             for gateway in self.gateways:
                 self._start(gateway)
             return self._run()
 
     def limits_of(self, tenant: str) -> TenantLimits:
-        """Return a tenant's limits now."""
+        """Return the current limits of a tenant."""
         rank = int(tenant)
         rate = self.load.limit_of(rank)
         if rank == 0 and self._elapsed() >= self.load.limit_at:
@@ -345,14 +360,14 @@
         return TenantLimits(rate, rate)
 
     def store_is_down(self) -> bool:
-        """Return whether the store answers nobody."""
+        """Return whether the store has an outage."""
         begin, end = self.load.store_down
         return begin <= self._elapsed() < end
 
     def is_held_for_dead(self, own: _Gateway, other: _Gateway) -> bool:
-        """Return whether a gateway holds another for dead: some time after that is so."""
+        """Return whether a gateway considers another dead, with the delay of the detection."""
         if own.queued:
-            return False  # Just paused: it holds what it held before.
+            return False  # After a pause it continues with its old view.
         silent = not other.alive or other.paused or own.cut or other.cut
         changed_at = max(
             self._changed_at.get(own.index, -1e9) if own.cut else -1e9,
@@ -360,7 +375,7 @@
         )
         heard = DEATH_HEARD_S if silent else RETURN_HEARD_S
         if own.cut:
-            # It probes the others one after the other, and nobody tells it of the rest.
+            # It has to probe the others one by one, as it gets no reports of them.
             heard += PROBE_INTERVAL_S * other.index
         return silent if self.clock.now - changed_at >= heard else not silent and changed_at > 0
 
@@ -374,7 +389,7 @@
         return _Gateway(index, Member(name, "a", "r", endpoint, endpoint, cores=cores))
 
     def _start(self, gateway: _Gateway) -> None:
-        """Start a process, with nothing of what the one before held."""
+        """Start a new process of a gateway, without the state of the previous one."""
         gateway.handlers = _Handlers()
         if self._way == "granted":
             fleet = GatewayFleet(_View(self, gateway), gateway.member.name, lambda one: True)
@@ -417,7 +432,7 @@
             if gateway.paused:
                 gateway.queued.append(tenant)
                 continue
-            # What has queued while it was paused comes first, all at once.
+            # Requests queued during a pause are processed first, all at once.
             for asking in [*gateway.queued, tenant]:
                 self.waited_s = 0.0
                 refused = gateway.limiter.admit(asking, 0) is not None
@@ -435,7 +450,7 @@
         return outcome
 
     def _worst_excess(self, rank: int, times: list[float]) -> float:
-        """Return by how much the fullest window exceeds what is allowed there."""
+        """Return the largest excess in any window over the allowed and tolerated requests."""
         worst = float("-inf")
         window_s = self._overrun.window_s
         for index, begin in enumerate(times):
@@ -455,7 +470,7 @@
                     gateway.limiter.tick()
 
     def _events(self) -> Iterator[tuple[float, str | None]]:
-        """Yield all arrivals and ticks in order, as fates strike; a tick's tenant is ``None``."""
+        """Yield arrivals and ticks in order, applying faults; the tenant of a tick is ``None``."""
         events: list[tuple[float, str | None]] = []
         for rank in range(self.load.tenants):
             events += [(at, str(rank)) for at in self._arrivals(rank)]
@@ -483,7 +498,7 @@
         drawn = list(self.gateways)
         self._random.shuffle(drawn)
         if fate.with_granter:
-            # The strong ones grant; most of those that are struck are drawn from all.
+            # Gateways 0 and 1 have more processor time and so are granters; the others are random.
             drawn.sort(key=lambda one: one.index not in (0, 1))
         return tuple(drawn[: max(1, round(fate.share * len(drawn)))])
 
@@ -500,7 +515,7 @@
                     self._start(gateway)
 
     def _arrivals(self, rank: int) -> list[float]:
-        """Return when a tenant's requests come: in bursts, as the users' do."""
+        """Return the arrival times of a tenant's requests, with periodic bursts."""
         usual = self.load.usual_of(rank)
         times = []
         at = 0.0
--- a/tests/test_crash_guard.py
+++ b/tests/test_crash_guard.py
@@ -1,4 +1,8 @@
-"""Whether a replica has crashed is asked of the replica; what is known reaches every gateway."""
+"""Crashes of replicas are detected by a new connection, and reported to every gateway.
+
+Guards against requests that crash one replica after another, and against requests that are blocked
+after closed connections that were no crashes.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +26,7 @@
 
 @contextlib.contextmanager
 def listener(*, closes: bool) -> Iterator[Endpoint]:
-    """Take connections, and close each at once if asked to."""
+    """Accept connections, and close each at once if ``closes``."""
     server = socket.create_server(("127.0.0.1", 0))
     taken = []
 
@@ -46,7 +50,7 @@
 
 
 class GuardTest(unittest.TestCase):
-    """A closed connection counts only where the replica takes no other."""
+    """A closed connection is a crash only if the replica accepts no new one."""
 
     def setUp(self) -> None:
         self.records = PoisonRecords()
@@ -79,7 +83,7 @@
 
 
 class SharingTest(unittest.TestCase):
-    """Crashes seen at one gateway, and the others."""
+    """Crashes that one gateway detects are known to the others."""
 
     def setUp(self) -> None:
         self.rig = FleetRig(gateways=3, storage=0, engines=1).start()
@@ -94,7 +98,7 @@
         return self.rig.gateways[gateway]._guard.barred_for_s(content) > 0
 
     def cut(self, name: str, peers: bool) -> None:
-        """Cut a gateway off from the others in both directions, or let it back."""
+        """Partition a gateway from the others in both directions, or end the partition."""
         cut_off = self.rig.gateways[name].network
         for other, gateway in self.rig.gateways.items():
             if other != name:
@@ -144,12 +148,12 @@
             "the old object is removed",
         )
         for name in self.rig.gateways:
-            wait_until(lambda n=name: self.rig.gateways[n]._crash_sharing._caught_up, "settled")
+            wait_until(lambda n=name: self.rig.gateways[n]._crash_sharing._caught_up, "caught up")
             self.assertFalse(self.bars(name, "old") or self.bars(name, "foreign"))
 
 
 class BrokenOffTest(unittest.TestCase):
-    """Answers that a living replica breaks off tell nothing of the request."""
+    """Answers that a running replica aborts do not block the request."""
 
     def test_a_request_is_tried_on_although_its_answers_are_broken_off(self) -> None:
         rig = FleetRig(gateways=1, storage=0, engines=1).start()
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -1,14 +1,7 @@
-"""A request that ends each replica that begins to run it is not run on and on.
+"""A request that crashes each replica that runs it is blocked at all gateways.
 
-What users saw: within a second all replicas of a model ended, again and again, for a minute and
-more; a third of the questions at the counter failed meanwhile. One caller sent one request again
-and again, to whatever gateway. At each replica it got the head of an answer, and the replica
-ended with all that it was running; the gateway answered 502, and the next gateway ran the request
-as if it had never been seen.
-
-Cause: what a failure taught was kept with the replica, never with the request. The lines of
-attempts showed it: one content, a new request id each time, an attempt at each of the replicas
-that ended, and no line by which a gateway had decided anything about the content.
+Guards against a caller that sends such a request repeatedly, with new ids and to any gateway, and
+so crashes all replicas of a service.
 """
 
 from __future__ import annotations
@@ -25,11 +18,11 @@
 from quaymill_standins.fleet_replica import FleetReplica, ReplicaBehaviour, ReplicaRun
 
 CRASHES_ALLOWED = 3
-"""Replicas that a request may end before it is run no more."""
+"""Replicas that a request may crash before it is blocked."""
 RETRIES_ALLOWED = 3
-"""Runs that may follow later than a gateway has had time to learn of the third crash."""
+"""Runs that may start later than ``CONTACT_S`` after the third crash."""
 CONTACT_S = 3.0
-"""That time: as in the operators' bounds."""
+"""Time within which all gateways must know of a crash."""
 BACK_AFTER_S = 0.3
 SENDINGS = 10
 SUFFIX = "crash"
@@ -37,7 +30,7 @@
 
 
 class CrashRig(FleetRig):
-    """A fleet whose replicas are replaced, under new ids, a moment after they ended."""
+    """A fleet whose crashed replicas are replaced after a short time, with new ids."""
 
     def __init__(self, gateways: int = 3, storage: int = 0, engines: int = 5) -> None:
         super().__init__(gateways, storage, engines)
@@ -45,7 +38,7 @@
         self._numbers = itertools.count()
 
     def add_replica(self, service: str, zone: str, slots: int = 4) -> FleetReplica:
-        """Start a replica that ends at certain requests, and list it."""
+        """Start a replica that crashes when it runs certain requests, and list it."""
         name = f"{service}-{next(self._numbers)}"
         replica = FleetReplica(name, service, zone, slots, on_crash=self._replace)
         replica.behaviour = CRASHING
@@ -55,22 +48,22 @@
         return replica
 
     def stop(self) -> None:
-        """Stop everything, and replace nothing more."""
+        """Stop the fleet and the replacement of replicas."""
         self.stopping = True
         super().stop()
 
     def crashes(self) -> int:
-        """Return how many replicas have ended."""
+        """Return how many replicas have crashed."""
         return sum(replica.crashed for replica in list(self.replicas.values()))
 
     def crashing_runs(self) -> list[ReplicaRun]:
-        """Return the runs of the requests that end replicas, in the order of their start."""
+        """Return the runs of the requests that crash replicas, in the order of their start."""
         runs = [run for replica in list(self.replicas.values()) for run in replica.runs]
         crashing = [run for run in runs if run.target.endswith(SUFFIX)]
         return sorted(crashing, key=lambda run: run.started_s)
 
     def late_runs(self) -> list[ReplicaRun]:
-        """Return those that began when every gateway had had time to learn of three crashes."""
+        """Return the crashing runs that started later than ``CONTACT_S`` after the third crash."""
         runs = self.crashing_runs()
         if len(runs) < CRASHES_ALLOWED:
             return []
@@ -78,7 +71,7 @@
         return [run for run in runs if run.started_s > third_at + CONTACT_S]
 
     def live(self, service: str) -> int:
-        """Return how many replicas of a service serve."""
+        """Return how many replicas of a service are running."""
         return sum(not replica.crashed for replica in self.of_service(service))
 
     def _replace(self, replica: FleetReplica) -> None:
@@ -92,7 +85,7 @@
 
 
 class CrashCase(unittest.TestCase):
-    """A fleet for each test."""
+    """A new fleet for each test."""
 
     GATEWAYS = 3
     STORAGE = 0
@@ -115,7 +108,7 @@
         return answer.status
 
     def knows_live(self, gateway: str, service: str) -> bool:
-        """Return whether a gateway lists a replica that serves."""
+        """Return whether a gateway lists a running replica."""
         table = self.rig.gateways[gateway].control._table
         listed = {replica.id for replica in table.of_service(service) if not replica.leaving}
         return any(
@@ -123,7 +116,7 @@
         )
 
     def send_until_barred(self, path: str) -> int:
-        """Send until the request has crashed three replicas and time to learn it has passed."""
+        """Send until the request has crashed three replicas, then wait ``CONTACT_S``."""
         number = 0
         while self.rig.crashes() < CRASHES_ALLOWED:
             number += 1
@@ -134,7 +127,7 @@
 
 
 class SentAgainTest(CrashCase):
-    """The same request comes again, under new ids, at every gateway."""
+    """The same request is sent repeatedly with new ids, to every gateway."""
 
     @params("/stream/", "/resumable/", "/read/", "/write/")
     def test_three_crashes_are_remembered_by_every_gateway(self, path: str) -> None:
@@ -174,7 +167,7 @@
         self.assertLessEqual(len(self.rig.late_runs()), RETRIES_ALLOWED)
 
     def test_others_that_ran_beside_it_are_served_afterwards(self) -> None:
-        """Another request of the same path and caller, and the same path at another body."""
+        """A request with the same path and another body is another content."""
         self.send_until_barred("/stream/")
         for number in range(SENDINGS):
             body = f"another body {number}".encode()
@@ -185,7 +178,7 @@
 
 
 class ItemTest(CrashCase):
-    """An item of a job ends each engine that begins to run it."""
+    """A job item that crashes each engine that runs it."""
 
     STORAGE = 3
 
--- a/tests/test_limit_ways.py
+++ b/tests/test_limit_ways.py
@@ -1,9 +1,7 @@
-"""Ways to keep tenants' limits over a fleet, played in virtual time.
+"""Compares methods that enforce tenants' limits over a fleet, by simulation in virtual time.
 
-What was measured with seed 1 (docs/design/shifted-work.md has all loads): with a tenant at 7.5
-times its usual while 35% of 50 gateways are cut off, the way in use stays below what is tolerated
-and refuses 0.050 of what is within the limits; shares by demand exceed it by 123 requests and
-refuse 0.245, credits from the store refuse 0.191 and cost 500 calls of the store a second.
+Guards against a method in use that exceeds the tolerated overrun under faults, or refuses many
+requests within the limits.
 """
 
 from __future__ import annotations
@@ -36,16 +34,16 @@
     "limit lowered": (LimitLoad(**HOT, limit_at=10.0, limit_x=0.2), 0.003),
     "store down": (LimitLoad(length_s=25.0, store_down=(6.0, 14.0)), 0.003),
 }
-"""Loads, and the part of what is within the limits that may be refused."""
+"""Loads, each with the share of the requests within the limits that may be refused."""
 
 
 def play(load: LimitLoad, way: str, seed: int = SEED) -> LimitOutcome:
-    """Play a load one way."""
+    """Simulate a load with one method."""
     return LimitPlayer(load, way, seed, TOLERATED).play()
 
 
 class GrantedTest(unittest.TestCase):
-    """The way in use."""
+    """The method in use."""
 
     @params(*LOADS)
     def test_limits_hold_and_little_within_them_is_refused(self, name) -> None:
@@ -63,7 +61,7 @@
 
 
 class OtherWaysTest(unittest.TestCase):
-    """Why the others are not in use."""
+    """Faults of the methods that are not in use."""
 
     def test_shares_by_demand_overrun_when_gateways_are_cut_off(self) -> None:
         self.assertGreater(play(LOADS["hot, cut"][0], "shares").overrun, 0.0)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,8 @@
-"""A tenant's limits hold over all gateways, and bend by a bounded amount under faults."""
+"""A tenant's limits apply to all gateways together, with a bounded excess under faults.
+
+Guards against gateways that each grant the whole limit, and against requests that are refused
+although the tenant is within its limits.
+"""
 
 import threading
 import time
@@ -23,7 +27,7 @@
 
 
 class FakeMembership:
-    """The members that a node sees."""
+    """A membership whose members the test sets."""
 
     def __init__(self) -> None:
         self.seen: tuple[Member, ...] = ()
@@ -85,7 +89,7 @@
             self.filters[number].set_blocked(frozenset({endpoint}))
 
     def admitted(self, gateways, seconds: float, tokens: int = 0, threads: int = 2) -> int:
-        """Ask on all gateways as fast as they answer; return how many were admitted."""
+        """Send requests to gateways as fast as they answer; return how many were admitted."""
         counts: list[int] = []
         until = time.monotonic() + seconds
 
@@ -111,7 +115,7 @@
         return sum(counts)
 
     def turn_strong(self, number: int) -> None:
-        """Let one gateway come with more processor time, so that it ranks first from now on."""
+        """Give one gateway more processor time, so that it ranks first from now on."""
         strong = msgspec.structs.replace(self.members[number], cores=4.0)
         others = tuple(one for one in self.members if one.name != strong.name)
         for membership in self.memberships:
@@ -141,7 +145,7 @@
         limiters = self.start(**limits)
         seconds = 2.0
         admitted = limiters.admitted(range(GATEWAYS), seconds, tokens)
-        # One burst is a second's worth; what is lent and lapses unused is lost to the tenant.
+        # The burst is the requests of one second; lent credits that expire unused are lost.
         self.assertLessEqual(admitted, per_s * (seconds + 1.0) * 1.05)
         self.assertGreaterEqual(admitted, per_s * seconds * 0.7)
 
@@ -195,7 +199,7 @@
         fault(limiters)
         seconds = 2.0
         admitted = limiters.admitted(limiters.others, seconds)
-        # Each of the two admits a third of the limit, and its own burst.
+        # Each of the two gateways admits a third of the limit, and a third of the burst.
         self.assertLessEqual(admitted, 60.0 / GATEWAYS * 2 * (seconds + 1.0) * 1.1)
         self.assertGreaterEqual(admitted, 60.0 / GATEWAYS * 2 * seconds * 0.5)
 
@@ -226,7 +230,7 @@
         self.assertGreaterEqual(limiters.admitted(range(GATEWAYS), 0.5), 1)
         limiters.turn_strong(limiters.others[0])
         admitted = limiters.admitted(range(GATEWAYS), 1.0)
-        # Not another burst of ten, nor two that grant at once.
+        # Neither a second burst of ten, nor grants of two granters at once.
         self.assertLessEqual(admitted, 13)
         self.assertGreaterEqual(admitted, 6)
 
@@ -257,6 +261,6 @@
         limiters = self.start(requests_per_s=10.0)
         started_at = time.monotonic()
         refusals = [limiters.limiters[0].admit(TENANT, 0) for _ in range(4)]
-        # Nobody can tell it what was granted before it started: one at once, then ten a second.
+        # It does not know what was granted before its start: one at once, then ten per second.
         self.assertEqual([None] * 4, refusals)
         self.assertGreater(time.monotonic() - started_at, 0.2)
--- a/tests/test_tenant_limits.py
+++ b/tests/test_tenant_limits.py
@@ -1,4 +1,7 @@
-"""A tenant's limit on the users' platform: over all gateways, and without harm to others."""
+"""A tenant's limit in a whole fleet applies to all gateways together and to this tenant only.
+
+Guards against a tenant whose excess requests are run or delay other tenants.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +19,7 @@
 
 
 class LimitTest(FleetCase):
-    """One tenant sends many times its limit at two gateways, another a little."""
+    """One tenant exceeds its limit many times at two gateways, another stays below it."""
 
     world: ClassVar[dict[str, Any]] = {
         "tenants": (
