--- a/tests/limit_player.py
+++ b/tests/limit_player.py
@@ -36,9 +36,9 @@
 
 STRONG_CORES = 2.15
 WEAK_CORES = 0.516
-DEATH_HEARD_S = 1.5
+DEATH_DETECTION_S = 1.5
 """Time until all gateways consider an unresponsive one dead: probe, suspicion and dissemination."""
-RETURN_HEARD_S = 0.5
+RETURN_DETECTION_S = 0.5
 """Time until all gateways know that one has returned."""
 PROBE_INTERVAL_S = 0.5
 TICK_S = 0.5
@@ -49,7 +49,7 @@
 
 
 @attrs.frozen
-class Fate:
+class Fault:
     """A fault of some gateways.
 
     Attributes
@@ -97,7 +97,7 @@
     hot_x: float = 1.0
     hot_from: float = 10.0
     hot_until: float = 18.0
-    fates: tuple[Fate, ...] = ()
+    faults: tuple[Fault, ...] = ()
     limit_at: float = 1e9
     limit_x: float = 1.0
     store_down: tuple[float, float] = (1e9, 1e9)
@@ -131,7 +131,7 @@
     """
 
     overrun: float = float("-inf")
-    refused_below: float = 0.0
+    refused_within_limit: float = 0.0
     admitted: int = 0
     asked: int = 0
     peer_calls: float = 0.0
@@ -147,7 +147,7 @@
         return self.now
 
 
-class _Handlers:
+class _FakePeerServer:
     """Replaces a gateway's ``PeerServer``."""
 
     def __init__(self) -> None:
@@ -171,63 +171,63 @@
 
     index: int
     member: Member
-    handlers: _Handlers = attrs.field(factory=_Handlers)
+    handlers: _FakePeerServer = attrs.field(factory=_FakePeerServer)
     limiter: object = None
     alive: bool = True
     cut: bool = False
     paused: bool = False
     starts: int = 0
     queued: list[str] = attrs.field(factory=list)
-    heard_dead_at: dict[str, float] = attrs.field(factory=dict)
+    dead_since: dict[str, float] = attrs.field(factory=dict)
 
 
-class _View:
+class _FakeMembership:
     """Delayed view that one gateway has of the membership."""
 
-    def __init__(self, player: LimitPlayer, own: _Gateway) -> None:
+    def __init__(self, player: LimitPlayer, gateway: _Gateway) -> None:
         self._player = player
-        self._own = own
+        self._gateway = gateway
 
     def members(self) -> tuple[Member, ...]:
-        states = (self._seen(other) for other in self._player.gateways)
+        states = (self._member_as_seen(other) for other in self._player.gateways)
         return tuple(member for member in states if member is not None)
 
     def live(self) -> tuple[Member, ...]:
         return tuple(one for one in self.members() if one.state is MemberState.ALIVE)
 
     def dead_for_s(self, name: str) -> float:
-        since = self._own.heard_dead_at.get(name)
+        since = self._gateway.dead_since.get(name)
         return 0.0 if since is None else self._player.clock.now - since
 
-    def _seen(self, other: _Gateway) -> Member:
-        if other is self._own or not self._player.is_held_for_dead(self._own, other):
-            self._own.heard_dead_at.pop(other.member.name, None)
+    def _member_as_seen(self, other: _Gateway) -> Member:
+        if other is self._gateway or not self._player.considers_dead(self._gateway, other):
+            self._gateway.dead_since.pop(other.member.name, None)
             return other.member
-        self._own.heard_dead_at.setdefault(other.member.name, self._player.clock.now)
-        return attrs_dead(other.member)
+        self._gateway.dead_since.setdefault(other.member.name, self._player.clock.now)
+        return as_dead(other.member)
 
 
-def attrs_dead(member: Member) -> Member:
+def as_dead(member: Member) -> Member:
     """Return the record of a member with the state dead."""
     return Member(
         member.name, member.zone, member.region, member.peer, member.http, MemberState.DEAD
     )
 
 
-class _Peers:
+class _FakePeerClient:
     """Replaces a gateway's ``PeerClient``: calls the handlers of other gateways directly."""
 
-    def __init__(self, player: LimitPlayer, own: _Gateway) -> None:
+    def __init__(self, player: LimitPlayer, gateway: _Gateway) -> None:
         self._player = player
-        self._own = own
+        self._gateway = gateway
 
     def call(
         self, endpoint: Endpoint, message: PeerMessage, reply_type: type, timeout_s: float
     ) -> PeerMessage | PeerNoReply | PeerRefusal:
         self._player.peer_calls += 1
         other = self._player.gateways[endpoint.port]
-        if not other.alive or other.paused or self._own.cut or other.cut:
-            waits = self._own.cut or other.cut or other.paused
+        if not other.alive or other.paused or self._gateway.cut or other.cut:
+            waits = self._gateway.cut or other.cut or other.paused
             self._player.waited_s += timeout_s if waits else PEER_CALL_S
             return PeerNoReply(endpoint, "cut off or ended")
         self._player.waited_s += PEER_CALL_S
@@ -258,22 +258,22 @@
 
     AHEAD_S = 0.2
 
-    def __init__(self, player: LimitPlayer, own: _Gateway, credits: _StoreCredits) -> None:
+    def __init__(self, player: LimitPlayer, gateway: _Gateway, credits: _StoreCredits) -> None:
         self._player = player
-        self._own = own
+        self._gateway = gateway
         self._credits = credits
         self._held: dict[str, tuple[int, float]] = {}
         self._last: dict[str, list[float]] = {}
 
     def admit(self, tenant: str, tokens: int) -> object | None:
         now = self._player.clock.now
-        seen = [at for at in self._last.get(tenant, []) if now - at < 1.0] + [now]
-        self._last[tenant] = seen
+        recent = [at for at in self._last.get(tenant, []) if now - at < 1.0] + [now]
+        self._last[tenant] = recent
         held, until = self._held.get(tenant, (0, 0.0))
         if held < 1 or now > until:
             held = 0
-            if not self._own.cut and not self._player.store_is_down():
-                wanted = max(1, round(len(seen) * self.AHEAD_S))
+            if not self._gateway.cut and not self._player.store_is_down():
+                wanted = max(1, round(len(recent) * self.AHEAD_S))
                 held = self._credits.take(tenant, wanted)
             until = now + 2 * self.AHEAD_S
         self._held[tenant] = (held - 1, until)
@@ -283,14 +283,14 @@
 class SharesLimiter:
     """Admits a share of each tenant's rate, by the demands that gateways sent each other."""
 
-    FLOOR = 0.5
+    MIN_SHARE = 0.5
 
-    def __init__(self, player: LimitPlayer, own: _Gateway) -> None:
+    def __init__(self, player: LimitPlayer, gateway: _Gateway) -> None:
         self._player = player
-        self._own = own
+        self._gateway = gateway
         self.demand: dict[str, float] = {}
         self._counts: dict[str, int] = {}
-        self._told: dict[str, float] = {}
+        self._total_demand: dict[str, float] = {}
         self._buckets: dict[str, Bucket] = {}
 
     def tick(self) -> None:
@@ -301,48 +301,48 @@
             self.demand[tenant] = known + 0.3 * (newest - known)
         self._counts.clear()
         player = self._player
-        reached = [
+        reachable = [
             other
             for other in player.gateways
-            if other is self._own or (other.alive and not other.cut and not self._own.cut)
+            if other is self._gateway or (other.alive and not other.cut and not self._gateway.cut)
         ]
-        player.peer_calls += len(reached) - 1
-        self._told = {}
-        for other in reached:
+        player.peer_calls += len(reachable) - 1
+        self._total_demand = {}
+        for other in reachable:
             for tenant, per_s in other.limiter.demand.items():
-                self._told[tenant] = self._told.get(tenant, 0.0) + per_s
+                self._total_demand[tenant] = self._total_demand.get(tenant, 0.0) + per_s
 
     def admit(self, tenant: str, tokens: int) -> object | None:
         self._counts[tenant] = self._counts.get(tenant, 0) + 1
         limits = self._player.limits_of(tenant)
         gateways = len(self._player.gateways)
-        told = self._told.get(tenant, 0.0)
-        by_demand = self.demand.get(tenant, 0.0) / told if told else 0.0
-        part = min(1.0, self.FLOOR / gateways + (1 - self.FLOOR) * by_demand)
-        most = max(1.0, limits.burst * part)
+        total_demand = self._total_demand.get(tenant, 0.0)
+        by_demand = self.demand.get(tenant, 0.0) / total_demand if total_demand else 0.0
+        demand_share = min(1.0, self.MIN_SHARE / gateways + (1 - self.MIN_SHARE) * by_demand)
+        capacity = max(1.0, limits.burst * demand_share)
         bucket = self._buckets.get(tenant)
         if bucket is None:
-            bucket = self._buckets[tenant] = Bucket(limits.requests_per_s * part, most)
-        bucket.reconfigure(limits.requests_per_s * part, most)
+            bucket = self._buckets[tenant] = Bucket(limits.requests_per_s * demand_share, capacity)
+        bucket.reconfigure(limits.requests_per_s * demand_share, capacity)
         return None if bucket.take_up_to(1) else object()
 
 
 class LimitPlayer:
     """One simulation of a load."""
 
-    def __init__(self, load: LimitLoad, way: str, seed: int, overrun: Overrun) -> None:
+    def __init__(self, load: LimitLoad, method: str, seed: int, overrun: Overrun) -> None:
         self.load = load
         self.clock = _Clock()
         self.peer_calls = 0
         self.store_calls = 0
         self.waited_s = 0.0
-        self._way = way
+        self._method = method
         self._overrun = overrun
         self._random = random.Random(seed)
         self._store = _StoreCredits(self)
-        self._began = self.clock.now
+        self._started_at = self.clock.now
         self._changed_at: dict[int, float] = {}
-        self.gateways = [self._gateway(index) for index in range(load.gateways)]
+        self.gateways = [self._build_gateway(index) for index in range(load.gateways)]
 
     def play(self) -> LimitOutcome:
         """Simulate the load in virtual time."""
@@ -364,25 +364,27 @@
         begin, end = self.load.store_down
         return begin <= self._elapsed() < end
 
-    def is_held_for_dead(self, own: _Gateway, other: _Gateway) -> bool:
+    def considers_dead(self, gateway: _Gateway, other: _Gateway) -> bool:
         """Return whether a gateway considers another dead, with the delay of the detection."""
-        if own.queued:
+        if gateway.queued:
             return False  # After a pause it continues with its old view.
-        silent = not other.alive or other.paused or own.cut or other.cut
+        silent = not other.alive or other.paused or gateway.cut or other.cut
         changed_at = max(
-            self._changed_at.get(own.index, -1e9) if own.cut else -1e9,
+            self._changed_at.get(gateway.index, -1e9) if gateway.cut else -1e9,
             self._changed_at.get(other.index, -1e9),
         )
-        heard = DEATH_HEARD_S if silent else RETURN_HEARD_S
-        if own.cut:
+        detection_s = DEATH_DETECTION_S if silent else RETURN_DETECTION_S
+        if gateway.cut:
             # It has to probe the others one by one, as it gets no reports of them.
-            heard += PROBE_INTERVAL_S * other.index
-        return silent if self.clock.now - changed_at >= heard else not silent and changed_at > 0
+            detection_s += PROBE_INTERVAL_S * other.index
+        return (
+            silent if self.clock.now - changed_at >= detection_s else not silent and changed_at > 0
+        )
 
     def _elapsed(self) -> float:
-        return self.clock.now - self._began
+        return self.clock.now - self._started_at
 
-    def _gateway(self, index: int) -> _Gateway:
+    def _build_gateway(self, index: int) -> _Gateway:
         cores = STRONG_CORES if index < max(1, self.load.gateways // 8) else WEAK_CORES
         endpoint = Endpoint("10.0.0.1", index)
         name = f"edge-{index}"
@@ -390,21 +392,23 @@
 
     def _start(self, gateway: _Gateway) -> None:
         """Start a new process of a gateway, without the state of the previous one."""
-        gateway.handlers = _Handlers()
-        if self._way == "granted":
-            fleet = GatewayFleet(_View(self, gateway), gateway.member.name, lambda one: True)
+        gateway.handlers = _FakePeerServer()
+        if self._method == "granted":
+            fleet = GatewayFleet(
+                _FakeMembership(self, gateway), gateway.member.name, lambda one: True
+            )
             gateway.starts += 1
             gateway.limiter = TenantLimiter(
                 gateway.member.name,
                 f"{gateway.member.name}#{gateway.starts}",
                 self.limits_of,
                 fleet,
-                _Peers(self, gateway),
+                _FakePeerClient(self, gateway),
                 gateway.handlers,
                 self._overrun,
                 paced_timeout_s=0.0,
             )
-        elif self._way == "store":
+        elif self._method == "store":
             gateway.limiter = StoreLimiter(self, gateway, self._store)
         else:
             gateway.limiter = SharesLimiter(self, gateway)
@@ -415,17 +419,17 @@
         ideal: dict[str, WindowCount] = {}
         within = refused_within = 0
         for at, tenant in self._events():
-            self.clock.now = self._began + at
+            self.clock.now = self._started_at + at
             if tenant is None:
                 self._tick()
                 continue
             candidates = [one for one in self.gateways if one.alive]
             if not candidates:
                 continue
-            one_count = ideal.setdefault(tenant, WindowCount(self._overrun.window_s))
+            ideal_count = ideal.setdefault(tenant, WindowCount(self._overrun.window_s))
             allowed = allowed_in_window(self.limits_of(tenant), self._overrun, 1.0)
-            is_within = one_count.total(self.clock.now) + 1 <= allowed
-            one_count.add(is_within, self.clock.now)
+            is_within = ideal_count.total(self.clock.now) + 1 <= allowed
+            ideal_count.add(is_within, self.clock.now)
             gateway = self._random.choice(candidates)
             outcome.asked += 1
             within += is_within
@@ -433,16 +437,16 @@
                 gateway.queued.append(tenant)
                 continue
             # Requests queued during a pause are processed first, all at once.
-            for asking in [*gateway.queued, tenant]:
+            for requesting_tenant in [*gateway.queued, tenant]:
                 self.waited_s = 0.0
-                refused = gateway.limiter.admit(asking, 0) is not None
+                refused = gateway.limiter.admit(requesting_tenant, 0) is not None
                 outcome.longest_wait_s = max(outcome.longest_wait_s, self.waited_s)
                 if not refused:
                     outcome.admitted += 1
-                    admitted.setdefault(asking, []).append(at)
+                    admitted.setdefault(requesting_tenant, []).append(at)
             gateway.queued.clear()
             refused_within += is_within and refused
-        outcome.refused_below = max(0, refused_within) / max(1, within)
+        outcome.refused_within_limit = max(0, refused_within) / max(1, within)
         outcome.peer_calls = self.peer_calls / self.load.length_s
         outcome.store_calls = self.store_calls / self.load.length_s
         for tenant, times in admitted.items():
@@ -464,7 +468,7 @@
         return worst
 
     def _tick(self) -> None:
-        if self._way == "shares":
+        if self._method == "shares":
             for gateway in self.gateways:
                 if gateway.alive:
                     gateway.limiter.tick()
@@ -477,37 +481,37 @@
         ticks = int(self.load.length_s / TICK_S)
         events += [(tick * TICK_S, None) for tick in range(ticks)]
         events.sort(key=lambda event: event[0])
-        yield from self._with_fates(events)
+        yield from self._with_faults(events)
 
-    def _with_fates(
+    def _with_faults(
         self, events: list[tuple[float, str | None]]
     ) -> Iterator[tuple[float, str | None]]:
-        changes: list[tuple[float, int, Fate, tuple[_Gateway, ...], bool]] = []
-        for number, fate in enumerate(self.load.fates):
-            struck = self._struck_by(fate)
-            heapq.heappush(changes, (fate.at, number, fate, struck, True))
-            heapq.heappush(changes, (fate.at + fate.for_s, number, fate, struck, False))
+        changes: list[tuple[float, int, Fault, tuple[_Gateway, ...], bool]] = []
+        for number, fault in enumerate(self.load.faults):
+            affected = self._draw_affected(fault)
+            heapq.heappush(changes, (fault.at, number, fault, affected, True))
+            heapq.heappush(changes, (fault.at + fault.for_s, number, fault, affected, False))
         for at, tenant in events:
             while changes and changes[0][0] <= at:
-                when, _, fate, struck, begins = heapq.heappop(changes)
-                self.clock.now = self._began + when
-                self._strike(fate, struck, begins)
+                when, _, fault, affected, begins = heapq.heappop(changes)
+                self.clock.now = self._started_at + when
+                self._apply_fault(fault, affected, begins)
             yield at, tenant
 
-    def _struck_by(self, fate: Fate) -> tuple[_Gateway, ...]:
+    def _draw_affected(self, fault: Fault) -> tuple[_Gateway, ...]:
         drawn = list(self.gateways)
         self._random.shuffle(drawn)
-        if fate.with_granter:
+        if fault.with_granter:
             # Gateways 0 and 1 have more processor time and so are granters; the others are random.
             drawn.sort(key=lambda one: one.index not in (0, 1))
-        return tuple(drawn[: max(1, round(fate.share * len(drawn)))])
+        return tuple(drawn[: max(1, round(fault.share * len(drawn)))])
 
-    def _strike(self, fate: Fate, struck: tuple[_Gateway, ...], begins: bool) -> None:
-        for gateway in struck:
+    def _apply_fault(self, fault: Fault, affected: tuple[_Gateway, ...], begins: bool) -> None:
+        for gateway in affected:
             self._changed_at[gateway.index] = self.clock.now
-            if fate.kind == "cut":
+            if fault.kind == "cut":
                 gateway.cut = begins
-            elif fate.kind == "paused":
+            elif fault.kind == "paused":
                 gateway.paused = begins
             else:
                 gateway.alive = not begins
--- a/tests/test_crash_guard.py
+++ b/tests/test_crash_guard.py
@@ -28,7 +28,7 @@
 def listener(*, closes: bool) -> Iterator[Endpoint]:
     """Accept connections, and close each at once if ``closes``."""
     server = socket.create_server(("127.0.0.1", 0))
-    taken = []
+    accepted = []
 
     def accept() -> None:
         with contextlib.suppress(OSError):
@@ -37,7 +37,7 @@
                 if closes:
                     connection.close()
                 else:
-                    taken.append(connection)
+                    accepted.append(connection)
 
     threading.Thread(target=accept, daemon=True).start()
     try:
@@ -45,7 +45,7 @@
     finally:
         server.shutdown(socket.SHUT_RDWR)
         server.close()
-        for connection in taken:
+        for connection in accepted:
             connection.close()
 
 
@@ -54,23 +54,23 @@
 
     def setUp(self) -> None:
         self.records = PoisonRecords()
-        self.told = []
+        self.reported = []
         connections = ReplicaConnections(LinkFilter())
         self.addCleanup(connections.close)
-        self.guard = CrashGuard(self.records, connections, self.told.append)
+        self.guard = CrashGuard(self.records, connections, self.reported.append)
 
     def test_a_replica_that_refuses_connections_has_crashed(self) -> None:
         self.guard.note_closed("a", "replica", Endpoint("127.0.0.1", free_port()))
         self.assertEqual(1, self.records.crashes_of("a"))
-        self.assertEqual(["a"], [record.content for record in self.told])
+        self.assertEqual(["a"], [record.content for record in self.reported])
 
-    def test_a_replica_that_takes_connections_has_not(self) -> None:
+    def test_a_replica_that_accepts_connections_has_not_crashed(self) -> None:
         with listener(closes=False) as endpoint:
             self.guard.note_closed("a", "replica", endpoint)
         self.assertEqual(0, self.records.crashes_of("a"))
-        self.assertEqual([], self.told)
+        self.assertEqual([], self.reported)
 
-    def test_one_whose_connections_are_closed_at_once_has(self) -> None:
+    def test_a_replica_that_closes_new_connections_has_crashed(self) -> None:
         with listener(closes=True) as endpoint:
             self.guard.note_closed("a", "replica", endpoint)
         self.assertEqual(1, self.records.crashes_of("a"))
@@ -97,22 +97,22 @@
     def bars(self, gateway: str, content: str) -> bool:
         return self.rig.gateways[gateway]._guard.barred_for_s(content) > 0
 
-    def cut(self, name: str, peers: bool) -> None:
+    def partition(self, name: str, active: bool) -> None:
         """Partition a gateway from the others in both directions, or end the partition."""
-        cut_off = self.rig.gateways[name].network
+        network = self.rig.gateways[name].network
         for other, gateway in self.rig.gateways.items():
             if other != name:
-                blocked = {cut_off.membership.local().peer} if peers else set()
+                blocked = {network.membership.local().peer} if active else set()
                 gateway.network.client._link_filter.set_blocked(frozenset(blocked))
         others = {g.network.membership.local().peer for n, g in self.rig.gateways.items()}
-        cut_off.client._link_filter.set_blocked(frozenset(others if peers else ()))
+        network.client._link_filter.set_blocked(frozenset(others if active else ()))
 
-    def test_all_gateways_learn_at_once(self) -> None:
+    def test_crash_is_known_to_all_gateways_at_once(self) -> None:
         self.crash("gateway-0", "a")
         for name in self.rig.gateways:
             wait_until(lambda name=name: self.bars(name, "a"), f"{name} bars it", 1.0)
 
-    def test_crashes_that_different_gateways_saw_add_up(self) -> None:
+    def test_crashes_detected_by_different_gateways_add_up(self) -> None:
         for number, name in enumerate(self.rig.gateways):
             endpoint = Endpoint("127.0.0.1", free_port())
             self.rig.gateways[name]._guard.note_closed("a", f"r-{number}", endpoint)
@@ -120,22 +120,22 @@
             wait_until(lambda name=name: self.bars(name, "a"), f"{name} bars it", 1.0)
         wait_until(lambda: self.rig.store.read("quaymill-barred-requests", "a"), "the store has it")
 
-    def test_a_gateway_that_was_cut_off_learns_when_it_is_back(self) -> None:
-        self.cut("gateway-2", peers=True)
+    def test_partitioned_gateway_learns_of_crashes_afterwards(self) -> None:
+        self.partition("gateway-2", active=True)
         self.crash("gateway-0", "a")
         wait_until(lambda: self.bars("gateway-1", "a"), "gateway-1 bars it")
         self.assertFalse(self.bars("gateway-2", "a"))
-        self.cut("gateway-2", peers=False)
+        self.partition("gateway-2", active=False)
         wait_until(lambda: self.bars("gateway-2", "a"), "gateway-2 bars it", 3.0)
 
-    def test_the_store_is_told_once_it_answers_again(self) -> None:
+    def test_barred_request_is_stored_after_a_store_outage(self) -> None:
         self.rig.store.faults = FleetStoreFaults(down=True)
         self.crash("gateway-0", "a")
         wait_until(lambda: self.bars("gateway-1", "a"), "gateway-1 bars it")
         self.rig.store.faults = FleetStoreFaults()
         wait_until(lambda: self.rig.store.read("quaymill-barred-requests", "a"), "the store has it")
 
-    def test_objects_past_their_time_are_removed_and_foreign_ones_are_left_out(self) -> None:
+    def test_expired_objects_are_removed_and_foreign_ones_ignored(self) -> None:
         spec = {"incarnations": ["r"] * MAX_CRASHES, "crashed_at_ms": OLD_CRASH_MS}
         self.rig.store.put("quaymill-barred-requests", "old", spec)
         self.rig.store.put("quaymill-barred-requests", "foreign", {"incarnations": 7})
@@ -152,10 +152,10 @@
             self.assertFalse(self.bars(name, "old") or self.bars(name, "foreign"))
 
 
-class BrokenOffTest(unittest.TestCase):
+class AbortedAnswersTest(unittest.TestCase):
     """Answers that a running replica aborts do not block the request."""
 
-    def test_a_request_is_tried_on_although_its_answers_are_broken_off(self) -> None:
+    def test_request_with_aborted_answers_is_not_blocked(self) -> None:
         rig = FleetRig(gateways=1, storage=0, engines=1).start()
         self.addCleanup(rig.stop)
         for replica in rig.of_service("application"):
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -20,11 +20,11 @@
 CRASHES_ALLOWED = 3
 """Replicas that a request may crash before it is blocked."""
 RETRIES_ALLOWED = 3
-"""Runs that may start later than ``CONTACT_S`` after the third crash."""
-CONTACT_S = 3.0
+"""Runs that may start later than ``CRASH_KNOWN_AFTER_S`` after the third crash."""
+CRASH_KNOWN_AFTER_S = 3.0
 """Time within which all gateways must know of a crash."""
-BACK_AFTER_S = 0.3
-SENDINGS = 10
+REPLACED_AFTER_S = 0.3
+REPEATED_REQUESTS = 10
 SUFFIX = "crash"
 CRASHING = ReplicaBehaviour(crash_suffix=SUFFIX)
 
@@ -52,7 +52,7 @@
         self.stopping = True
         super().stop()
 
-    def crashes(self) -> int:
+    def count_crashes(self) -> int:
         """Return how many replicas have crashed."""
         return sum(replica.crashed for replica in list(self.replicas.values()))
 
@@ -63,21 +63,21 @@
         return sorted(crashing, key=lambda run: run.started_s)
 
     def late_runs(self) -> list[ReplicaRun]:
-        """Return the crashing runs that started later than ``CONTACT_S`` after the third crash."""
+        """Return the crashing runs that started after all gateways had to know of three crashes."""
         runs = self.crashing_runs()
         if len(runs) < CRASHES_ALLOWED:
             return []
         third_at = runs[CRASHES_ALLOWED - 1].started_s
-        return [run for run in runs if run.started_s > third_at + CONTACT_S]
+        return [run for run in runs if run.started_s > third_at + CRASH_KNOWN_AFTER_S]
 
-    def live(self, service: str) -> int:
+    def count_running(self, service: str) -> int:
         """Return how many replicas of a service are running."""
         return sum(not replica.crashed for replica in self.of_service(service))
 
     def _replace(self, replica: FleetReplica) -> None:
         def replace() -> None:
             self.store.remove("servers", replica.id)
-            time.sleep(BACK_AFTER_S)
+            time.sleep(REPLACED_AFTER_S)
             if not self.stopping:
                 self.add_replica(replica.service, replica.zone, replica.slots)
 
@@ -99,15 +99,19 @@
         """Send the crashing request once more; return the status."""
         service = "engine" if "stream" in path or "resumable" in path else "application"
         listed = {"engine": self.ENGINES, "application": 2}[service]
-        wait_until(lambda: self.rig.live(service) >= listed, f"all replicas of {service} serve")
+        wait_until(
+            lambda: self.rig.count_running(service) >= listed, f"all replicas of {service} serve"
+        )
         gateway = gateway or f"gateway-{number % self.GATEWAYS}"
-        wait_until(lambda: self.knows_live(gateway, service), f"{gateway} lists {service}")
+        wait_until(
+            lambda: self.lists_running_replica(gateway, service), f"{gateway} lists {service}"
+        )
         request_id = f"{path}-{number}"
         tokens = service == "engine"
         answer = self.rig.ask(gateway, f"{path}{SUFFIX}", request_id, b"one body", tokens=tokens)
         return answer.status
 
-    def knows_live(self, gateway: str, service: str) -> bool:
+    def lists_running_replica(self, gateway: str, service: str) -> bool:
         """Return whether a gateway lists a running replica."""
         table = self.rig.gateways[gateway].control._table
         listed = {replica.id for replica in table.of_service(service) if not replica.leaving}
@@ -116,27 +120,27 @@
         )
 
     def send_until_barred(self, path: str) -> int:
-        """Send until the request has crashed three replicas, then wait ``CONTACT_S``."""
+        """Send until the request has crashed three replicas, then wait ``CRASH_KNOWN_AFTER_S``."""
         number = 0
-        while self.rig.crashes() < CRASHES_ALLOWED:
+        while self.rig.count_crashes() < CRASHES_ALLOWED:
             number += 1
-            self.assertLess(number, 2 * SENDINGS, "the request is not run at all")
+            self.assertLess(number, 2 * REPEATED_REQUESTS, "the request is not run at all")
             self.send(path, number)
-        time.sleep(CONTACT_S)
+        time.sleep(CRASH_KNOWN_AFTER_S)
         return number
 
 
-class SentAgainTest(CrashCase):
+class RepeatedRequestTest(CrashCase):
     """The same request is sent repeatedly with new ids, to every gateway."""
 
     @params("/stream/", "/resumable/", "/read/", "/write/")
-    def test_three_crashes_are_remembered_by_every_gateway(self, path: str) -> None:
+    def test_request_is_blocked_by_every_gateway_after_three_crashes(self, path: str) -> None:
         sent = self.send_until_barred(path)
-        for number in range(sent + 1, sent + 1 + SENDINGS):
+        for number in range(sent + 1, sent + 1 + REPEATED_REQUESTS):
             self.send(path, number)
         self.assertLessEqual(len(self.rig.late_runs()), RETRIES_ALLOWED)
 
-    def test_what_is_not_run_is_refused_at_once_and_truly(self) -> None:
+    def test_blocked_request_is_refused_at_once_and_not_run(self) -> None:
         sent = self.send_until_barred("/write/")
         before = len(self.rig.crashing_runs())
         began = time.monotonic()
@@ -145,31 +149,31 @@
         self.assertLess(time.monotonic() - began, 1.0)
         self.assertEqual(before, len(self.rig.crashing_runs()))
 
-    def test_a_gateway_that_starts_later_knows_it(self) -> None:
+    def test_request_is_blocked_by_a_gateway_that_starts_later(self) -> None:
         sent = self.send_until_barred("/stream/")
         self.rig.start_gateway("gateway-new", "zone-a")
         self.rig.wait_ready()
-        time.sleep(CONTACT_S)
-        for number in range(sent + 1, sent + 1 + SENDINGS):
+        time.sleep(CRASH_KNOWN_AFTER_S)
+        for number in range(sent + 1, sent + 1 + REPEATED_REQUESTS):
             self.send("/stream/", number, "gateway-new")
         self.assertLessEqual(len(self.rig.late_runs()), RETRIES_ALLOWED)
 
-    def test_it_is_known_after_all_gateways_were_killed(self) -> None:
+    def test_request_is_blocked_after_all_gateways_were_killed(self) -> None:
         sent = self.send_until_barred("/stream/")
         for name in list(self.rig.gateways):
             self.rig.gateways[name].kill()
         for name in list(self.rig.gateways):
             self.rig.start_gateway(name, self.rig.settings[name].zone)
         self.rig.wait_ready()
-        time.sleep(CONTACT_S)
-        for number in range(sent + 1, sent + 1 + SENDINGS):
+        time.sleep(CRASH_KNOWN_AFTER_S)
+        for number in range(sent + 1, sent + 1 + REPEATED_REQUESTS):
             self.send("/stream/", number)
         self.assertLessEqual(len(self.rig.late_runs()), RETRIES_ALLOWED)
 
-    def test_others_that_ran_beside_it_are_served_afterwards(self) -> None:
+    def test_other_requests_are_served_afterwards(self) -> None:
         """A request with the same path and another body is another content."""
         self.send_until_barred("/stream/")
-        for number in range(SENDINGS):
+        for number in range(REPEATED_REQUESTS):
             body = f"another body {number}".encode()
             answer = self.rig.ask(
                 f"gateway-{number % 3}", "/stream/other", f"other-{number}", body, tokens=True
@@ -177,22 +181,22 @@
             self.assertEqual(200, answer.status)
 
 
-class ItemTest(CrashCase):
+class CrashingItemTest(CrashCase):
     """A job item that crashes each engine that runs it."""
 
     STORAGE = 3
 
-    def test_an_item_is_run_no_more_and_the_others_are_done(self) -> None:
+    def test_crashing_item_is_blocked_and_other_items_succeed(self) -> None:
         accepted = self.rig.submit("gateway-0", "job-crash", items=4, path_suffix="ok")
         self.assertEqual(202, accepted.status)
         accepted = self.rig.submit("gateway-0", "job-bad", items=1, path_suffix=SUFFIX)
         self.assertEqual(202, accepted.status)
-        wait_until(lambda: self.rig.crashes() >= CRASHES_ALLOWED, "three engines have ended")
+        wait_until(lambda: self.rig.count_crashes() >= CRASHES_ALLOWED, "three engines have ended")
         results = self.rig.wait_results("gateway-1", "job-crash", 4)
         expected = {item_id("job-crash", index) for index in range(4)}
         self.assertEqual(expected, {result["id"] for result in results})
         self.assertEqual(
             {whole_text(name) for name in expected}, {result["message"] for result in results}
         )
-        time.sleep(CONTACT_S + 3.0)
+        time.sleep(CRASH_KNOWN_AFTER_S + 3.0)
         self.assertLessEqual(len(self.rig.late_runs()), RETRIES_ALLOWED)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -83,7 +83,7 @@
     def kill_granter(self) -> None:
         self.servers[self.granter].stop()
 
-    def cut_granter_off(self) -> None:
+    def partition_granter(self) -> None:
         endpoint = self.members[self.granter].peer
         for number in self.others:
             self.filters[number].set_blocked(frozenset({endpoint}))
@@ -93,7 +93,7 @@
         counts: list[int] = []
         until = time.monotonic() + seconds
 
-        def ask(limiter: TenantLimiter) -> None:
+        def send(limiter: TenantLimiter) -> None:
             count = 0
             while time.monotonic() < until:
                 if limiter.admit(TENANT, tokens) is None:
@@ -104,7 +104,7 @@
             counts.append(count)
 
         workers = [
-            threading.Thread(target=ask, args=(self.limiters[number],))
+            threading.Thread(target=send, args=(self.limiters[number],))
             for number in gateways
             for _ in range(threads)
         ]
@@ -114,7 +114,7 @@
             worker.join()
         return sum(counts)
 
-    def turn_strong(self, number: int) -> None:
+    def make_strong(self, number: int) -> None:
         """Give one gateway more processor time, so that it ranks first from now on."""
         strong = msgspec.structs.replace(self.members[number], cores=4.0)
         others = tuple(one for one in self.members if one.name != strong.name)
@@ -149,22 +149,22 @@
         self.assertLessEqual(admitted, per_s * (seconds + 1.0) * 1.05)
         self.assertGreaterEqual(admitted, per_s * seconds * 0.7)
 
-    def test_slots_hold_over_all_gateways(self):
+    def test_concurrency_limit_holds_over_all_gateways(self):
         limiters = self.start(concurrency=4)
-        held = []
+        admitted_by = []
         for _ in range(4):
             for limiter in limiters.limiters:
                 if limiter.admit(TENANT, 0) is None:
-                    held.append(limiter)
-        self.assertEqual(len(held), 4)
-        held[0].release(TENANT, 0, 0)
+                    admitted_by.append(limiter)
+        self.assertEqual(len(admitted_by), 4)
+        admitted_by[0].release(TENANT, 0, 0)
         other = limiters.limiters[limiters.others[0]]
         deadline = time.monotonic() + 2.0
         while other.admit(TENANT, 0) is not None:
             self.assertLess(time.monotonic(), deadline, "the slot did not come back")
             time.sleep(0.01)
 
-    def test_refusal_says_which_limit_and_when_to_come_back(self):
+    def test_refusal_names_the_limit_and_the_retry_time(self):
         limiters = self.start(requests_per_s=0.5)
         limiter = limiters.limiters[0]
         self.assertIsNone(limiter.admit(TENANT, 0))
@@ -173,7 +173,7 @@
         self.assertIn("requests_per_s = 0.5", refusal.reason)
         self.assertAlmostEqual(refusal.retry_after_s, 2.0, delta=0.3)
 
-    def test_unused_tokens_come_back(self):
+    def test_unused_tokens_are_returned(self):
         limiters = self.start(tokens_per_s=100.0)
         for limiter in limiters.limiters * 4:
             deadline = time.monotonic() + 2.0
@@ -182,19 +182,19 @@
                 time.sleep(0.01)
             limiter.release(TENANT, 1000, 1)
 
-    def test_changed_limit_counts_at_once(self):
+    def test_changed_limit_applies_at_once(self):
         limiters = self.start(requests_per_s=5.0)
         limiters.admitted(range(GATEWAYS), 0.3)
         limiters.configure(Tenant(requests_per_s=500.0))
         self.assertGreater(limiters.admitted(range(GATEWAYS), 0.5), 100)
 
-    def test_tenant_without_limits_asks_nobody(self):
+    def test_tenant_without_limits_needs_no_granter(self):
         limiters = self.start()
-        limiters.cut_granter_off()
+        limiters.partition_granter()
         self.assertGreater(limiters.admitted(limiters.others, 0.2), 1000)
 
-    @params(("dead", Limiters.kill_granter), ("cut off", Limiters.cut_granter_off))
-    def test_without_the_granter_each_gateway_admits_its_part(self, _, fault):
+    @params(("dead", Limiters.kill_granter), ("cut off", Limiters.partition_granter))
+    def test_without_the_granter_each_gateway_admits_its_share(self, _, fault):
         limiters = self.start(requests_per_s=60.0)
         fault(limiters)
         seconds = 2.0
@@ -213,9 +213,9 @@
         self.assertLessEqual(admitted, 60.0 * 3.0 * 1.05)
         self.assertGreaterEqual(admitted, 60.0 * 2.0 * 0.7)
 
-    def test_request_is_hardly_held_up_by_a_dead_granter(self):
+    def test_only_one_request_waits_for_an_unreachable_granter(self):
         limiters = self.start(requests_per_s=1000.0)
-        limiters.cut_granter_off()
+        limiters.partition_granter()
         limiter = limiters.limiters[limiters.others[0]]
         waits = []
         for _ in range(50):
@@ -225,39 +225,41 @@
         self.assertLess(max(waits), 1.0)
         self.assertEqual(sum(wait > 0.1 for wait in waits), 1)
 
-    def test_a_granter_that_comes_takes_over_what_is_left(self):
+    def test_new_granter_takes_over_the_remaining_credits(self):
         limiters = self.start(requests_per_s=10.0)
         self.assertGreaterEqual(limiters.admitted(range(GATEWAYS), 0.5), 1)
-        limiters.turn_strong(limiters.others[0])
+        limiters.make_strong(limiters.others[0])
         admitted = limiters.admitted(range(GATEWAYS), 1.0)
         # Neither a second burst of ten, nor grants of two granters at once.
         self.assertLessEqual(admitted, 13)
         self.assertGreaterEqual(admitted, 6)
 
-    def test_the_earlier_granter_sends_askers_on(self):
+    def test_earlier_granter_refers_requests_to_the_new_one(self):
         limiters = self.start(requests_per_s=10.0)
         limiters.admitted(range(GATEWAYS), 0.2)
         strong = limiters.others[0]
-        late = limiters.others[1]
-        seen_late = limiters.memberships[late].seen
-        limiters.turn_strong(strong)
+        uninformed = limiters.others[1]
+        earlier_members = limiters.memberships[uninformed].seen
+        limiters.make_strong(strong)
         limiters.admitted([strong], 0.1)
-        limiters.memberships[late].seen = seen_late
-        admitted = limiters.admitted([strong, late], 1.0)
+        limiters.memberships[uninformed].seen = earlier_members
+        admitted = limiters.admitted([strong, uninformed], 1.0)
         self.assertLessEqual(admitted, 13)
         self.assertGreaterEqual(admitted, 6)
 
-    def test_refused_callers_are_sent_back_one_after_the_other(self):
+    def test_refused_callers_get_successive_retry_times(self):
         limiters = self.start(requests_per_s=10.0)
-        told = []
-        while len(told) < 10:
+        retry_times = []
+        while len(retry_times) < 10:
             refusal = limiters.limiters[0].admit(TENANT, 0)
             if refusal is not None:
-                told.append(time.monotonic() + refusal.retry_after_s)
-        gaps = [later - earlier for earlier, later in zip(told, told[1:], strict=False)]
+                retry_times.append(time.monotonic() + refusal.retry_after_s)
+        gaps = [
+            later - earlier for earlier, later in zip(retry_times, retry_times[1:], strict=False)
+        ]
         self.assertGreater(min(gaps), 0.08)
 
-    def test_a_request_waits_for_its_turn_at_a_granter_that_has_just_begun(self):
+    def test_request_waits_for_credits_at_a_granter_that_has_just_started(self):
         limiters = self.start(requests_per_s=10.0)
         started_at = time.monotonic()
         refusals = [limiters.limiters[0].admit(TENANT, 0) for _ in range(4)]
--- a/tests/test_tenant_limits.py
+++ b/tests/test_tenant_limits.py
@@ -14,7 +14,7 @@
 
 RATE_PER_S = 10.0
 BURST = 5.0
-FLOOD_S = 2.0
+OVERLOAD_S = 2.0
 THREADS = 6
 
 
@@ -29,7 +29,7 @@
         )
     }
 
-    def flood(self, key: str, seconds: float, pause_s: float = 0.0) -> list:
+    def send_requests(self, key: str, seconds: float, pause_s: float = 0.0) -> list:
         """Send requests as fast as they are answered; return the answers."""
         until = time.monotonic() + seconds
         answers = []
@@ -44,13 +44,16 @@
 
     def test_limit_holds_over_all_gateways_and_others_are_served(self) -> None:
         with ThreadPoolExecutor(THREADS) as executor:
-            floods = [executor.submit(self.flood, "k-flood", FLOOD_S) for _ in range(THREADS - 1)]
-            calm = executor.submit(self.flood, "k-calm", FLOOD_S, 0.2).result()
-            answers = [answer for flood in floods for answer in flood.result()]
+            overloads = [
+                executor.submit(self.send_requests, "k-flood", OVERLOAD_S)
+                for _ in range(THREADS - 1)
+            ]
+            calm = executor.submit(self.send_requests, "k-calm", OVERLOAD_S, 0.2).result()
+            answers = [answer for overload in overloads for answer in overload.result()]
         self.assertEqual({200}, {answer.status for answer in calm})
         statuses = [answer.status for answer in answers]
         self.assertEqual({200, 429}, set(statuses))
-        allowed = RATE_PER_S * FLOOD_S + BURST
+        allowed = RATE_PER_S * OVERLOAD_S + BURST
         self.assertLessEqual(statuses.count(200), 1.1 * allowed + 2)
         self.assertGreaterEqual(statuses.count(200), 0.7 * (allowed - BURST))
         ran = sum(
@@ -60,10 +63,10 @@
         )
         self.assertEqual(statuses.count(200), ran)
 
-    def test_a_refusal_tells_when_to_come_back(self) -> None:
+    def test_a_refusal_has_a_retry_time(self) -> None:
         refused = next(
             answer
-            for answer in iter(lambda: self.flood("k-flood", 0.01)[-1], None)
+            for answer in iter(lambda: self.send_requests("k-flood", 0.01)[-1], None)
             if answer.status == 429
         )
         self.assertGreater(float(refused.headers["Retry-After"]), 0.0)
@@ -71,6 +74,6 @@
         self.assertNotEqual("close", refused.headers.get("Connection", "").lower())
 
     def test_a_tenant_without_a_limit_is_never_refused(self) -> None:
-        answers = self.flood("k-free", 0.5)
+        answers = self.send_requests("k-free", 0.5)
         self.assertEqual({200}, {answer.status for answer in answers})
         self.assertGreater(len(answers), RATE_PER_S)
