--- a/tests/test_crash_guard.py
+++ b/tests/test_crash_guard.py
@@ -99,13 +99,13 @@
 
     def partition(self, name: str, active: bool) -> None:
         """Partition a gateway from the others in both directions, or end the partition."""
-        network = self.rig.gateways[name].network
+        isolated = self.rig.gateways[name].network
         for other, gateway in self.rig.gateways.items():
             if other != name:
-                blocked = {network.membership.local().peer} if active else set()
+                blocked = {isolated.membership.local().peer} if active else set()
                 gateway.network.client._link_filter.set_blocked(frozenset(blocked))
         others = {g.network.membership.local().peer for n, g in self.rig.gateways.items()}
-        network.client._link_filter.set_blocked(frozenset(others if active else ()))
+        isolated.client._link_filter.set_blocked(frozenset(others if active else ()))
 
     def test_crash_is_known_to_all_gateways_at_once(self) -> None:
         self.crash("gateway-0", "a")
