--- a/src/quaymill/process/poison/sharing.py
+++ b/src/quaymill/process/poison/sharing.py
@@ -42,7 +42,7 @@
 CATCH_UP_INTERVAL_S = 0.3
 """Time between two attempts to catch up."""
 READ_STORE_AFTER_S = 1.5
-"""Time after the start from which the store is read if no other gateway could help to catch up."""
+"""Time after the start until the store is read, if no other gateway could provide the records."""
 WRITE_RETRY_S = 1.0
 """Time between two attempts to write a barred request to the store."""
 
--- a/src/quaymill/process/replica_set/online_queue.py
+++ b/src/quaymill/process/replica_set/online_queue.py
@@ -47,7 +47,8 @@
 """Service time, as a multiple of the route's objective, that is assumed until the first answer.
 Without it, a gateway that starts after an outage would dispatch the whole backlog at once."""
 DISPATCH_DEADLINE_SERVICE_TIMES = 2.0
-"""Average service times that remain to the caller's timeout at the dispatch deadline."""
+"""Time from the dispatch deadline to the caller's timeout, as a multiple of the average service
+time."""
 DISPATCH_DEADLINE_MARGIN_S = 0.5
 """Added to that for the network round trip to the caller and one step of the engine."""
 RECHECK_INTERVAL_S = 0.25
@@ -218,8 +219,8 @@
 
         Returns
         -------
-        The replica on which the allocator granted a slot, or its refusal; ``None`` if the decision
-        was local, so that the caller has to choose a replica.
+        The replica on which the allocator granted a slot, or its refusal; ``None`` if the request
+        was dispatched without a slot, or the caller has disconnected.
         """
         now = boot_clock.now()
         with self._lock:
--- a/src/quaymill/process/replica_set/router.py
+++ b/src/quaymill/process/replica_set/router.py
@@ -129,7 +129,7 @@
     def constraints_of(
         self, service: str, prompt: Prompt = NO_PROMPT
     ) -> tuple[Replica, PlacementConstraints] | None:
-        """Return the local choice for a request that was not tried yet, and its constraints.
+        """Return the local choice for the first attempt of a request, and its constraints.
 
         Returns ``None`` if no replica is healthy.
         """
