--- a/src/quaymill/process/limits/request_credits.py
+++ b/src/quaymill/process/limits/request_credits.py
@@ -1,9 +1,9 @@
-"""What is left of one tenant's requests, as the gateway that grants them counts it.
+"""Counts the requests that the granter of a tenant may still grant.
 
-Within each window of the operator's no more is granted than the limit allows there. What others
-granted before is not handed over but told by those who use it: whoever asks tells what it had
-within the last window, and of whom. Where somebody may have granted before, what nobody has told of
-yet is covered by granting no faster than the limit's rate until a window has passed.
+Within any window, no more requests are granted than the limit allows. An earlier granter does not
+hand over its counts. Instead, each gateway that borrows reports what it was granted within the last
+window, and by which granter. If there may have been an earlier granter, grants are paced to the
+rate of the limit until a whole window has passed, as not all gateways have reported before.
 """
 
 from __future__ import annotations
@@ -26,26 +26,26 @@
 from quaymill.version.tenants import TenantLimits
 
 MAX_RETRY_AFTER_S = 5.0
-"""Longest time to come back that is told: within the patience of the callers known (5 s)."""
+"""Longest retry time that is sent to a caller; callers would time out if it were longer."""
 
 
 @attrs.frozen
-class _Told:
-    """What one gateway had of other granters, as it told at a monotonic time."""
+class _ReportedGrants:
+    """Requests granted to one gateway by other granters, as reported at a monotonic time."""
 
     at: float
     by_age: tuple[float, ...]
 
 
 class RequestCredits:
-    """One tenant's requests at its granter; guarded by its owner's lock.
+    """Requests of one tenant at its granter; not thread-safe, guarded by the lock of its owner.
 
     Parameters
     ----------
     granter
         Name of the process that grants.
     may_follow
-        Whether another may have granted within the last window.
+        Whether another process may have granted requests within the last window.
     """
 
     def __init__(
@@ -55,104 +55,105 @@
         overrun: Overrun,
         view: FleetView,
         *,
-        may_follow: bool = True,
+        may_have_predecessor: bool = True,
     ) -> None:
         self._granter = granter
         self._overrun = overrun
         self._granted = WindowCount(window_of(limits, overrun))
-        paced_s = self._granted.window_s if may_follow else 0.0
+        paced_s = self._granted.window_s if may_have_predecessor else 0.0
         self._paced_until = boot_clock.now() + paced_s
-        self._told_by_gateway: dict[str, _Told] = {}
+        self._reported_by_gateway: dict[str, _ReportedGrants] = {}
         self._pace = Bucket(
             limits.requests_per_s, limits.burst, first_balance(limits, overrun, view)
         )
         self._allowed = 0.0
-        self._turn_s = 1.0
-        self._promised_at = 0.0
-        self.follow(limits, view)
+        self._retry_interval_s = 1.0
+        self._last_retry_at = 0.0
+        self.update(limits, view)
 
     @property
     def allowed(self) -> float:
-        """Requests that may be granted within a window."""
+        """Number of requests that may be granted within a window."""
         return self._allowed
 
     @property
     def limits_window_s(self) -> float:
-        """Length of the window."""
+        """Length of the window in seconds."""
         return self._granted.window_s
 
-    def follow(self, limits: TenantLimits, view: FleetView) -> None:
-        """Go by the limits and the view of the fleet as they are now."""
+    def update(self, limits: TenantLimits, view: FleetView) -> None:
+        """Apply the current limits and view of the fleet."""
         window_s = window_of(limits, self._overrun)
         if window_s != self._granted.window_s:
             counted = self._granted.total(boot_clock.now())
             self._granted = WindowCount(window_s)
             self._granted.add(counted, boot_clock.now())
-        self._allowed = allowed_in_window(limits, self._overrun, view.part)
-        self._turn_s = window_s / self._allowed
-        self._pace.change(max(limits.requests_per_s, 1.0 / window_s), limits.burst)
+        self._allowed = allowed_in_window(limits, self._overrun, view.reachable_share)
+        self._retry_interval_s = window_s / self._allowed
+        self._pace.reconfigure(max(limits.requests_per_s, 1.0 / window_s), limits.burst)
 
-    def learn(self, gateway: str, granted: tuple[GrantedBy, ...]) -> None:
-        """Take what a gateway had of others within the last window."""
+    def record_grants(self, gateway: str, granted: tuple[GrantedBy, ...]) -> None:
+        """Record what other granters granted to a gateway within the last window."""
         others = [one.by_age for one in granted if one.granter != self._granter]
         if not others:
-            self._told_by_gateway.pop(gateway, None)
+            self._reported_by_gateway.pop(gateway, None)
             return
         by_age = tuple(sum(counts) for counts in zip(*others, strict=True))
-        self._told_by_gateway[gateway] = _Told(boot_clock.now(), by_age)
+        self._reported_by_gateway[gateway] = _ReportedGrants(boot_clock.now(), by_age)
 
     @property
     def paced(self) -> bool:
-        """Whether a request would be granted but for what others may have granted before."""
+        """Whether a request is refused only because grants are paced after a takeover."""
         now = boot_clock.now()
-        return now < self._paced_until and self._free(now) >= 1.0
+        return now < self._paced_until and self._remaining(now) >= 1.0
 
     def take_up_to(self, wanted: int) -> int:
-        """Grant as many requests as are left, at most ``wanted``."""
+        """Grant at most ``wanted`` requests; return how many were granted."""
         now = boot_clock.now()
-        taken = max(0, min(wanted, int(self._free(now))))
+        taken = max(0, min(wanted, int(self._remaining(now))))
         if now < self._paced_until:
             taken = self._pace.take_up_to(taken)
         if taken:
             self._granted.add(taken, now)
         return taken
 
-    def _free(self, now: float) -> float:
-        """Return the requests that the window has room for."""
+    def _remaining(self, now: float) -> float:
+        """Return how many requests may still be granted within the window."""
         return self._allowed - self._granted.total(now) - self._granted_by_others(now)
 
-    def next_turn_s(self) -> float:
-        """Return when a refused caller may come back: each a turn after the one before.
+    def next_retry_s(self) -> float:
+        """Return the seconds after which a refused caller may retry.
 
-        Told the same time, all that were refused would come back at once, for one credit. Those
-        for whom there is no turn soon are spread over the later half of the time.
+        Refused callers get different times, each one credit later than the one before; otherwise
+        all of them would retry at once for a single credit. Times beyond ``MAX_RETRY_AFTER_S``
+        are replaced by random ones in its second half.
         """
         now = boot_clock.now()
-        missing = max(0.0, 1.0 - self._free(now))
+        missing = max(0.0, 1.0 - self._remaining(now))
         wait_s = self._granted.wait_s(missing, now) if missing else 0.0
         if now < self._paced_until:
             wait_s = max(wait_s, self._pace.wait_s())
-        self._promised_at = max(now + wait_s, self._promised_at + self._turn_s)
-        if self._promised_at > now + MAX_RETRY_AFTER_S:
-            self._promised_at = now + MAX_RETRY_AFTER_S
+        self._last_retry_at = max(now + wait_s, self._last_retry_at + self._retry_interval_s)
+        if self._last_retry_at > now + MAX_RETRY_AFTER_S:
+            self._last_retry_at = now + MAX_RETRY_AFTER_S
             return random.uniform(MAX_RETRY_AFTER_S / 2, MAX_RETRY_AFTER_S)
-        return self._promised_at - now
+        return self._last_retry_at - now
 
     def _granted_by_others(self, now: float) -> float:
-        """Return what others granted within the window, by what gateways have told."""
-        if not self._told_by_gateway:
+        """Return the requests granted by others within the window, as reported by gateways."""
+        if not self._reported_by_gateway:
             return 0.0
         total = 0.0
         part_s = self._granted.window_s / AGE_PARTS
-        for gateway, told in list(self._told_by_gateway.items()):
-            since_s = now - told.at
+        for gateway, reported in list(self._reported_by_gateway.items()):
+            since_s = now - reported.at
             if since_s >= self._granted.window_s:
-                del self._told_by_gateway[gateway]
+                del self._reported_by_gateway[gateway]
                 continue
-            # Of each part the youngest decides: all of it counts until that is too old.
+            # A whole part counts until its newest request has left the window.
             total += sum(
                 count
-                for part, count in enumerate(told.by_age)
+                for part, count in enumerate(reported.by_age)
                 if part * part_s + since_s < self._granted.window_s
             )
         return total
--- a/src/quaymill/process/poison/sharing.py
+++ b/src/quaymill/process/poison/sharing.py
@@ -1,12 +1,11 @@
-"""Lets every gateway know which requests have crashed replicas.
-
-A crash is told to all live gateways at once. What that misses (a gateway that was cut off, stood
-still or has just started) is found by digests: each datagram of the membership tells its sender's,
-and two gateways whose digests differ exchange all they know. A gateway that starts asks others
-first, and the platform's store if none of them knows more than itself. A request that must not be
-run is kept in the store, for the case that all gateways end at once.
-
-States: unsettled (what was known before the start has not been learned), settled.
+"""Shares the records of requests that have crashed replicas among all gateways.
+
+A crash is reported to all live gateways at once. Gateways that miss the report (because they were
+partitioned, frozen or not yet started) are found by digests: each membership datagram carries the
+digest of its sender's records, and two gateways with different digests exchange all their records.
+A gateway that starts catches up first: it requests the records of other gateways, or reads the
+platform's store if no gateway that has caught up responds. Barred requests are written to the
+store, in case all gateways stop at once.
 """
 
 from __future__ import annotations
@@ -28,27 +27,28 @@
 from quaymill.process.poison.barred_store import BarredStore
 from quaymill.request.poison import PoisonRecords
 
-GATHER_S = 0.01
-"""Wait for other crashes that are told with the first: one end of a replica cuts many requests
-within some milliseconds."""
+REPORT_DELAY_S = 0.01
+"""Delay before crashes are reported, so that all requests interrupted by one crash go into a single
+message."""
 CALL_TIMEOUT_S = 0.5
-"""A gateway that does not answer within it learns by the digests."""
+"""A gateway that does not answer in time is brought up to date by the digests."""
 CALLS_AT_ONCE = 16
-"""Gateways told at the same time, one thread each: 165 are told in about ten round trips."""
+"""Gateways to which a crash is reported concurrently, with one thread each."""
 EXCHANGE_INTERVAL_S = 0.5
-"""Least time between two exchanges that this gateway begins: digests differ with many others while
-news is on its way. Six fit into the 3 s after which gateways are held to what others know."""
-ASKED_AT_START = 3
-ASK_INTERVAL_S = 0.3
-ALONE_AFTER_S = 1.5
-"""Time after the start from which on the store is asked if no other gateway could answer: in
-a fleet whose gateways know each other, the first answer is there within a second."""
-WRITE_AGAIN_S = 1.0
-"""Time between two tries to keep a request in the store."""
+"""Minimum time between two exchanges that this gateway starts, as the digests of many gateways
+differ while a report is being distributed."""
+GATEWAYS_ASKED = 3
+"""Gateways whose records are requested in each attempt to catch up."""
+CATCH_UP_INTERVAL_S = 0.3
+"""Time between two attempts to catch up."""
+READ_STORE_AFTER_S = 1.5
+"""Time after the start until the store is read, if no other gateway could provide the records."""
+WRITE_RETRY_S = 1.0
+"""Time between two attempts to write a barred request to the store."""
 
 
 class CrashSharing:
-    """Shares the records of one gateway; ``tell`` is safe to use from any thread.
+    """Shares the crash records of one gateway; ``report`` is safe to use from any thread.
 
     Parameters
     ----------
@@ -73,94 +73,94 @@
         self._other_gateways = other_gateways
         self._gateways = gateways
         self._lock = threading.Lock()
-        self._untold: dict[str, CrashRecord] = {}
-        self._unkept: set[str] = set()
+        self._unreported: dict[str, CrashRecord] = {}
+        self._unstored: set[str] = set()
         self._differing: set[str] = set()
-        self._exchange_at = 0.0
-        self._settled = False
+        self._next_exchange_at = 0.0
+        self._caught_up = False
         self._started_at = boot_clock.now()
         self._wake = threading.Event()
         self._stopping = threading.Event()
-        server.register(ShareCrashes, self._answer)
-        membership.on_crash_digest(self._take_digest)
+        server.register(ShareCrashes, self._handle_share)
+        membership.on_crash_digest(self._handle_digest)
 
     def start(self) -> None:
-        """Begin to learn and to share."""
+        """Start the thread that catches up and shares records."""
         threading.Thread(target=self._run, name="crash-sharing", daemon=True).start()
 
     def stop(self) -> None:
-        """Share nothing more."""
+        """Stop sharing records."""
         self._stopping.set()
         self._wake.set()
 
     def tell(self, record: CrashRecord) -> None:
-        """Tell all gateways of a record that a crash seen here has changed."""
+        """Report a record to all gateways, after a crash detected by this gateway."""
         with self._lock:
-            self._untold[record.content] = record
-            self._keep_if_barred(record.content, seen_here=True)
-        self._tell_digest()
+            self._unreported[record.content] = record
+            self._mark_if_barred(record.content, detected_here=True)
+        self._publish_digest()
         self._wake.set()
 
-    # From others.
+    # Messages from other gateways.
 
-    def _answer(self, message: ShareCrashes) -> KnownCrashes:
+    def _handle_share(self, message: ShareCrashes) -> KnownCrashes:
         self._merge(message.records, "told")
         records = self._records.records(boot_clock.now()) if message.wants_all else ()
-        return KnownCrashes(records, self._settled)
+        return KnownCrashes(records, self._caught_up)
 
-    def _tell_digest(self) -> None:
+    def _publish_digest(self) -> None:
         self._membership.tell_crash_digest(self._records.digest(boot_clock.now()))
 
     def _merge(self, records: tuple[CrashRecord, ...], source: str) -> None:
         changed = self._records.merge(records, boot_clock.now())
-        self._tell_digest()
+        self._publish_digest()
         if not changed:
             return
         with self._lock:
             for record in changed:
-                self._keep_if_barred(record.content, seen_here=False)
+                self._mark_if_barred(record.content, detected_here=False)
         barred = [one.content for one in changed if self._is_barred(one.content)]
         log_message("request:crashes_learned", source=source, records=len(changed), barred=barred)
         self._wake.set()
 
-    def _take_digest(self, name: str, digest: int) -> None:
-        """Note that another node's digest differs; called on the membership's own thread."""
+    def _handle_digest(self, name: str, digest: int) -> None:
+        """Remember a node whose digest differs; called on the membership's thread."""
         if digest:
             self._differing.add(name)
             self._wake.set()
 
-    # The thread.
+    # Background thread.
 
     def _run(self) -> None:
         while not self._stopping.is_set():
-            self._wake.wait(self._pause_s())
+            self._wake.wait(self._wait_s())
             self._wake.clear()
             try:
-                self._share()
-                self._settle()
-            except Exception as error:  # A bug must not end what protects the replicas.
+                self._share_records()
+                self._catch_up()
+            except Exception as error:  # An unexpected error must not end the thread.
                 log_message("request:crash_sharing_error", error=repr(error))
 
-    def _pause_s(self) -> float | None:
-        """Return after what time there is something to do without news."""
-        if not self._settled:
-            return ASK_INTERVAL_S
+    def _wait_s(self) -> float | None:
+        """Return the time until there is work without being woken; ``None`` if there is none."""
+        if not self._caught_up:
+            return CATCH_UP_INTERVAL_S
         if self._differing:
             return EXCHANGE_INTERVAL_S
-        return WRITE_AGAIN_S if self._unkept else None
+        return WRITE_RETRY_S if self._unstored else None
 
-    def _settle(self) -> None:
-        """Learn what was known before this gateway started, unless it has."""
-        if self._settled:
+    def _catch_up(self) -> None:
+        """Fetch the records from before the start of this gateway, unless that is done."""
+        if self._caught_up:
             return
-        alone = boot_clock.now() - self._started_at > ALONE_AFTER_S
-        self._settled = self._ask_others() or (alone and self._read_store())
+        may_read_store = boot_clock.now() - self._started_at > READ_STORE_AFTER_S
+        self._caught_up = self._exchange_with_some() or (may_read_store and self._read_store())
 
-    def _ask_others(self) -> bool:
-        """Ask some gateways for all they know; return whether one of them is settled."""
+    def _exchange_with_some(self) -> bool:
+        """Exchange records with some gateways; return whether one of them has caught up."""
         others = self._other_gateways()
-        asked = random.sample(others, min(ASKED_AT_START, len(others)))
-        return any([self._exchange(member) for member in asked])
+        chosen = random.sample(others, min(GATEWAYS_ASKED, len(others)))
+        return any([self._exchange(member) for member in chosen])
 
     def _read_store(self) -> bool:
         records = self._store.read()
@@ -169,15 +169,15 @@
         self._merge(records, "store")
         return True
 
-    def _share(self) -> None:
-        self._stopping.wait(GATHER_S)
-        self._tell_all()
-        self._keep_in_store()
+    def _share_records(self) -> None:
+        self._stopping.wait(REPORT_DELAY_S)
+        self._report_to_all()
+        self._write_to_store()
         self._exchange_with_one()
 
-    def _tell_all(self) -> None:
+    def _report_to_all(self) -> None:
         with self._lock:
-            records, self._untold = tuple(self._untold.values()), {}
+            records, self._unreported = tuple(self._unreported.values()), {}
         members = self._other_gateways()
         if not records or not members:
             return
@@ -201,19 +201,19 @@
     def _exchange_with_one(self) -> None:
         """Exchange all records with one gateway whose digest differs.
 
-        Those that still differ afterwards say so again with their next datagrams.
+        Gateways that still differ afterwards are reported again by their next datagrams.
         """
         now = boot_clock.now()
-        if not self._differing or now < self._exchange_at:
+        if not self._differing or now < self._next_exchange_at:
             return
-        self._exchange_at = now + EXCHANGE_INTERVAL_S
+        self._next_exchange_at = now + EXCHANGE_INTERVAL_S
         differing, self._differing = self._differing, set()
         members = [member for member in self._other_gateways() if member.name in differing]
         if members:
             self._exchange(random.choice(members))
 
     def _exchange(self, member: Member) -> bool:
-        """Exchange all records with a gateway; return whether it is settled."""
+        """Exchange all records with a gateway; return whether it has caught up."""
         records = self._records.records(boot_clock.now())
         message = ShareCrashes(records, wants_all=True)
         reply = self._client.call(member.peer, message, KnownCrashes, CALL_TIMEOUT_S)
@@ -222,28 +222,29 @@
         self._merge(reply.records, member.name)
         return reply.settled
 
-    def _keep_if_barred(self, content: str, *, seen_here: bool) -> None:
-        """Enter a content to be kept in the store; the lock is held.
+    def _mark_if_barred(self, content: str, *, detected_here: bool) -> None:
+        """Mark a content to be written to the store if it is barred; the lock is held.
 
-        Where crashes that several gateways saw add up, the one that ranks first keeps it.
+        If the crashes were detected by other gateways, only the one that ranks first for the
+        content writes it.
         """
         if not self._is_barred(content):
             return
         first = rank_nodes(content, self._gateways())[:1]
         ranks_first = bool(first) and first[0].name == self._membership.local().name
-        if seen_here or ranks_first:
-            self._unkept.add(content)
+        if detected_here or ranks_first:
+            self._unstored.add(content)
 
-    def _keep_in_store(self) -> None:
+    def _write_to_store(self) -> None:
         with self._lock:
-            unkept = set(self._unkept)
-        if not unkept:
+            unstored = set(self._unstored)
+        if not unstored:
             return
         records = {one.content: one for one in self._records.records(boot_clock.now())}
-        for content in unkept:
+        for content in unstored:
             if content not in records or self._store.write(records[content]):
                 with self._lock:
-                    self._unkept.discard(content)
+                    self._unstored.discard(content)
 
     def _is_barred(self, content: str) -> bool:
         return self._records.barred_for_s(content, boot_clock.now()) > 0
--- a/src/quaymill/process/replica_set/online_queue.py
+++ b/src/quaymill/process/replica_set/online_queue.py
@@ -1,14 +1,14 @@
-"""Holds online requests while every engine of their service is full, and lets the right one go.
+"""Queues online requests while all engines of their service are full, and dispatches them in order.
 
-An engine serves in the order of arrival. When more comes than all engines together can serve, a
-queue at the engines makes every request late, one after the other. Here a request is let go
-while it can still be in time, and those that are late already wait until a slot is free: after an
-outage the backlog does not delay what comes fresh. Nothing is held past the time that it
-needs to be served before its caller gives up.
+An engine serves requests in the order of arrival. Under overload, a queue at the engines would
+make every request late. So a request is dispatched at once only while it can still meet its latency
+target; requests that are late already wait until a slot is free, so that the backlog after an
+outage does not delay new requests. No request is queued past its dispatch deadline, which leaves
+enough time to serve it before its caller times out.
 
-Where who keeps room for the engines answers, the requests of all gateways wait in its line, which
-knows when a slot comes free; each is held here as well, and goes by what is known here if the
-keeper falls silent, and at its last call in any case.
+If the slot allocator of the engines responds, the requests of all gateways wait in its queue, as it
+knows when a slot becomes free. Each request is also queued here: if the allocator does not respond,
+it is dispatched by local decisions, and at its dispatch deadline in any case.
 """
 
 from __future__ import annotations
@@ -32,34 +32,35 @@
 from quaymill.request.replica_choice import CannotServeInTime, ChosenReplica
 from quaymill.version.request_routes import RequestRoute
 
-PATIENCE_SAMPLES = 256
-"""Requests of a route and tenant by which a fresh one's patience is told: seconds of a peak."""
-MAX_PATIENCE_KINDS = 512
-"""Routes and tenants whose callers' patience is remembered; those seen last."""
-MIN_PATIENCE_SAMPLES = 8
-"""With fewer, every request counts as fresh."""
-FRESH_QUANTILE = 0.75
-"""A fresh caller's patience among all: retries have less, and few callers have more."""
+REMAINING_TIME_SAMPLES = 256
+"""Recent requests kept for each route and tenant; covers a few seconds at peak load."""
+MAX_REMAINING_TIME_KEYS = 512
+"""Pairs of route and tenant with samples; the least recently used are dropped."""
+MIN_REMAINING_TIME_SAMPLES = 8
+"""With fewer samples, every request counts as a first attempt."""
+FIRST_ATTEMPT_QUANTILE = 0.75
+"""Quantile of the remaining times that is taken as that of a first attempt: retries have less time
+left, and few callers start with more."""
 SERVICE_TIME_WEIGHT = 0.05
-"""Weight of the newest request in the average: about twenty requests decide."""
-UNKNOWN_SERVICE_OBJECTIVES = 2.0
-"""Service time, in objectives of the route, while none has been measured: what streams took at
-full engines (0.5 to 0.8 s, docs/POLICIES.md) by their objective (0.3 s). The first answer replaces
-it; without it a gateway that starts after an outage lets the whole backlog go to the engines."""
-LAST_CALL_FACTOR = 2.0
-"""A request is let go at the latest when this many usual service times are left of its time."""
-LAST_CALL_MARGIN_S = 0.5
-"""Beside that: the way to the caller and back, and a step of the engine."""
-HELD_CHECK_S = 0.25
-"""How often a held request looks after itself; whoever lets it go wakes it sooner."""
-ASK_AGAIN_S = 1.0
-"""A request that has waited so long in a line asks again: its keeper may have started anew."""
-TOLD_HELD_S = 0.05
-"""Requests held for less are not worth a line in the log."""
+"""Weight of the newest request in the moving average of the service time."""
+ASSUMED_SERVICE_OBJECTIVES = 2.0
+"""Service time, as a multiple of the route's objective, that is assumed until the first answer.
+Without it, a gateway that starts after an outage would dispatch the whole backlog at once."""
+DISPATCH_DEADLINE_SERVICE_TIMES = 2.0
+"""Time from the dispatch deadline to the caller's timeout, as a multiple of the average service
+time."""
+DISPATCH_DEADLINE_MARGIN_S = 0.5
+"""Added to that for the network round trip to the caller and one step of the engine."""
+RECHECK_INTERVAL_S = 0.25
+"""How often a queued request rechecks whether it may be dispatched."""
+SLOT_REQUEST_INTERVAL_S = 1.0
+"""Interval at which a queued request repeats its slot request: the allocator may have restarted."""
+MIN_LOGGED_WAIT_S = 0.05
+"""Shorter waits are not logged."""
 
 
 class Queued(enum.Enum):
-    """The request has its place in the keeper's line."""
+    """The request waits in the slot allocator's queue."""
 
     QUEUED = enum.auto()
 
@@ -69,127 +70,143 @@
 RequestSlot = Callable[
     [str, ForwardedRequest, QueueTerms], Replica | Queued | CannotServeInTime | None
 ]
-"""Asks who keeps room for a place now or in line; ``None`` if it does not answer or has none."""
+"""Requests a slot, or a place in the queue, from the slot allocator; returns ``None`` if it does
+not respond or cannot grant a slot."""
 
 
 class DecidedBy(enum.Enum):
-    """Who let a held request go."""
+    """Who decided that a queued request is dispatched; the values appear in the log."""
 
-    LINE = "line"
-    OWN = "own"
-    LAST_CALL = "last call"
-    NOBODY = "nobody"
+    ALLOCATOR = "line"
+    LOCAL = "own"
+    DISPATCH_DEADLINE = "last call"
+    UNDECIDED = "nobody"
 
 
-def _no_line(service: str, request: ForwardedRequest, terms: QueueTerms) -> None:
-    """Stand for: there is no line."""
+def _no_allocator(service: str, request: ForwardedRequest, terms: QueueTerms) -> None:
+    """Act as if there were no slot allocator."""
 
 
 @attrs.define(eq=False)
-class _Held:
-    """A request that waits for its turn.
+class _QueuedRequest:
+    """A request that waits to be dispatched. All times are monotonic.
 
     Attributes
     ----------
-    came_at
-        Monotonic time.
+    arrived_at
+        When it was queued.
     target_at
-        When its first event is late.
+        Latency target: after this time its first event is late.
     dispatch_by
-        When it is let go in any case.
+        Dispatch deadline: when it is dispatched in any case.
     rank
-        0 goes first.
+        Priority; 0 is dispatched first.
     age_s
-        For how long its caller has tried before.
+        Estimated time since the first attempt of its caller.
     ticket
-        Names it in the keeper's line.
+        Identifies it in the allocator's queue.
     asked_at
-        When it asked the keeper last; monotonic.
-    in_line
-        Whether it waits in the keeper's line: then it goes by itself at its last call only.
-    lined_up
-        Whether it ever had a place there.
+        When a slot was last requested from the allocator.
+    in_allocator_queue
+        Whether it waits in the allocator's queue. The local queue then dispatches it only at its
+        dispatch deadline.
+    was_in_allocator_queue
+        Whether it has ever been there.
     answer
-        What its turn came with.
+        The replica on which a slot was granted, or the refusal.
+    wait_ended
+        Set when it is dispatched or refused, or its caller has disconnected.
     """
 
-    came_at: float
+    arrived_at: float
     target_at: float
     dispatch_by: float
     rank: int
     age_s: float = 0.0
     ticket: str = ""
     asked_at: float = 0.0
-    in_line: bool = False
-    lined_up: bool = False
+    in_allocator_queue: bool = False
+    was_in_allocator_queue: bool = False
     answer: ChosenReplica | CannotServeInTime | None = None
-    decided_by: DecidedBy = DecidedBy.NOBODY
-    released: threading.Event = attrs.field(factory=threading.Event)
+    decided_by: DecidedBy = DecidedBy.UNDECIDED
+    wait_ended: threading.Event = attrs.field(factory=threading.Event)
 
-    def release(
+    def end_wait(
         self, decided_by: DecidedBy, answer: ChosenReplica | CannotServeInTime | None = None
     ) -> None:
-        """Let it go; the queue's lock is held."""
+        """End its wait; the queue's lock is held."""
         self.decided_by = decided_by
         self.answer = answer
-        self.released.set()
+        self.wait_ended.set()
 
 
 class _ServiceQueue:
-    """What waits for one service, and how long it serves a request; guarded by the queue's lock."""
+    """Queued requests and service times of one service; guarded by the lock of ``OnlineQueue``.
+
+    Attributes
+    ----------
+    service_s
+        Moving average of the measured service times; 0 before the first answer.
+    first_byte_s
+        Time from the start of service to the first byte.
+    """
 
     def __init__(self) -> None:
-        self.held: list[_Held] = []
+        self.requests: list[_QueuedRequest] = []
         self.service_s = 0.0
         self.assumed_service_s = 0.0
         self.first_byte_s = 0.0
 
     @property
     def usual_service_s(self) -> float:
-        """How long a request is served: measured, or assumed before the first answer."""
+        """Average service time of a request; an assumed one before the first answer."""
         return self.service_s or self.assumed_service_s
 
 
 class OnlineQueue:
-    """The queues of one gateway; safe to use from any thread.
+    """The queues of one gateway, one for each service; safe to use from any thread.
 
-    Services whose engines' loads are not known from their keeper have no queue.
+    Local decisions need recent loads of all healthy replicas from the slot allocator; without them
+    every request is dispatched at once.
 
     Parameters
     ----------
-    ask
-        Puts a request to who keeps room for its engines.
+    request_slot
+        Requests a slot from the slot allocator.
     process_name
-        Of this start of the gateway.
-    give_back
-        Hears of a place that was given and is not used.
-    depart
-        Hears of a request, by its service and ticket, that waits in the keeper's line no more.
+        Name of this gateway process; differs after a restart.
+    release_slot
+        Called with a replica whose granted slot is not used.
+    on_left_queue
+        Called with the service and ticket of a request that leaves the allocator's queue before
+        the allocator has granted or refused it a slot.
     """
 
     def __init__(
         self,
         table: ReplicaTable,
-        ask: RequestSlot = _no_line,
+        request_slot: RequestSlot = _no_allocator,
         process_name: str = "",
-        give_back: Callable[[ChosenReplica], None] = lambda replica: None,
-        depart: Callable[[str, str], None] = lambda service, ticket: None,
+        release_slot: Callable[[ChosenReplica], None] = lambda replica: None,
+        on_left_queue: Callable[[str, str], None] = lambda service, ticket: None,
     ) -> None:
         self._table = table
-        self._ask = ask
+        self._ask = request_slot
         self._process_name = process_name
-        self._give_back = give_back
-        self._depart = depart
+        self._release_slot = release_slot
+        self._on_left_queue = on_left_queue
         self._tickets = itertools.count()
-        self._held_by_ticket: dict[str, _Held] = {}
+        self._held_by_ticket: dict[str, _QueuedRequest] = {}
         self._lock = threading.Lock()
-        self._by_service: dict[str, _ServiceQueue] = {}
-        self._patience_by_kind: OrderedDict[tuple[str, str | None], deque[float]] = OrderedDict()
+        self._queues_by_service: dict[str, _ServiceQueue] = {}
+        self._remaining_times_by_key: OrderedDict[tuple[str, str | None], deque[float]] = (
+            OrderedDict()
+        )
 
     @property
     def held(self) -> int:
-        """Requests that are held now."""
-        return sum(len(queue.held) for queue in self._by_service.values())
+        """Number of requests that wait now."""
+        return sum(len(queue.requests) for queue in self._queues_by_service.values())
 
     def wait_for_slot(
         self,
@@ -198,221 +215,240 @@
         request: ForwardedRequest,
         presence: CallerPresence,
     ) -> ChosenReplica | CannotServeInTime | None:
-        """Return when a request may go to a replica, or its caller has left.
+        """Wait until a request may be dispatched or its caller has disconnected.
 
-        Returns the replica that it got from the keeper's line, if it waited there.
+        Returns
+        -------
+        The replica on which the allocator granted a slot, or its refusal; ``None`` if the request
+        was dispatched without a slot, or the caller has disconnected.
         """
         now = boot_clock.now()
         with self._lock:
-            queue = self._by_service.setdefault(service, _ServiceQueue())
+            queue = self._queues_by_service.setdefault(service, _ServiceQueue())
             if not queue.service_s:
-                queue.assumed_service_s = UNKNOWN_SERVICE_OBJECTIVES * route.objective_s
-            held = self._enter(queue, route, request, now)
-            self._held_by_ticket[held.ticket] = held
+                queue.assumed_service_s = ASSUMED_SERVICE_OBJECTIVES * route.objective_s
+            queued = self._create_queued_request(queue, route, request, now)
+            self._held_by_ticket[queued.ticket] = queued
         try:
-            self._ask_keeper(service, queue, held, request)
+            self._ask_allocator(service, queue, queued, request)
             with self._lock:
-                if held.released.is_set():
-                    return held.answer
-                if not queue.held and self._may_go(service, queue, held, now, 0):
-                    # A keeper that answered too late may give it a turn yet.
-                    held.release(DecidedBy.OWN)
+                if queued.wait_ended.is_set():
+                    return queued.answer
+                if not queue.requests and self._may_go(service, queue, queued, now, 0):
+                    # Ends the wait, so that a late grant of the allocator is not accepted.
+                    queued.end_wait(DecidedBy.LOCAL)
                     return None
-                queue.held.append(held)
-                # It may go before those that are held: they may all be late already.
-                self._release(service, queue, now)
-            self._hold(service, queue, held, request, presence)
+                queue.requests.append(queued)
+                # It may be dispatched before the others, as these may all be late already.
+                self._dispatch_ready(service, queue, now)
+            self._wait(service, queue, queued, request, presence)
         finally:
             with self._lock:
-                del self._held_by_ticket[held.ticket]
-                if held in queue.held:
-                    queue.held.remove(held)
-            if held.lined_up and held.decided_by is not DecidedBy.LINE:
-                self._depart(service, held.ticket)
+                del self._held_by_ticket[queued.ticket]
+                if queued in queue.requests:
+                    queue.requests.remove(queued)
+            if queued.was_in_allocator_queue and queued.decided_by is not DecidedBy.ALLOCATOR:
+                self._on_left_queue(service, queued.ticket)
         held_s = boot_clock.now() - now
-        if held_s >= TOLD_HELD_S:
+        if held_s >= MIN_LOGGED_WAIT_S:
             log_message(
                 "request:held",
                 request_id=request.id,
                 service=service,
                 held_s=round(held_s, 3),
-                late=boot_clock.now() > held.target_at,
-                waiting=len(queue.held),
+                late=boot_clock.now() > queued.target_at,
+                waiting=len(queue.requests),
                 service_s=round(queue.usual_service_s, 3),
-                decided_by=held.decided_by.value,
-                rank=held.rank,
-                age_s=round(held.age_s, 3),
+                decided_by=queued.decided_by.value,
+                rank=queued.rank,
+                age_s=round(queued.age_s, 3),
             )
-        return held.answer
+        return queued.answer
 
-    def _hold(
+    def _wait(
         self,
         service: str,
         queue: _ServiceQueue,
-        held: _Held,
+        queued: _QueuedRequest,
         request: ForwardedRequest,
         presence: CallerPresence,
     ) -> None:
-        """Wait until a request is let go, or its caller has left."""
-        presence.attach(held.released.set)
+        """Wait until a request is dispatched or refused, or its caller has disconnected."""
+        presence.attach(queued.wait_ended.set)
         try:
-            while not held.released.wait(HELD_CHECK_S) and not presence.gone:
-                if boot_clock.now() - held.asked_at >= ASK_AGAIN_S or not held.in_line:
-                    self._ask_keeper(service, queue, held, request)
+            while not queued.wait_ended.wait(RECHECK_INTERVAL_S) and not presence.gone:
+                if (
+                    boot_clock.now() - queued.asked_at >= SLOT_REQUEST_INTERVAL_S
+                    or not queued.in_allocator_queue
+                ):
+                    self._ask_allocator(service, queue, queued, request)
                 self.recheck()
         finally:
             presence.detach()
 
-    def _ask_keeper(
-        self, service: str, queue: _ServiceQueue, held: _Held, request: ForwardedRequest
+    def _ask_allocator(
+        self, service: str, queue: _ServiceQueue, queued: _QueuedRequest, request: ForwardedRequest
     ) -> None:
-        """Ask the keeper, and let the request go if it need not wait in line."""
-        answer = self._ask_line(service, queue, held, request)
+        """Request a slot from the allocator, and end the wait if it was granted or refused."""
+        answer = self._call_allocator(service, queue, queued, request)
         if answer is None:
             return
         with self._lock:
-            was_released = held.released.is_set()
-            if not was_released:
-                held.release(DecidedBy.LINE, answer)
-        if was_released and not isinstance(answer, CannotServeInTime):
-            self._give_back(answer)
-
-    def _ask_line(
-        self, service: str, queue: _ServiceQueue, held: _Held, request: ForwardedRequest
+            had_ended = queued.wait_ended.is_set()
+            if not had_ended:
+                queued.end_wait(DecidedBy.ALLOCATOR, answer)
+        if had_ended and not isinstance(answer, CannotServeInTime):
+            self._release_slot(answer)
+
+    def _call_allocator(
+        self, service: str, queue: _ServiceQueue, queued: _QueuedRequest, request: ForwardedRequest
     ) -> ChosenReplica | CannotServeInTime | None:
-        """Ask the keeper; ``None`` if the request waits, in its line or else here."""
+        """Request a slot from the allocator; return ``None`` if the request has to wait."""
         now = boot_clock.now()
         with self._lock:
-            held.asked_at = now
-            # Turns may come before this call returns.
-            held.in_line = True
+            queued.asked_at = now
+            # A grant may arrive before this call returns.
+            queued.in_allocator_queue = True
             terms = QueueTerms(
-                ticket=held.ticket,
+                ticket=queued.ticket,
                 process=self._process_name,
                 tenant=request.tenant,
-                rank=held.rank,
-                waited_s=now - held.came_at,
-                target_in_s=held.target_at - now,
-                dispatch_by_s=held.dispatch_by - now,
+                rank=queued.rank,
+                waited_s=now - queued.arrived_at,
+                target_in_s=queued.target_at - now,
+                dispatch_by_s=queued.dispatch_by - now,
                 left_s=request.deadline.remaining_s(),
                 service_s=queue.usual_service_s,
                 first_byte_s=queue.first_byte_s,
             )
         answer = self._ask(service, request, terms)
         with self._lock:
-            held.in_line = answer is QUEUED
-            held.lined_up = held.lined_up or held.in_line
+            queued.in_allocator_queue = answer is QUEUED
+            queued.was_in_allocator_queue = (
+                queued.was_in_allocator_queue or queued.in_allocator_queue
+            )
         return None if answer is QUEUED else answer
 
     def accept_grant(self, ticket: str, replica_id: str) -> bool:
-        """Let a request go whose turn in the keeper's line has come; returns whether it goes."""
+        """Dispatch a request that was granted a slot; return whether the grant is accepted."""
         with self._lock:
-            held = self._held_by_ticket.get(ticket)
-            if held is None or held.released.is_set():
+            queued = self._held_by_ticket.get(ticket)
+            if queued is None or queued.wait_ended.is_set():
                 return False
             replica = self._table.get(replica_id)
             if replica is None or replica.leaving:
-                held.in_line = False
+                queued.in_allocator_queue = False
                 return False
-            held.release(DecidedBy.LINE, replica)
+            queued.end_wait(DecidedBy.ALLOCATOR, replica)
             return True
 
     def leave_allocator_queue(self) -> None:
-        """Let what waits in the keeper's line go by what is known here: the keeper is silent."""
+        """Dispatch all requests by local decisions, as the allocator does not respond."""
         with self._lock:
-            for held in self._held_by_ticket.values():
-                held.in_line = False
+            for queued in self._held_by_ticket.values():
+                queued.in_allocator_queue = False
         self.recheck()
 
     def give_back(self, replica: ChosenReplica) -> None:
-        """Note that a place which came with a turn is not used."""
-        self._give_back(replica)
+        """Release a slot that was granted and is not used."""
+        self._release_slot(replica)
 
     def record(self, service: str, took_s: float, first_byte_s: float) -> None:
-        """Note how long a replica served a request, and look who may go now."""
+        """Record the service times of a request, and dispatch the requests that may go now."""
         with self._lock:
-            queue = self._by_service.setdefault(service, _ServiceQueue())
-            queue.service_s = _averaged(queue.service_s, took_s)
+            queue = self._queues_by_service.setdefault(service, _ServiceQueue())
+            queue.service_s = _moving_average(queue.service_s, took_s)
             queue.first_byte_s = first_byte_s
         self.recheck()
 
     def recheck(self) -> None:
-        """Let go whoever may go now: loads have changed, or time has passed."""
+        """Dispatch the requests that may go now, after loads have changed or time has passed."""
         now = boot_clock.now()
         with self._lock:
-            for service, queue in self._by_service.items():
-                if queue.held:
-                    self._release(service, queue, now)
+            for service, queue in self._queues_by_service.items():
+                if queue.requests:
+                    self._dispatch_ready(service, queue, now)
 
-    def _release(self, service: str, queue: _ServiceQueue, now: float) -> None:
-        """Let go from one queue whatever may go, in the order of turns."""
+    def _dispatch_ready(self, service: str, queue: _ServiceQueue, now: float) -> None:
+        """Dispatch the requests of one queue that may go now, in dispatch order."""
         first_byte_s = queue.first_byte_s
         ordered = sorted(
-            (held for held in queue.held if not held.released.is_set()),
-            key=lambda held: dispatch_order(
-                held.target_at, held.rank, held.came_at, first_byte_s, now
+            (queued for queued in queue.requests if not queued.wait_ended.is_set()),
+            key=lambda queued: dispatch_order(
+                queued.target_at, queued.rank, queued.arrived_at, first_byte_s, now
             ),
         )
-        going = 0
-        for held in ordered:
-            if self._may_go(service, queue, held, now, going):
-                going += 1
-                queue.held.remove(held)
-                last_call = now >= held.dispatch_by
-                held.release(DecidedBy.LAST_CALL if last_call else DecidedBy.OWN)
+        dispatched = 0
+        for queued in ordered:
+            if self._may_go(service, queue, queued, now, dispatched):
+                dispatched += 1
+                queue.requests.remove(queued)
+                deadline_passed = now >= queued.dispatch_by
+                queued.end_wait(DecidedBy.DISPATCH_DEADLINE if deadline_passed else DecidedBy.LOCAL)
 
     def _may_go(
-        self, service: str, queue: _ServiceQueue, held: _Held, now: float, going: int
+        self,
+        service: str,
+        queue: _ServiceQueue,
+        queued: _QueuedRequest,
+        now: float,
+        dispatched: int,
     ) -> bool:
-        """Return whether a request may go, with ``going`` others let go just now."""
-        if now >= held.dispatch_by:
+        """Return whether a request may be dispatched, after ``dispatched`` others in this pass."""
+        if now >= queued.dispatch_by:
             return True
-        if held.in_line:
+        if queued.in_allocator_queue:
             return False
         best = self._least_loaded(service)
         if best is None:
             return True
         engine = EngineState(
-            best.load() + going, best.slots, queue.usual_service_s, queue.first_byte_s
+            best.load() + dispatched, best.slots, queue.usual_service_s, queue.first_byte_s
         )
-        return may_dispatch(engine, held.target_at, now)
+        return may_dispatch(engine, queued.target_at, now)
 
     def _least_loaded(self, service: str) -> Replica | None:
-        """Return the least loaded sound replica; ``None`` unless all loads are known."""
-        sound = [
+        """Return the least loaded healthy replica; ``None`` unless all loads are known."""
+        healthy = [
             replica
             for replica in self._table.of_service(service)
             if not replica.leaving and not replica.avoided
         ]
-        if not sound or not all(replica.has_pool_view for replica in sound):
+        if not healthy or not all(replica.has_pool_view for replica in healthy):
             return None
-        return min(sound, key=Replica.load)
+        return min(healthy, key=Replica.load)
 
-    def _enter(
+    def _create_queued_request(
         self, queue: _ServiceQueue, route: RequestRoute, request: ForwardedRequest, now: float
-    ) -> _Held:
-        """Tell how old a request is from what is left of its caller's patience.
+    ) -> _QueuedRequest:
+        """Return the queue entry of a request, with the estimated age of its first attempt.
 
-        Callers tell how long they wait yet, and the objective counts from their first attempt:
-        who has less patience than a fresh caller of the route has tried before. Tenants' callers
-        are compared among themselves: they need not be alike.
+        The objective counts from the first attempt of a caller, but requests carry only the time
+        that remains to the caller's timeout. A request with less time than a first attempt of the
+        same route and tenant is taken as a retry; the difference is its age.
         """
         left_s = request.deadline.remaining_s()
-        kind = (route.name, request.tenant)
-        samples = self._patience_by_kind.setdefault(kind, deque(maxlen=PATIENCE_SAMPLES))
-        self._patience_by_kind.move_to_end(kind)
-        if len(self._patience_by_kind) > MAX_PATIENCE_KINDS:
-            self._patience_by_kind.popitem(last=False)
+        sample_key = (route.name, request.tenant)
+        samples = self._remaining_times_by_key.setdefault(
+            sample_key, deque(maxlen=REMAINING_TIME_SAMPLES)
+        )
+        self._remaining_times_by_key.move_to_end(sample_key)
+        if len(self._remaining_times_by_key) > MAX_REMAINING_TIME_KEYS:
+            self._remaining_times_by_key.popitem(last=False)
         samples.append(left_s)
         age_s = 0.0
-        if len(samples) >= MIN_PATIENCE_SAMPLES:
-            fresh_s = sorted(samples)[int(FRESH_QUANTILE * (len(samples) - 1))]
-            age_s = max(0.0, fresh_s - left_s)
-        needs_s = LAST_CALL_FACTOR * queue.usual_service_s + LAST_CALL_MARGIN_S
+        if len(samples) >= MIN_REMAINING_TIME_SAMPLES:
+            first_attempt_s = sorted(samples)[int(FIRST_ATTEMPT_QUANTILE * (len(samples) - 1))]
+            age_s = max(0.0, first_attempt_s - left_s)
+        reserved_s = (
+            DISPATCH_DEADLINE_SERVICE_TIMES * queue.usual_service_s + DISPATCH_DEADLINE_MARGIN_S
+        )
         target_at = now + route.objective_s - age_s
         ticket = f"{self._process_name}/{next(self._tickets)}"
-        return _Held(now, target_at, now + left_s - needs_s, request.priority, age_s, ticket)
+        return _QueuedRequest(
+            now, target_at, now + left_s - reserved_s, request.priority, age_s, ticket
+        )
 
 
-def _averaged(average: float, newest: float) -> float:
+def _moving_average(average: float, newest: float) -> float:
     return newest if not average else average + SERVICE_TIME_WEIGHT * (newest - average)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -1,14 +1,7 @@
-"""A request that ends each replica that begins to run it is not run on and on.
+"""A request that crashes each replica that runs it is blocked at all gateways.
 
-What users saw: within a second all replicas of a model ended, again and again, for a minute and
-more; a third of the questions at the counter failed meanwhile. One caller sent one request again
-and again, to whatever gateway. At each replica it got the head of an answer, and the replica
-ended with all that it was running; the gateway answered 502, and the next gateway ran the request
-as if it had never been seen.
-
-Cause: what a failure taught was kept with the replica, never with the request. The lines of
-attempts showed it: one content, a new request id each time, an attempt at each of the replicas
-that ended, and no line by which a gateway had decided anything about the content.
+Guards against a caller that sends such a request repeatedly, with new ids and to any gateway, and
+so crashes all replicas of a service.
 """
 
 from __future__ import annotations
@@ -25,19 +18,19 @@
 from quaymill_standins.fleet_replica import FleetReplica, ReplicaBehaviour, ReplicaRun
 
 CRASHES_ALLOWED = 3
-"""Replicas that a request may end before it is run no more."""
+"""Replicas that a request may crash before it is blocked."""
 RETRIES_ALLOWED = 3
-"""Runs that may follow later than a gateway has had time to learn of the third crash."""
-CONTACT_S = 3.0
-"""That time: as in the operators' bounds."""
-BACK_AFTER_S = 0.3
-SENDINGS = 10
+"""Runs that may start later than ``CRASH_KNOWN_AFTER_S`` after the third crash."""
+CRASH_KNOWN_AFTER_S = 3.0
+"""Time within which all gateways must know of a crash."""
+REPLACED_AFTER_S = 0.3
+REPEATED_REQUESTS = 10
 SUFFIX = "crash"
 CRASHING = ReplicaBehaviour(crash_suffix=SUFFIX)
 
 
 class CrashRig(FleetRig):
-    """A fleet whose replicas are replaced, under new ids, a moment after they ended."""
+    """A fleet whose crashed replicas are replaced after a short time, with new ids."""
 
     def __init__(self, gateways: int = 3, storage: int = 0, engines: int = 5) -> None:
         super().__init__(gateways, storage, engines)
@@ -45,7 +38,7 @@
         self._numbers = itertools.count()
 
     def add_replica(self, service: str, zone: str, slots: int = 4) -> FleetReplica:
-        """Start a replica that ends at certain requests, and list it."""
+        """Start a replica that crashes when it runs certain requests, and list it."""
         name = f"{service}-{next(self._numbers)}"
         replica = FleetReplica(name, service, zone, slots, on_crash=self._replace)
         replica.behaviour = CRASHING
@@ -55,36 +48,36 @@
         return replica
 
     def stop(self) -> None:
-        """Stop everything, and replace nothing more."""
+        """Stop the fleet and the replacement of replicas."""
         self.stopping = True
         super().stop()
 
-    def crashes(self) -> int:
-        """Return how many replicas have ended."""
+    def count_crashes(self) -> int:
+        """Return how many replicas have crashed."""
         return sum(replica.crashed for replica in list(self.replicas.values()))
 
     def crashing_runs(self) -> list[ReplicaRun]:
-        """Return the runs of the requests that end replicas, in the order of their start."""
+        """Return the runs of the requests that crash replicas, in the order of their start."""
         runs = [run for replica in list(self.replicas.values()) for run in replica.runs]
         crashing = [run for run in runs if run.target.endswith(SUFFIX)]
         return sorted(crashing, key=lambda run: run.started_s)
 
     def late_runs(self) -> list[ReplicaRun]:
-        """Return those that began when every gateway had had time to learn of three crashes."""
+        """Return the crashing runs that started after all gateways had to know of three crashes."""
         runs = self.crashing_runs()
         if len(runs) < CRASHES_ALLOWED:
             return []
         third_at = runs[CRASHES_ALLOWED - 1].started_s
-        return [run for run in runs if run.started_s > third_at + CONTACT_S]
+        return [run for run in runs if run.started_s > third_at + CRASH_KNOWN_AFTER_S]
 
-    def live(self, service: str) -> int:
-        """Return how many replicas of a service serve."""
+    def count_running(self, service: str) -> int:
+        """Return how many replicas of a service are running."""
         return sum(not replica.crashed for replica in self.of_service(service))
 
     def _replace(self, replica: FleetReplica) -> None:
         def replace() -> None:
             self.store.remove("servers", replica.id)
-            time.sleep(BACK_AFTER_S)
+            time.sleep(REPLACED_AFTER_S)
             if not self.stopping:
                 self.add_replica(replica.service, replica.zone, replica.slots)
 
@@ -92,7 +85,7 @@
 
 
 class CrashCase(unittest.TestCase):
-    """A fleet for each test."""
+    """A new fleet for each test."""
 
     GATEWAYS = 3
     STORAGE = 0
@@ -106,16 +99,20 @@
         """Send the crashing request once more; return the status."""
         service = "engine" if "stream" in path or "resumable" in path else "application"
         listed = {"engine": self.ENGINES, "application": 2}[service]
-        wait_until(lambda: self.rig.live(service) >= listed, f"all replicas of {service} serve")
+        wait_until(
+            lambda: self.rig.count_running(service) >= listed, f"all replicas of {service} serve"
+        )
         gateway = gateway or f"gateway-{number % self.GATEWAYS}"
-        wait_until(lambda: self.knows_live(gateway, service), f"{gateway} lists {service}")
+        wait_until(
+            lambda: self.lists_running_replica(gateway, service), f"{gateway} lists {service}"
+        )
         request_id = f"{path}-{number}"
         tokens = service == "engine"
         answer = self.rig.ask(gateway, f"{path}{SUFFIX}", request_id, b"one body", tokens=tokens)
         return answer.status
 
-    def knows_live(self, gateway: str, service: str) -> bool:
-        """Return whether a gateway lists a replica that serves."""
+    def lists_running_replica(self, gateway: str, service: str) -> bool:
+        """Return whether a gateway lists a running replica."""
         table = self.rig.gateways[gateway].control._table
         listed = {replica.id for replica in table.of_service(service) if not replica.leaving}
         return any(
@@ -123,27 +120,27 @@
         )
 
     def send_until_barred(self, path: str) -> int:
-        """Send until the request has crashed three replicas and time to learn it has passed."""
+        """Send until the request has crashed three replicas, then wait ``CRASH_KNOWN_AFTER_S``."""
         number = 0
-        while self.rig.crashes() < CRASHES_ALLOWED:
+        while self.rig.count_crashes() < CRASHES_ALLOWED:
             number += 1
-            self.assertLess(number, 2 * SENDINGS, "the request is not run at all")
+            self.assertLess(number, 2 * REPEATED_REQUESTS, "the request is not run at all")
             self.send(path, number)
-        time.sleep(CONTACT_S)
+        time.sleep(CRASH_KNOWN_AFTER_S)
         return number
 
 
-class SentAgainTest(CrashCase):
-    """The same request comes again, under new ids, at every gateway."""
+class RepeatedRequestTest(CrashCase):
+    """The same request is sent repeatedly with new ids, to every gateway."""
 
     @params("/stream/", "/resumable/", "/read/", "/write/")
-    def test_three_crashes_are_remembered_by_every_gateway(self, path: str) -> None:
+    def test_request_is_blocked_by_every_gateway_after_three_crashes(self, path: str) -> None:
         sent = self.send_until_barred(path)
-        for number in range(sent + 1, sent + 1 + SENDINGS):
+        for number in range(sent + 1, sent + 1 + REPEATED_REQUESTS):
             self.send(path, number)
         self.assertLessEqual(len(self.rig.late_runs()), RETRIES_ALLOWED)
 
-    def test_what_is_not_run_is_refused_at_once_and_truly(self) -> None:
+    def test_blocked_request_is_refused_at_once_and_not_run(self) -> None:
         sent = self.send_until_barred("/write/")
         before = len(self.rig.crashing_runs())
         began = time.monotonic()
@@ -152,31 +149,31 @@
         self.assertLess(time.monotonic() - began, 1.0)
         self.assertEqual(before, len(self.rig.crashing_runs()))
 
-    def test_a_gateway_that_starts_later_knows_it(self) -> None:
+    def test_request_is_blocked_by_a_gateway_that_starts_later(self) -> None:
         sent = self.send_until_barred("/stream/")
         self.rig.start_gateway("gateway-new", "zone-a")
         self.rig.wait_ready()
-        time.sleep(CONTACT_S)
-        for number in range(sent + 1, sent + 1 + SENDINGS):
+        time.sleep(CRASH_KNOWN_AFTER_S)
+        for number in range(sent + 1, sent + 1 + REPEATED_REQUESTS):
             self.send("/stream/", number, "gateway-new")
         self.assertLessEqual(len(self.rig.late_runs()), RETRIES_ALLOWED)
 
-    def test_it_is_known_after_all_gateways_were_killed(self) -> None:
+    def test_request_is_blocked_after_all_gateways_were_killed(self) -> None:
         sent = self.send_until_barred("/stream/")
         for name in list(self.rig.gateways):
             self.rig.gateways[name].kill()
         for name in list(self.rig.gateways):
             self.rig.start_gateway(name, self.rig.settings[name].zone)
         self.rig.wait_ready()
-        time.sleep(CONTACT_S)
-        for number in range(sent + 1, sent + 1 + SENDINGS):
+        time.sleep(CRASH_KNOWN_AFTER_S)
+        for number in range(sent + 1, sent + 1 + REPEATED_REQUESTS):
             self.send("/stream/", number)
         self.assertLessEqual(len(self.rig.late_runs()), RETRIES_ALLOWED)
 
-    def test_others_that_ran_beside_it_are_served_afterwards(self) -> None:
-        """Another request of the same path and caller, and the same path at another body."""
+    def test_other_requests_are_served_afterwards(self) -> None:
+        """A request with the same path and another body is another content."""
         self.send_until_barred("/stream/")
-        for number in range(SENDINGS):
+        for number in range(REPEATED_REQUESTS):
             body = f"another body {number}".encode()
             answer = self.rig.ask(
                 f"gateway-{number % 3}", "/stream/other", f"other-{number}", body, tokens=True
@@ -184,22 +181,22 @@
             self.assertEqual(200, answer.status)
 
 
-class ItemTest(CrashCase):
-    """An item of a job ends each engine that begins to run it."""
+class CrashingItemTest(CrashCase):
+    """A job item that crashes each engine that runs it."""
 
     STORAGE = 3
 
-    def test_an_item_is_run_no_more_and_the_others_are_done(self) -> None:
+    def test_crashing_item_is_blocked_and_other_items_succeed(self) -> None:
         accepted = self.rig.submit("gateway-0", "job-crash", items=4, path_suffix="ok")
         self.assertEqual(202, accepted.status)
         accepted = self.rig.submit("gateway-0", "job-bad", items=1, path_suffix=SUFFIX)
         self.assertEqual(202, accepted.status)
-        wait_until(lambda: self.rig.crashes() >= CRASHES_ALLOWED, "three engines have ended")
+        wait_until(lambda: self.rig.count_crashes() >= CRASHES_ALLOWED, "three engines have ended")
         results = self.rig.wait_results("gateway-1", "job-crash", 4)
         expected = {item_id("job-crash", index) for index in range(4)}
         self.assertEqual(expected, {result["id"] for result in results})
         self.assertEqual(
             {whole_text(name) for name in expected}, {result["message"] for result in results}
         )
-        time.sleep(CONTACT_S + 3.0)
+        time.sleep(CRASH_KNOWN_AFTER_S + 3.0)
         self.assertLessEqual(len(self.rig.late_runs()), RETRIES_ALLOWED)
--- a/tests/uneven_player.py
+++ b/tests/uneven_player.py
@@ -1,9 +1,9 @@
-"""Plays requests against replicas that are not equally quick, in virtual time.
+"""Simulates requests to replicas with different speeds, in virtual time.
 
-A replica works on as many requests as it has slots, the rest wait in the order of arrival. Some are
-always slower, and each of them for a part of every period. Gateways count the requests in flight
-and hear of the slowness with the heads of answers: at once, or through the keeper of the pool.
-Which replica gets a request is decided by the product's own function.
+A replica serves as many requests as it has slots; the rest wait in the order of arrival. Some
+replicas are always slower, and each replica is slow for a part of every period. Gateways count the
+requests in flight, and receive the slowness with the heads of answers: directly, or through the
+slot allocator of the pool. Replicas are chosen by ``least_costly``.
 """
 
 from __future__ import annotations
@@ -23,32 +23,31 @@
 from quaymill.process.replica_set.replica import Replica
 from quaymill.process.replica_set.replica_cost import least_costly
 
-OWN_ZONE_ROUND_TRIP_S = 0.0004
-LAST_SPELL_S = 10.0
+LOCAL_ZONE_ROUND_TRIP_S = 0.0004
+EXTRA_SLOW_PERIODS_S = 10.0
 
 
 @attrs.frozen
 class UnevenLoad:
-    """A load, and the replicas before which it comes.
+    """Load parameters and the replicas that serve the load.
 
     Attributes
     ----------
     paces
-        How many times as long as usual work takes at each replica, all the time.
+        Permanent slowness of each replica: duration of work as a multiple of the usual duration.
     zones
-        Zones of the replicas, by turns.
+        Zones to which the replicas are assigned in turn.
     callers
-        Part of the requests that comes in each zone.
+        Share of the requests that arrives in each zone.
     high_per_s, low_per_s
-        Requests a second in bursts, and between them.
+        Requests per second in bursts, and between them.
     slow_s, period_s, slow_factor
-        How long a spell lasts in which work takes so many times as long, and the mean time from
-        one to the next.
+        Duration of slow periods, mean time between their starts, and the slowness in them.
     views
-        Gateways, each of which knows only what it has heard itself; 1 stands for a pool whose
-        keeper hears all.
-    told_after_s
-        How long after the head of an answer its word of the slowness counts.
+        Number of gateways that know only the reports they received; 1 stands for a pool whose
+        slot allocator receives all reports.
+    report_delay_s
+        Delay from the head of an answer until its slowness report is used.
     """
 
     paces: tuple[float, ...]
@@ -64,69 +63,69 @@
     period_s: float = 0.6
     slow_factor: float = 1.0
     views: int = 1
-    told_after_s: float = 0.02
+    report_delay_s: float = 0.02
     other_zone_s: float = 0.009
     length_s: float = 40.0
 
 
 @attrs.define
 class UnevenOutcome:
-    """What callers got."""
+    """Results of a simulation."""
 
     took_s: list[float] = attrs.field(factory=list)
     waited_s: list[float] = attrs.field(factory=list)
     to_other_zone: int = 0
-    needless: int = 0
-    """Requests that left a zone where a slot was free."""
+    avoidable_to_other_zone: int = 0
+    """Requests that were sent to another zone although their own had a free slot."""
 
     @property
     def mean_s(self) -> float:
         """Mean time from a request to its answer."""
         return sum(self.took_s) / len(self.took_s)
 
-    def quantile_s(self, part: float) -> float:
-        """Return the time that so large a part of the requests stays below."""
+    def quantile_s(self, fraction: float) -> float:
+        """Return the quantile of the times from a request to its answer."""
         ordered = sorted(self.took_s)
-        return ordered[min(len(ordered) - 1, int(part * len(ordered)))]
+        return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
 
 
 @attrs.define
 class _Server:
-    """A replica as it is, beside what gateways know of it."""
+    """Actual state of a replica, which gateways know only in part."""
 
     pace: float
-    spells: list[float]
-    """When each slow spell begins and ends, by turns."""
+    slow_periods: list[float]
+    """Start and end of each slow period, in turn."""
     running: int = 0
     queue: list[_Request] = attrs.field(factory=list)
 
 
 @attrs.frozen
 class _Request:
-    came_at: float
+    arrived_at: float
     zone: str
     view: int
     work_s: float
 
 
 class UnevenPlayer:
-    """One play.
+    """One simulation.
 
     Parameters
     ----------
-    tells
-        Whether replicas tell their slowness.
+    reports_slowness
+        Whether replicas report their slowness.
     """
 
-    def __init__(self, load: UnevenLoad, seed: int, *, tells: bool) -> None:
+    def __init__(self, load: UnevenLoad, seed: int, *, reports_slowness: bool) -> None:
         self._load = load
-        self._tells = tells
+        self._reports_slowness = reports_slowness
         self._random = random.Random(seed)
         self._choices = random.Random(seed + 1)
         self._now = 0.0
         self._events: list[tuple[float, int, Callable[..., None], tuple[object, ...]]] = []
         self._number = 0
-        self._servers = [_Server(pace, self._spells()) for pace in load.paces]
+        self._servers = [_Server(pace, self._draw_slow_periods()) for pace in load.paces]
         self._views = [self._replicas() for _ in range(load.views)]
         self.outcome = UnevenOutcome()
 
@@ -146,7 +145,7 @@
         ]
 
     def play(self) -> UnevenOutcome:
-        """Play the load to its end, and until what waits is served."""
+        """Simulate the load until all requests are served."""
         self._plan_arrivals()
         with mock.patch.object(boot_clock, "now", lambda: self._now):
             while self._events:
@@ -177,7 +176,7 @@
         server = self._servers[number]
         if chosen.entry.zone != request.zone:
             self.outcome.to_other_zone += 1
-            self.outcome.needless += any(
+            self.outcome.avoidable_to_other_zone += any(
                 self._servers[int(one.id)].running < self._load.slots
                 for one in replicas
                 if one.entry.zone == request.zone
@@ -190,50 +189,52 @@
     def _start(self, request: _Request, number: int) -> None:
         server = self._servers[number]
         server.running += 1
-        self.outcome.waited_s.append(self._now - request.came_at)
-        if self._tells and self._load.views == 1:
-            told = self._slowness(server, self._now)
-            self._push(self._now + self._load.told_after_s, self._tell, request.view, number, told)
+        self.outcome.waited_s.append(self._now - request.arrived_at)
+        if self._reports_slowness and self._load.views == 1:
+            slowness = self._slowness(server, self._now)
+            self._push(
+                self._now + self._load.report_delay_s, self._report, request.view, number, slowness
+            )
         self._push(self._end_of(server, request.work_s), self._end, request, number)
 
-    def _tell(self, view: int, number: int, slowness: float) -> None:
-        self._views[view][number].take_slowness(slowness, self._load.told_after_s)
+    def _report(self, view: int, number: int, slowness: float) -> None:
+        self._views[view][number].take_slowness(slowness, self._load.report_delay_s)
 
     def _end(self, request: _Request, number: int) -> None:
         server = self._servers[number]
         server.running -= 1
         replica = self._views[request.view][number]
         replica.end()
-        far = replica.entry.zone != request.zone
-        way_s = self._load.other_zone_s if far else OWN_ZONE_ROUND_TRIP_S
-        self.outcome.took_s.append(self._now - request.came_at + way_s)
+        in_other_zone = replica.entry.zone != request.zone
+        round_trip_s = self._load.other_zone_s if in_other_zone else LOCAL_ZONE_ROUND_TRIP_S
+        self.outcome.took_s.append(self._now - request.arrived_at + round_trip_s)
         if server.queue:
             self._start(server.queue.pop(0), number)
         if self._load.views > 1:
-            told = self._slowness(server, self._now) if self._tells else 1.0
+            slowness = self._slowness(server, self._now) if self._reports_slowness else 1.0
             slots = self._load.slots
-            replica.take_report(ReportedLoad(server.running, len(server.queue), slots, told))
+            replica.take_report(ReportedLoad(server.running, len(server.queue), slots, slowness))
 
-    def _spells(self) -> list[float]:
+    def _draw_slow_periods(self) -> list[float]:
         load = self._load
-        found: list[float] = []
+        slow_periods: list[float] = []
         at = self._random.random() * load.period_s
-        while load.slow_s and at < load.length_s + LAST_SPELL_S:
-            found += [at, at + load.slow_s]
+        while load.slow_s and at < load.length_s + EXTRA_SLOW_PERIODS_S:
+            slow_periods += [at, at + load.slow_s]
             at += load.slow_s + self._random.expovariate(1 / (load.period_s - load.slow_s))
-        return found
+        return slow_periods
 
     def _slowness(self, server: _Server, at: float) -> float:
-        is_slow = bisect.bisect_right(server.spells, at) % 2 == 1
+        is_slow = bisect.bisect_right(server.slow_periods, at) % 2 == 1
         return server.pace * (self._load.slow_factor if is_slow else 1.0)
 
     def _end_of(self, server: _Server, work_s: float) -> float:
-        """Return when so much work is done that begins now."""
+        """Return when work that starts now is done."""
         at = self._now
         while True:
             slowness = self._slowness(server, at)
-            change = bisect.bisect_right(server.spells, at)
-            until = server.spells[change] if change < len(server.spells) else math.inf
+            change = bisect.bisect_right(server.slow_periods, at)
+            until = server.slow_periods[change] if change < len(server.slow_periods) else math.inf
             if work_s * slowness <= until - at:
                 return at + work_s * slowness
             work_s -= (until - at) / slowness
