--- a/src/quaymill/process/jobs/allocator_calls.py
+++ b/src/quaymill/process/jobs/allocator_calls.py
@@ -29,12 +29,12 @@
 )
 from quaymill.process.jobs.slot_grants import SlotGrant
 
-ORDER_TIMEOUT_S = 0.2
+CALL_TIMEOUT_S = 0.2
 """A coordinator that takes longer hears of it with its next claim: the engine still shows it."""
-TURN_TIMEOUT_S = 0.1
+GRANT_TIMEOUT_S = 0.1
 """A gateway that takes longer has its requests decide by themselves, and the slot goes to the next:
 a third of callers' shortest objective (0.3 s), so that the next is still in time."""
-SENDERS = 8
+MAX_SENDERS = 8
 """Threads that send, so as many silent coordinators may be waited for at once. With the calls in
 the keeper's own answers a keeper of 165 gateways had up to 127 threads, each at a call, and 193
 placements were not answered in time in 18 s of a day with trouble."""
@@ -46,9 +46,9 @@
 class _Pending:
     """What is to be told to one process."""
 
-    owed: Counter[str] = attrs.field(factory=Counter)
-    room_is_free: bool = False
-    turns: list[SlotGrant] = attrs.field(factory=list)
+    to_preempt: Counter[str] = attrs.field(factory=Counter)
+    slots_freed: bool = False
+    grants: list[SlotGrant] = attrs.field(factory=list)
 
 
 class AllocatorCalls:
@@ -74,30 +74,30 @@
     def __init__(
         self,
         process_name: str,
-        give_back: Callable[[tuple[ItemsAt, ...]], None],
+        preempt_items: Callable[[tuple[ItemsAt, ...]], None],
         claim_slots: Callable[[], None],
         client: PeerClient,
         server: PeerServer,
         process: Callable[[str], Member | None],
-        accept_grants: Callable[[tuple[OnlineGrant, ...]], tuple[str, ...]] = lambda turns: (),
-        grant_answered: Callable[[SlotGrant, bool | None], None] = lambda turn, taken: None,
+        accept_grants: Callable[[tuple[OnlineGrant, ...]], tuple[str, ...]] = lambda grants: (),
+        grant_answered: Callable[[SlotGrant, bool | None], None] = lambda grant, taken: None,
     ) -> None:
         self._process_name = process_name
-        self._give_back = give_back
-        self._claim_room = claim_slots
+        self._preempt_items = preempt_items
+        self._claim_slots = claim_slots
         self._client = client
         self._process = process
-        self._take_turns = accept_grants
-        self._turn_answered = grant_answered
+        self._accept_grants = accept_grants
+        self._grant_answered = grant_answered
         self._changed = threading.Condition()
         self._waiting: dict[str, _Pending] = {}
-        self._being_told: set[str] = set()
+        self._being_called: set[str] = set()
         self._senders = 0
         self._idle_senders = 0
         self._stopping = False
-        server.register(PreemptItems, self._answer)
-        server.register(SlotsFreed, self._answer_room_freed)
-        server.register(OnlineGrants, self._answer_turns)
+        server.register(PreemptItems, self._receive_preemption)
+        server.register(SlotsFreed, self._receive_slots_freed)
+        server.register(OnlineGrants, self._receive_grants)
 
     def stop(self) -> None:
         """Send nothing more."""
@@ -108,46 +108,46 @@
     def send(self, coordinator: str, items: tuple[ItemsAt, ...]) -> None:
         """Have a coordinator asked to cut items at once; returns without waiting for that."""
         if coordinator == self._process_name:
-            self._give_back(items)
+            self._preempt_items(items)
             return
         with self._changed:
-            owed = self._waiting.setdefault(coordinator, _Pending()).owed
-            owed.update({one.replica_id: one.items for one in items})
-            self._call_sender()
+            to_preempt = self._waiting.setdefault(coordinator, _Pending()).to_preempt
+            to_preempt.update({one.replica_id: one.items for one in items})
+            self._ensure_sender()
 
     def wake(self, coordinator: str) -> None:
         """Have a coordinator told that there is room; unheard, it claims soon anyway."""
         if coordinator == self._process_name:
-            self._claim_room()
+            self._claim_slots()
             return
         with self._changed:
-            self._waiting.setdefault(coordinator, _Pending()).room_is_free = True
-            self._call_sender()
+            self._waiting.setdefault(coordinator, _Pending()).slots_freed = True
+            self._ensure_sender()
 
-    def send_grant(self, turn: SlotGrant) -> None:
+    def send_grant(self, grant: SlotGrant) -> None:
         """Have a gateway told whose turn it is; ``grant_answered`` hears what came of it."""
         with self._changed:
-            self._waiting.setdefault(turn.process, _Pending()).turns.append(turn)
-            self._call_sender()
+            self._waiting.setdefault(grant.process, _Pending()).grants.append(grant)
+            self._ensure_sender()
 
-    def _call_sender(self) -> None:
+    def _ensure_sender(self) -> None:
         """Have a thread look at what waits; the lock is held."""
         self._changed.notify()
-        to_tell = sum(name not in self._being_told for name in self._waiting)
-        if to_tell > self._idle_senders and self._senders < SENDERS and not self._stopping:
+        ready = sum(name not in self._being_called for name in self._waiting)
+        if ready > self._idle_senders and self._senders < MAX_SENDERS and not self._stopping:
             self._senders += 1
             threading.Thread(target=self._send_pending, name="room-orders", daemon=True).start()
 
     def _send_pending(self) -> None:
-        while (taken := self._take_next()) is not None:
-            coordinator, pending = taken
+        while (work := self._take_next()) is not None:
+            coordinator, pending = work
             try:
-                self._tell(coordinator, pending)
+                self._deliver(coordinator, pending)
             except Exception as error:  # A bug here must not end the orders of this keeper.
                 log_message("batch:order_error", coordinator=coordinator, error=repr(error))
             finally:
                 with self._changed:
-                    self._being_told.discard(coordinator)
+                    self._being_called.discard(coordinator)
 
     def _take_next(self) -> tuple[str, _Pending] | None:
         """Wait until there is something to tell a coordinator to which no call is under way.
@@ -155,69 +155,71 @@
         Returns ``None`` if this thread is to end: at the stop, or since nothing came for long.
         """
         with self._changed:
-            coordinator = self._next_to_tell()
+            coordinator = self._next_ready()
             if coordinator is None and not self._stopping:
                 self._idle_senders += 1
                 self._changed.wait_for(
-                    lambda: self._stopping or self._next_to_tell() is not None, SENDER_IDLE_S
+                    lambda: self._stopping or self._next_ready() is not None, SENDER_IDLE_S
                 )
                 self._idle_senders -= 1
-                coordinator = self._next_to_tell()
+                coordinator = self._next_ready()
             if coordinator is None or self._stopping:
                 self._senders -= 1
                 return None
-            self._being_told.add(coordinator)
+            self._being_called.add(coordinator)
             return coordinator, self._waiting.pop(coordinator)
 
-    def _next_to_tell(self) -> str | None:
-        return next((name for name in self._waiting if name not in self._being_told), None)
+    def _next_ready(self) -> str | None:
+        return next((name for name in self._waiting if name not in self._being_called), None)
 
-    def _tell(self, coordinator: str, pending: _Pending) -> None:
+    def _deliver(self, coordinator: str, pending: _Pending) -> None:
         member = self._process(coordinator)
-        if pending.turns:
-            self._tell_turns(member, pending.turns)
+        if pending.grants:
+            self._deliver_grants(member, pending.grants)
         if member is None:
             return
-        if pending.owed:
+        if pending.to_preempt:
             # A coordinator that cuts items claims again by itself: it need not be woken.
-            items = tuple(ItemsAt(replica_id, count) for replica_id, count in pending.owed.items())
+            items = tuple(
+                ItemsAt(replica_id, count) for replica_id, count in pending.to_preempt.items()
+            )
             reply = self._client.call(
-                member.peer, PreemptItems(items), ItemsPreempted, ORDER_TIMEOUT_S
+                member.peer, PreemptItems(items), ItemsPreempted, CALL_TIMEOUT_S
             )
             if not isinstance(reply, ItemsPreempted):
                 log_message("batch:order_unanswered", coordinator=coordinator)
-        elif pending.room_is_free:
-            self._client.call(member.peer, SlotsFreed(), SlotsFreedAcknowledged, ORDER_TIMEOUT_S)
+        elif pending.slots_freed:
+            self._client.call(member.peer, SlotsFreed(), SlotsFreedAcknowledged, CALL_TIMEOUT_S)
 
-    def _tell_turns(self, member: Member | None, turns: list[SlotGrant]) -> None:
+    def _deliver_grants(self, member: Member | None, grants: list[SlotGrant]) -> None:
         taken: tuple[str, ...] | None = ()
         try:
-            taken = None if member is None else self._call_for_turns(member, turns)
+            taken = None if member is None else self._offer_grants(member, grants)
         except Exception as error:  # A turn that nobody answers for would keep its slot.
-            log_message("line:turn_error", gateway=turns[0].gateway, error=repr(error))
-        for turn in turns:
-            self._turn_answered(turn, None if taken is None else turn.ticket in taken)
+            log_message("line:turn_error", gateway=grants[0].gateway, error=repr(error))
+        for grant in grants:
+            self._grant_answered(grant, None if taken is None else grant.ticket in taken)
 
-    def _call_for_turns(self, member: Member, turns: list[SlotGrant]) -> tuple[str, ...]:
+    def _offer_grants(self, member: Member, grants: list[SlotGrant]) -> tuple[str, ...]:
         """Tell a gateway of turns; return the tickets of the requests that go."""
-        messages = tuple(turn.message for turn in turns)
-        if turns[0].process == self._process_name:
-            return self._take_turns(messages)
+        messages = tuple(grant.message for grant in grants)
+        if grants[0].process == self._process_name:
+            return self._accept_grants(messages)
         reply = self._client.call(
-            member.peer, OnlineGrants(messages), GrantsAccepted, TURN_TIMEOUT_S
+            member.peer, OnlineGrants(messages), GrantsAccepted, GRANT_TIMEOUT_S
         )
         if isinstance(reply, GrantsAccepted):
             return reply.tickets
-        log_message("line:turn_unanswered", gateway=turns[0].gateway, turns=len(turns))
+        log_message("line:turn_unanswered", gateway=grants[0].gateway, turns=len(grants))
         return ()
 
-    def _answer_turns(self, message: OnlineGrants) -> GrantsAccepted:
-        return GrantsAccepted(self._take_turns(message.grants))
+    def _receive_grants(self, message: OnlineGrants) -> GrantsAccepted:
+        return GrantsAccepted(self._accept_grants(message.grants))
 
-    def _answer_room_freed(self, message: SlotsFreed) -> SlotsFreedAcknowledged:
-        self._claim_room()
+    def _receive_slots_freed(self, message: SlotsFreed) -> SlotsFreedAcknowledged:
+        self._claim_slots()
         return SlotsFreedAcknowledged()
 
-    def _answer(self, message: PreemptItems) -> ItemsPreempted:
-        self._give_back(message.items)
+    def _receive_preemption(self, message: PreemptItems) -> ItemsPreempted:
+        self._preempt_items(message.items)
         return ItemsPreempted()
--- a/src/quaymill/process/jobs/engine_loads.py
+++ b/src/quaymill/process/jobs/engine_loads.py
@@ -26,7 +26,7 @@
 REPORT_MAX_AGE_S = 1.0
 REPORT_LAG_S = 0.15
 """How old a report may be when it comes: the engines tell how they stood some hundred ms ago."""
-KEEP_S = 3.0
+KEEP_ALIVE_S = 3.0
 MAX_REPORT_BYTES = 256 * 1024
 MIN_RESERVE = 1
 """Slots: an online request that finds one free waits for nobody to give way."""
@@ -54,13 +54,13 @@
     """
 
     report: EngineReport | None = None
-    taken_at: float = 0.0
-    gave_way_at: float = 0.0
+    received_at: float = 0.0
+    preempted_at: float = 0.0
     starts: list[tuple[float, int]] = attrs.field(factory=list)
 
     def forget_shown_starts(self) -> None:
         """Drop the starts that the report shows."""
-        shown_until = self.taken_at - REPORT_LAG_S
+        shown_until = self.received_at - REPORT_LAG_S
         self.starts = [start for start in self.starts if start[0] > shown_until]
 
 
@@ -85,7 +85,7 @@
         """Poll no more."""
         self._stopping.set()
 
-    def want(self, replicas: Iterable[Replica]) -> None:
+    def poll_only(self, replicas: Iterable[Replica]) -> None:
         """Poll these engines from now on, and no others."""
         wanted = tuple(replicas)
         self._wanted = frozenset(replica.id for replica in wanted)
@@ -96,7 +96,7 @@
                     target=self._poll, args=(replica,), name="engine-poll", daemon=True
                 ).start()
 
-    def room(self, replica: Replica, tokens: int) -> int:
+    def startable_items(self, replica: Replica, tokens: int) -> int:
         """Return how many items more the replica's state and memory allow now.
 
         Its slots are the keeper's to count: a report is older than the gateways' own counts.
@@ -110,14 +110,16 @@
             poll = self._polls_by_replica.get(replica.id)
             if poll is None or poll.report is None or replica.leaving or replica.avoided:
                 return 0
-            if boot_clock.now() - poll.taken_at > REPORT_MAX_AGE_S or poll.report.waiting:
+            if boot_clock.now() - poll.received_at > REPORT_MAX_AGE_S or poll.report.waiting:
                 return 0
             report = poll.report
             if not report.kv_total_tokens or not tokens:
                 return replica.slots
-            kv_room = report.kv_total_tokens * (1 - KV_RESERVE_SHARE)
-            kv_free = kv_room - report.kv_used_tokens - sum(start[1] for start in poll.starts)
-            return max(0, min(replica.slots, int(kv_free // tokens)))
+            kv_usable_tokens = report.kv_total_tokens * (1 - KV_RESERVE_SHARE)
+            kv_free_tokens = (
+                kv_usable_tokens - report.kv_used_tokens - sum(start[1] for start in poll.starts)
+            )
+            return max(0, min(replica.slots, int(kv_free_tokens // tokens)))
 
     def excess(self, replica: Replica) -> int:
         """Return how many batch items should give way: one for each request that waits."""
@@ -125,25 +127,25 @@
             poll = self._polls_by_replica.get(replica.id)
             if poll is None or poll.report is None:
                 return 0
-            if boot_clock.now() - poll.taken_at > REPORT_MAX_AGE_S:
+            if boot_clock.now() - poll.received_at > REPORT_MAX_AGE_S:
                 return 0
-            if poll.taken_at - REPORT_LAG_S <= poll.gave_way_at:
+            if poll.received_at - REPORT_LAG_S <= poll.preempted_at:
                 return 0  # What was cut may still be in the report.
             return max(0, poll.report.running + poll.report.waiting - replica.slots)
 
-    def started(self, replica: Replica, tokens: int) -> None:
+    def record_start(self, replica: Replica, tokens: int) -> None:
         """Count an item that is being started, until the next report shows it."""
         with self._lock:
             poll = self._polls_by_replica.get(replica.id)
             if poll is not None:
                 poll.starts.append((boot_clock.now(), tokens))
 
-    def gave_way(self, replica: Replica) -> None:
+    def record_preemption(self, replica: Replica) -> None:
         """Note that items are being cut, which the next reports may still show."""
         with self._lock:
             poll = self._polls_by_replica.get(replica.id)
             if poll is not None:
-                poll.gave_way_at = boot_clock.now()
+                poll.preempted_at = boot_clock.now()
 
     def _poll(self, replica: Replica) -> None:
         """Poll one engine until its report is not wanted any more, or it is gone."""
@@ -152,19 +154,19 @@
             and replica.id in self._wanted
             and replica.departed_at is None
         ):
-            report = None if replica.unreachable else self._ask(replica)
+            report = None if replica.unreachable else self._fetch_report(replica)
             with self._lock:
                 poll = self._polls_by_replica.setdefault(replica.id, _Poll())
                 if report is not None:
                     poll.report = report
-                    poll.taken_at = boot_clock.now()
+                    poll.received_at = boot_clock.now()
                     poll.forget_shown_starts()
             self._stopping.wait(_poll_interval_s(replica, report))
         with self._lock:
             self._polls_by_replica.pop(replica.id, None)
         self._polled.discard(replica.id)
 
-    def _ask(self, replica: Replica) -> EngineReport | None:
+    def _fetch_report(self, replica: Replica) -> EngineReport | None:
         self.polls += 1
         deadline = boot_clock.now() + POLL_TIMEOUT_S
         exchange = self._connections.send(replica.entry.address, self._protocol.request())
@@ -175,17 +177,17 @@
         body = exchange.read_body(MAX_REPORT_BYTES, deadline)
         if isinstance(body, OutcomeUnknown):
             return None
-        exchange.release(KEEP_S)
+        exchange.release(KEEP_ALIVE_S)
         report = self._protocol.read(body) if exchange.status == 200 else None
-        return report if report is not None and _is_of_this_start(report, replica) else None
+        return report if report is not None and _is_from_listed_start(report, replica) else None
 
 
-def reserve_of(replica: Replica, share: float) -> int:
+def reserved_slots(replica: Replica, share: float) -> int:
     """Return the slots that batch items leave free for online requests."""
     return max(MIN_RESERVE, round(replica.slots * share))
 
 
-def _is_of_this_start(report: EngineReport, replica: Replica) -> bool:
+def _is_from_listed_start(report: EngineReport, replica: Replica) -> bool:
     """Return whether a report is of the start that is listed, as far as both say."""
     born_ms = replica.entry.born_ms
     return not report.born_ms or not born_ms or report.born_ms == born_ms
--- a/src/quaymill/process/jobs/item_dispatcher.py
+++ b/src/quaymill/process/jobs/item_dispatcher.py
@@ -130,7 +130,7 @@
         """Cut items at once, because online requests wait at their replicas."""
         running = self._running()
         for at in items:
-            self._give_way(running, at)
+            self._preempt(running, at)
 
     def running_items(self) -> int:
         """Return how many items are in service."""
@@ -171,37 +171,37 @@
         pools = pools_of(service, self._parts.table)
         start = self._first_pool % len(pools)
         avoided = self._avoided(service)
-        asked = 0
+        pools_asked = 0
         for pool in pools[start:] + pools[:start]:
             running = self._running_items_in(pool)
-            wanted = self._wanted_of(jobs) if asked < MAX_POOLS_ASKED else ()
+            wanted = self._wanted_items(jobs) if pools_asked < MAX_POOLS_ASKED else ()
             if not wanted and not running:
                 continue
-            asked += bool(wanted)
-            self._claim_in(pool, jobs, running, wanted, avoided)
-        if self._wanted_of(jobs):
+            pools_asked += bool(wanted)
+            self._claim_pool(pool, jobs, running, wanted, avoided)
+        if self._wanted_items(jobs):
             self._first_pool += MAX_POOLS_ASKED
 
-    def _wanted_of(self, jobs: list[CoordinatedJob]) -> tuple[WantedItems, ...]:
+    def _wanted_items(self, jobs: list[CoordinatedJob]) -> tuple[WantedItems, ...]:
         """Return what waits, by the time when it is due, the first first."""
         if self._running_items >= MAX_RUNNING_ITEMS:
             return ()
         by_due: dict[float, list[_Waiting]] = {}
         for waiting in self._waiting(jobs):
             by_due.setdefault(round(waiting.left_s, 1), []).append(waiting)
-        return tuple(_wanted(left_s, items) for left_s, items in by_due.items())
+        return tuple(_wanted_group(left_s, items) for left_s, items in by_due.items())
 
     def _waiting(self, jobs: list[CoordinatedJob]) -> list[_Waiting]:
         """Return the items that wait, the most urgent first, of those alike the nearest done."""
         now = boot_clock.now()
         waiting = [
-            _Waiting(self._left_s(job, item, now), job, item)
+            _Waiting(self._time_left_s(job, item, now), job, item)
             for job in jobs
             for item in job.waiting()
         ]
         return sorted(waiting, key=lambda one: (one.left_s, -len(one.item.texts)))
 
-    def _claim_in(
+    def _claim_pool(
         self,
         pool: EnginePool,
         jobs: list[CoordinatedJob],
@@ -227,7 +227,7 @@
             return
         self._paces.adopt(granted.paces)
         for at in granted.preempt:
-            self._give_way(running, at)
+            self._preempt(running, at)
         waiting = iter(self._waiting(jobs))
         for at in granted.starts:
             replica = self._parts.table.get(at.replica_id)
@@ -236,14 +236,15 @@
             for one in itertools.islice(waiting, at.items):
                 self._start_item(one.job, one.item, replica)
 
-    def _left_s(self, job: CoordinatedJob, item: RunningItem, now: float) -> float:
+    def _time_left_s(self, job: CoordinatedJob, item: RunningItem, now: float) -> float:
         """Return the time until an item is due, by the pace of its route."""
         return time_left_s(job, item, now, self._paces.of(_route_name(job)))
 
     def _running_at(self, running: list[_Running]) -> tuple[RunningAt, ...]:
         now = boot_clock.now()
         counts = Counter(
-            (one.item.replica_id, round(self._left_s(one.job, one.item, now), 1)) for one in running
+            (one.item.replica_id, round(self._time_left_s(one.job, one.item, now), 1))
+            for one in running
         )
         return tuple(
             RunningAt(replica_id, items, left_s) for (replica_id, left_s), items in counts.items()
@@ -318,7 +319,7 @@
             replica.end_item()
             with self._lock:
                 self._running_items -= 1
-            self._settle(job, item, replica, content, outcome)
+            self._record_outcome(job, item, replica, content, outcome)
             self._wake.set()
 
     def _run_unless_barred(
@@ -342,7 +343,7 @@
             guard.note_closed(content, replica.entry.incarnation, replica.entry.address)
         return outcome
 
-    def _settle(
+    def _record_outcome(
         self,
         job: CoordinatedJob,
         item: RunningItem,
@@ -387,13 +388,13 @@
     def _max_attempts(self, job: CoordinatedJob) -> int:
         return max(1, job.route.max_attempts) if job.route else 1
 
-    def _give_way(self, running: list[_Running], at: ItemsAt) -> None:
+    def _preempt(self, running: list[_Running], at: ItemsAt) -> None:
         """Cut the least urgent items at a replica, of those alike the one with least done."""
         now = boot_clock.now()
         here = [one for one in running if one.item.replica_id == at.replica_id]
         here.sort(
             key=lambda one: (
-                -self._left_s(one.job, one.item, now),
+                -self._time_left_s(one.job, one.item, now),
                 len(one.item.texts),
             )
         )
@@ -407,7 +408,7 @@
     return job.route.name if job.route else ""
 
 
-def _wanted(left_s: float, waiting: list[_Waiting]) -> WantedItems:
+def _wanted_group(left_s: float, waiting: list[_Waiting]) -> WantedItems:
     """Return one group of items that are due at the same time."""
     route = waiting[0].job.route
     due_s = route.due_s if route else 0.0
--- a/src/quaymill/process/jobs/item_run.py
+++ b/src/quaymill/process/jobs/item_run.py
@@ -141,7 +141,7 @@
     protocol: ReplicaProtocol,
 ) -> ItemOutcome:
     began = boot_clock.now()
-    if not _comes_in_time(exchange, replica, began):
+    if not _begins_in_time(exchange, replica, began):
         exchange.give_up()
         return ItemCut(f"nothing came for {boot_clock.now() - began:.2f} s")
     failure = exchange.read_head(EVENT_GAP_PATIENCE_S)
@@ -170,7 +170,7 @@
         replica.end_answer()
 
 
-def _comes_in_time(exchange: Exchange, replica: Replica, began: float) -> bool:
+def _begins_in_time(exchange: Exchange, replica: Replica, began: float) -> bool:
     """Return whether the answer begins before the item is better off elsewhere.
 
     An item goes on from its last event at any replica, so that a replica which took it and says
--- a/src/quaymill/process/jobs/item_urgency.py
+++ b/src/quaymill/process/jobs/item_urgency.py
@@ -14,7 +14,7 @@
 
 INFEASIBLE_DUE_S = 1e6
 """Stands for the time left of a hopeless item: after every other one."""
-SAFE_FACTOR = 1.2
+SAFETY_FACTOR = 1.2
 """By how much the time left must exceed the time that an item is expected to need yet, or it is
 hopeless. Sizes differ by a quarter among the items of a route, and runs are cut: one that would
 only just be in time mostly is not, and where more comes than engines can do every item would be
@@ -64,7 +64,7 @@
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._by_route: dict[str, RunPace] = {}
-        self._untold: list[RoutePace] = []
+        self._unreported: list[RoutePace] = []
 
     def of(self, route: str) -> RunPace:
         """Return the pace of a route's items."""
@@ -76,14 +76,14 @@
             return
         done = RoutePace(route, float(events), run_s / events_in_run, 1)
         with self._lock:
-            self._untold.append(done)
+            self._unreported.append(done)
             self._add(done)
 
     def take_unreported(self) -> tuple[RoutePace, ...]:
         """Return what was recorded since the last call."""
         with self._lock:
-            untold, self._untold = tuple(self._untold), []
-        return untold
+            unreported, self._unreported = tuple(self._unreported), []
+        return unreported
 
     def add_all(self, done: Iterable[RoutePace]) -> None:
         """Take what a coordinator tells of its items into the averages."""
@@ -120,7 +120,7 @@
         Monotonic time.
     """
     left_s = job.due_at() - now
-    if left_s <= SAFE_FACTOR * pace.remaining_s(len(item.texts)):
+    if left_s <= SAFETY_FACTOR * pace.remaining_s(len(item.texts)):
         return INFEASIBLE_DUE_S
     return left_s
 
--- a/src/quaymill/process/jobs/online_reporter.py
+++ b/src/quaymill/process/jobs/online_reporter.py
@@ -43,7 +43,7 @@
 from quaymill.process.replica_set.table import ReplicaTable
 from quaymill.request.replica_choice import CannotServeInTime, ChosenReplica
 
-NOTICE_TIMEOUT_S = 0.2
+REPORT_TIMEOUT_S = 0.2
 """Later than this the engine's own report has told the keeper."""
 PLACE_TIMEOUT_S = 0.05
 """A sixth of the shortest objective of a stream on the deployments measured (0.3 s): a request
@@ -51,7 +51,7 @@
 PLACE_PAUSE_S = 0.25
 """How long this gateway chooses by itself after a keeper did not answer in time: by then a
 notice has told whether it lives, and who is next in rank."""
-FULL_WORD_S = 1.0
+FULLNESS_LIFETIME_S = 1.0
 """How long a keeper's word that a pool is nearly full counts: four times what a gateway repeats its
 own word in."""
 NEARLY_FULL_SHARE = 0.6
@@ -62,7 +62,7 @@
 ENDS_INTERVAL_PER_GATEWAY_S = 0.002
 """The same where there are many gateways: ends alone bring a keeper 500 notices a second at most.
 At 900 messages a second one gateway of a fleet of 53 was too slow to answer (docs/POLICIES.md)."""
-HEARD_LIFETIME_S = 1.0
+SLOWNESS_LIFETIME_S = 1.0
 """How long what replicas tell of their slowness waits for a notice."""
 REPEAT_INTERVAL_S = 0.25
 """Time after which counts are told again though nothing has changed: they are believed for
@@ -96,7 +96,7 @@
         own_name: str,
         zone: str,
         table: ReplicaTable,
-        keeper: SlotAllocator,
+        allocator: SlotAllocator,
         client: PeerClient,
         gateways: Callable[[], tuple[Member, ...]],
         batch_services: Callable[[], Collection[str]],
@@ -108,26 +108,26 @@
         self._own_name = own_name
         self._zone = zone
         self._table = table
-        self._keeper = keeper
+        self._local_allocator = allocator
         self._client = client
         self._gateways = gateways
-        self._keepers = AllocatorChoice(gateways, reachable)
+        self._allocator_choice = AllocatorChoice(gateways, reachable)
         self._batch_services = batch_services
         self._loads_changed = loads_changed
-        self._line_lost = allocator_lost
+        self._allocator_lost = allocator_lost
         self._release = release
-        self._line_keepers: set[str] = set()
-        self._departed_by_service: dict[str, list[str]] = {}
+        self._queueing_allocators: set[str] = set()
+        self._withdrawn_by_service: dict[str, list[str]] = {}
         self._full_until_by_pool: dict[EnginePool, float] = {}
         self._lock = threading.Lock()
         self._in_flight: Counter[str] = Counter()
         self._placed: Counter[str] = Counter()
-        self._heard: dict[str, SlownessReading] = {}
-        self._place_again_at = 0.0
+        self._slowness_by_replica: dict[str, SlownessReading] = {}
+        self._retry_place_at = 0.0
         self._changed = False
-        self._told_at = 0.0
-        self._told_by_pool: dict[EnginePool, dict[str, int]] = {}
-        self._news = threading.Event()
+        self._reported_at = 0.0
+        self._reported_by_pool: dict[EnginePool, dict[str, int]] = {}
+        self._report_now = threading.Event()
         self._stopping = threading.Event()
 
     def start(self) -> None:
@@ -137,57 +137,57 @@
     def stop(self) -> None:
         """Send nothing more."""
         self._stopping.set()
-        self._news.set()
+        self._report_now.set()
 
-    def place(self, first: Replica, wishes: PlacementConstraints) -> Replica | None:
+    def place(self, first: Replica, constraints: PlacementConstraints) -> Replica | None:
         """Ask the keeper for a place in a replica's pool; ``None`` if there is no answer at once.
 
         The request is counted at the place by the keeper, and by ``began`` here.
         """
-        answer = self._ask(first, wishes, None)
+        answer = self._request_placement(first, constraints, None)
         return answer if isinstance(answer, Replica) else None
 
     def request_slot(
-        self, first: Replica, wishes: PlacementConstraints, terms: QueueTerms
+        self, first: Replica, constraints: PlacementConstraints, terms: QueueTerms
     ) -> Replica | Queued | CannotServeInTime | None:
         """Ask the keeper for a place now, or in its line.
 
         ``None`` if it does not answer at once, or is not known to keep a line.
         """
-        return self._ask(first, wishes, terms)
+        return self._request_placement(first, constraints, terms)
 
-    def _ask(
-        self, first: Replica, wishes: PlacementConstraints, terms: QueueTerms | None
+    def _request_placement(
+        self, first: Replica, constraints: PlacementConstraints, terms: QueueTerms | None
     ) -> Replica | Queued | CannotServeInTime | None:
         now = boot_clock.now()
-        if now < self._place_again_at or first.entry.service not in self._batch_services():
+        if now < self._retry_place_at or first.entry.service not in self._batch_services():
             return None
         pool = pool_of(first, self._table)
-        keeper = self._keepers.allocator_of(pool.service, pool.index)
-        if terms is not None and self._name_of(keeper) not in self._line_keepers:
+        allocator = self._allocator_choice.allocator_of(pool.service, pool.index)
+        if terms is not None and self._name_of(allocator) not in self._queueing_allocators:
             return None
         with self._lock:
             counts = self._counts_in(pool, self._in_flight + self._placed)
             if pool.pools == 1:
                 # The keeper hears of all that has ended by this question.
                 self._changed = False
-                self._told_at = now
-        placed = self._call_to_place(keeper, pool, counts, wishes, terms)
+                self._reported_at = now
+        placed = self._call_place_online(allocator, pool, counts, constraints, terms)
         if placed is None:
-            self._place_again_at = now + PLACE_PAUSE_S
+            self._retry_place_at = now + PLACE_PAUSE_S
             with self._lock:
                 self._changed = True
-            self._line_lost()
+            self._allocator_lost()
             return None
         if placed.replica_id:
             counts[placed.replica_id] = counts.get(placed.replica_id, 0) + 1
-        self._told_by_pool[pool] = counts
-        self._take_loads(pool, placed.loads, counts)
+        self._reported_by_pool[pool] = counts
+        self._apply_loads(pool, placed.loads, counts)
         if placed.retry_after_s is not None:
             return CannotServeInTime("more waits than can be served in time", placed.retry_after_s)
-        return QUEUED if placed.queued else self._take_place(placed)
+        return QUEUED if placed.queued else self._count_placed(placed)
 
-    def _take_place(self, placed: OnlinePlaced) -> Replica | None:
+    def _count_placed(self, placed: OnlinePlaced) -> Replica | None:
         """Count a place until its request begins; ``None`` if it cannot be used."""
         chosen = self._table.get(placed.replica_id)
         usable = chosen is not None and not chosen.leaving
@@ -199,18 +199,18 @@
                 self._changed = True
         return chosen if usable else None
 
-    def accept_grants(self, turns: Iterable[OnlineGrant]) -> tuple[str, ...]:
+    def accept_grants(self, grants: Iterable[OnlineGrant]) -> tuple[str, ...]:
         """Let requests go whose turn has come; return the tickets of those that go."""
-        return tuple(turn.ticket for turn in turns if self._take_turn(turn))
+        return tuple(grant.ticket for grant in grants if self._accept_grant(grant))
 
-    def _take_turn(self, turn: OnlineGrant) -> bool:
+    def _accept_grant(self, grant: OnlineGrant) -> bool:
         # Counted first: the request may begin before this returns.
         with self._lock:
-            self._placed[turn.replica_id] += 1
-        if self._release(turn.ticket, turn.replica_id):
+            self._placed[grant.replica_id] += 1
+        if self._release(grant.ticket, grant.replica_id):
             return True
         with self._lock:
-            self._placed[turn.replica_id] -= 1
+            self._placed[grant.replica_id] -= 1
         return False
 
     def give_back(self, replica: ChosenReplica) -> None:
@@ -218,33 +218,33 @@
         with self._lock:
             self._placed[replica.id] -= 1
             self._changed = True
-        self._news.set()
+        self._report_now.set()
 
     def depart(self, service: str, ticket: str) -> None:
         """Tell with the next word for a service that a request waits in line no more."""
         with self._lock:
-            self._departed_by_service.setdefault(service, []).append(ticket)
+            self._withdrawn_by_service.setdefault(service, []).append(ticket)
             self._changed = True
 
-    def _take_departed(self, service: str) -> tuple[str, ...]:
-        if not self._departed_by_service:
+    def _take_withdrawn(self, service: str) -> tuple[str, ...]:
+        if not self._withdrawn_by_service:
             return ()
         with self._lock:
-            return tuple(self._departed_by_service.pop(service, ()))
+            return tuple(self._withdrawn_by_service.pop(service, ()))
 
     def _name_of(self, member: Member | None) -> str:
         return self._own_name if member is None else member.name
 
-    def _is_own(self, keeper: Member | None) -> bool:
+    def _is_local(self, allocator: Member | None) -> bool:
         """Return whether this process's own keeper is meant: no other is known, or it is chosen."""
-        return keeper is None or keeper.name == self._own_name
+        return allocator is None or allocator.name == self._own_name
 
-    def _call_to_place(
+    def _call_place_online(
         self,
         member: Member | None,
         pool: EnginePool,
         counts: dict[str, int],
-        wishes: PlacementConstraints,
+        constraints: PlacementConstraints,
         terms: QueueTerms | None,
     ) -> OnlinePlaced | None:
         message = PlaceOnline(
@@ -252,44 +252,46 @@
             self._zone,
             pool.service,
             _items_at(counts),
-            tuple(wishes.excluded),
-            tuple(LoadOffset(name, offset) for name, offset in wishes.offsets.items()),
+            tuple(constraints.excluded),
+            tuple(LoadOffset(name, offset) for name, offset in constraints.offsets.items()),
             pool.index,
             pool.pools,
-            self._take_heard(pool),
+            self._take_slowness_reports(pool),
             terms,
-            self._take_departed(pool.service),
+            self._take_withdrawn(pool.service),
         )
-        if self._is_own(member):
-            reply = self._keeper.place_online(message)
+        if self._is_local(member):
+            reply = self._local_allocator.place_online(message)
         else:
             reply = self._client.call(member.peer, message, OnlinePlaced, PLACE_TIMEOUT_S)
         if isinstance(reply, OnlinePlaced):
-            self._note_line(member, reply.queue_length)
+            self._record_queue_length(member, reply.queue_length)
             return reply
         log_message("request:not_placed", service=pool.service, keeper=member.name)
         return None
 
-    def _note_line(self, member: Member | None, length: int) -> None:
+    def _record_queue_length(self, member: Member | None, length: int) -> None:
         """Note whether a keeper keeps a line."""
         if length == NO_QUEUE:
-            self._line_keepers.discard(self._name_of(member))
+            self._queueing_allocators.discard(self._name_of(member))
         else:
-            self._line_keepers.add(self._name_of(member))
+            self._queueing_allocators.add(self._name_of(member))
 
-    def _note_fullness(self, pool: EnginePool, loads: Iterable[ReplicaLoad]) -> None:
+    def _record_fullness(self, pool: EnginePool, loads: Iterable[ReplicaLoad]) -> None:
         """Note whether ends in a pool are to be told at once."""
         found = [(load, self._table.get(load.replica_id)) for load in loads]
         slots = sum(replica.slots for _, replica in found if replica is not None)
         taken = sum(load.online for load, replica in found if replica is not None)
         is_nearly_full = taken > NEARLY_FULL_SHARE * slots
-        self._full_until_by_pool[pool] = boot_clock.now() + FULL_WORD_S if is_nearly_full else 0.0
+        self._full_until_by_pool[pool] = (
+            boot_clock.now() + FULLNESS_LIFETIME_S if is_nearly_full else 0.0
+        )
 
     @property
-    def _ends_matter(self) -> bool:
+    def _reports_ends_at_once(self) -> bool:
         """Whether others may wait for a slot that comes free."""
         now = boot_clock.now()
-        return bool(self._line_keepers) and any(
+        return bool(self._queueing_allocators) and any(
             until > now for until in tuple(self._full_until_by_pool.values())
         )
 
@@ -297,81 +299,81 @@
         """Note that an online request is being sent to a replica."""
         with self._lock:
             self._in_flight[replica.id] += 1
-            told = self._placed[replica.id] > 0
-            if told:
+            reported = self._placed[replica.id] > 0
+            if reported:
                 self._placed[replica.id] -= 1
             else:
                 self._changed = True
-        if not told:
-            self._news.set()
+        if not reported:
+            self._report_now.set()
 
     def ended(self, replica: ChosenReplica) -> None:
         """Note that an online request at a replica has ended."""
         # Counted whatever the service: it may gain or lose its batch routes before the end.
-        heard = replica.reported_slowness()
+        reading = replica.reported_slowness()
         with self._lock:
             self._in_flight[replica.id] -= 1
             self._changed = True
-            if heard is not None:
-                self._heard[replica.id] = heard
-        if self._ends_matter:
-            self._news.set()
+            if reading is not None:
+                self._slowness_by_replica[replica.id] = reading
+        if self._reports_ends_at_once:
+            self._report_now.set()
 
-    def _take_heard(self, pool: EnginePool) -> tuple[SlownessReport, ...]:
+    def _take_slowness_reports(self, pool: EnginePool) -> tuple[SlownessReport, ...]:
         """Take what replicas of a pool have told here of how slow they are, unless it is old."""
-        if not self._heard:
+        if not self._slowness_by_replica:
             return ()
         now = boot_clock.now()
         with self._lock:
-            heard = [
-                (name, self._heard.pop(name))
-                for name in list(self._heard)
+            readings = [
+                (name, self._slowness_by_replica.pop(name))
+                for name in list(self._slowness_by_replica)
                 if (replica := self._table.get(name)) is None or pool.holds(replica)
             ]
-        keeper = self._keepers.allocator_of(pool.service, pool.index)
-        if self._is_own(keeper):
+        allocator = self._allocator_choice.allocator_of(pool.service, pool.index)
+        if self._is_local(allocator):
             return ()  # This process's keeper knows already.
         return tuple(
             SlownessReport(name, reading.slowness, round(now - reading.at, 3))
-            for name, reading in heard
-            if now - reading.at < HEARD_LIFETIME_S
+            for name, reading in readings
+            if now - reading.at < SLOWNESS_LIFETIME_S
         )
 
     def _run(self) -> None:
         while not self._stopping.is_set():
             # Ends alone go out when the wait is over; a gateway without requests sends nothing.
             gateways = len(self._gateways())
-            self._news.wait(max(ENDS_INTERVAL_S, ENDS_INTERVAL_PER_GATEWAY_S * gateways))
-            self._news.clear()
-            in_flight = self._due()
+            self._report_now.wait(max(ENDS_INTERVAL_S, ENDS_INTERVAL_PER_GATEWAY_S * gateways))
+            self._report_now.clear()
+            in_flight = self._take_due()
             if in_flight is None:
                 continue
             try:
-                self._tell(in_flight)
+                self._report(in_flight)
             except Exception as error:  # A bug here must not end the notices of this gateway.
                 log_message("batch:notice_error", error=repr(error))
 
-    def _due(self) -> dict[str, int] | None:
+    def _take_due(self) -> dict[str, int] | None:
         """Return what is to be told now; ``None`` if that is nothing."""
         now = boot_clock.now()
         with self._lock:
             self._in_flight = +self._in_flight
             self._placed = +self._placed
-            repeat = self._in_flight and now - self._told_at >= REPEAT_INTERVAL_S
+            repeat = self._in_flight and now - self._reported_at >= REPEAT_INTERVAL_S
             if not self._changed and not repeat:
                 return None
             self._changed = False
-            self._told_at = now
+            self._reported_at = now
             return dict(self._in_flight + self._placed)
 
-    def _tell(self, in_flight: dict[str, int]) -> None:
+    def _report(self, in_flight: dict[str, int]) -> None:
         for service in self._batch_services():
             for pool in pools_of(service, self._table):
                 counts = self._counts_in(pool, in_flight)
                 # A pool without requests of ours is told once, when the last of them has ended.
-                if counts or self._told_by_pool.get(pool):
-                    self._told_by_pool[pool] = counts
-                    self._tell_keeper(pool, counts)
+                if counts or self._reported_by_pool.get(pool):
+                    self._reported_by_pool[pool] = counts
+                    self._report_pool(pool, counts)
 
     def _counts_in(self, pool: EnginePool, in_flight: Mapping[str, int]) -> dict[str, int]:
         """Return the requests at the replicas of a pool."""
@@ -382,43 +384,43 @@
             if replica is not None and not replica.leaving and pool.holds(replica)
         }
 
-    def _tell_keeper(self, pool: EnginePool, counts: dict[str, int]) -> None:
+    def _report_pool(self, pool: EnginePool, counts: dict[str, int]) -> None:
         message = OnlineInFlight(
             self._own_name,
             pool.service,
             _items_at(counts),
             pool.index,
             pool.pools,
-            self._take_heard(pool),
-            self._take_departed(pool.service),
+            self._take_slowness_reports(pool),
+            self._take_withdrawn(pool.service),
         )
-        loads = self._call_keeper(message)
+        loads = self._call_allocator(message)
         if loads is not None:
-            self._take_loads(pool, loads.loads, counts)
+            self._apply_loads(pool, loads.loads, counts)
 
-    def _take_loads(
-        self, pool: EnginePool, loads: tuple[ReplicaLoad, ...], told: dict[str, int]
+    def _apply_loads(
+        self, pool: EnginePool, loads: tuple[ReplicaLoad, ...], reported: dict[str, int]
     ) -> None:
         """Take what the keeper knows; ``told`` is the part of it that it has from here."""
-        self._note_fullness(pool, loads)
+        self._record_fullness(pool, loads)
         for load in loads:
             replica = self._table.get(load.replica_id)
             if replica is not None:
-                replica.take_pool_view(load.online - told.get(replica.id, 0), load.batch)
+                replica.take_pool_view(load.online - reported.get(replica.id, 0), load.batch)
         self._loads_changed()
 
-    def _call_keeper(self, message: OnlineInFlight) -> PoolLoads | None:
-        member = self._keepers.allocator_of(message.service, message.pool)
-        if self._is_own(member):
-            reply = self._keeper.record_online(message)
+    def _call_allocator(self, message: OnlineInFlight) -> PoolLoads | None:
+        member = self._allocator_choice.allocator_of(message.service, message.pool)
+        if self._is_local(member):
+            reply = self._local_allocator.record_online(message)
         else:
-            reply = self._client.call(member.peer, message, PoolLoads, NOTICE_TIMEOUT_S)
+            reply = self._client.call(member.peer, message, PoolLoads, REPORT_TIMEOUT_S)
         if isinstance(reply, PoolLoads):
-            self._note_line(member, reply.queue_length)
+            self._record_queue_length(member, reply.queue_length)
             return reply
-        self._keepers.avoid(message.service, member)
-        self._note_line(member, NO_QUEUE)
-        self._line_lost()
+        self._allocator_choice.avoid(message.service, member)
+        self._record_queue_length(member, NO_QUEUE)
+        self._allocator_lost()
         return None
 
 
--- a/src/quaymill/process/jobs/pool_counts.py
+++ b/src/quaymill/process/jobs/pool_counts.py
@@ -52,7 +52,7 @@
 
     running: list[RunningItems]
     waiting: list[WaitingItems]
-    at: float
+    received_at: float
 
     @classmethod
     def from_message(cls, message: ClaimSlots, now: float) -> Claim:
@@ -80,7 +80,7 @@
     """
 
     counts: Counter[str]
-    at: float
+    received_at: float
 
 
 class PoolCounts:
@@ -99,44 +99,44 @@
     def __init__(self) -> None:
         self.online: Counter[str] = Counter()
         self.batch: Counter[str] = Counter()
-        self.promised = 0
+        self.reserved = 0
         self.claims: dict[str, Claim] = {}
         self._online_by_gateway: dict[str, OnlineCounts] = {}
 
     @property
     def is_empty(self) -> bool:
         """Whether nothing is known of the pool."""
-        return not self.claims and not self._online_by_gateway and not self.promised
+        return not self.claims and not self._online_by_gateway and not self.reserved
 
     def online_of(self, gateway: str) -> Counter[str]:
         """Return what a gateway has at each replica."""
         known = self._online_by_gateway.get(gateway)
         return Counter() if known is None else known.counts
 
-    def take_online(self, gateway: str, counts: Counter[str], now: float) -> None:
+    def set_online(self, gateway: str, counts: Counter[str], now: float) -> None:
         """Take a gateway's word in place of the one before."""
         self._drop_online(gateway)
         self._online_by_gateway[gateway] = OnlineCounts(counts, now)
         self.online.update(counts)
 
-    def place_at(self, gateway: str, replica_id: str) -> None:
+    def add_online(self, gateway: str, replica_id: str) -> None:
         """Count one more online request, unless the gateway has given no word of late."""
         known = self._online_by_gateway.get(gateway)
         if known is not None:
             known.counts[replica_id] += 1
             self.online[replica_id] += 1
 
-    def promise(self, replica_id: str) -> None:
+    def reserve(self, replica_id: str) -> None:
         """Count a turn at a replica until it is answered."""
-        self.promised += 1
+        self.reserved += 1
         self.online[replica_id] += 1
 
-    def end_promise(self, replica_id: str) -> None:
+    def end_reservation(self, replica_id: str) -> None:
         """Stop counting a turn that was answered, or that was not."""
-        self.promised -= 1
+        self.reserved -= 1
         self.online[replica_id] -= 1
 
-    def take_claim(self, coordinator: str, claim: Claim) -> None:
+    def set_claim(self, coordinator: str, claim: Claim) -> None:
         """Take a coordinator's claim in place of the one before."""
         self._drop_claim(coordinator)
         self.claims[coordinator] = claim
@@ -148,18 +148,18 @@
         self.claims[coordinator].running.append(RunningItems(replica.id, 1, due_at))
         self.batch[replica.id] += 1
 
-    def cut_items(self, running: RunningItems, items: int) -> None:
+    def remove_items(self, running: RunningItems, items: int) -> None:
         """Stop counting items that a coordinator is asked to cut."""
         running.items -= items
         self.batch[running.replica_id] -= items
 
-    def forget_before(self, online_since: float, claims_since: float) -> None:
+    def drop_before(self, online_since: float, claims_since: float) -> None:
         """Drop the words and the claims that are older than these monotonic times."""
         for gateway, known in list(self._online_by_gateway.items()):
-            if known.at <= online_since:
+            if known.received_at <= online_since:
                 self._drop_online(gateway)
         for coordinator, claim in list(self.claims.items()):
-            if claim.at <= claims_since:
+            if claim.received_at <= claims_since:
                 self._drop_claim(coordinator)
 
     def _drop_online(self, gateway: str) -> None:
@@ -173,7 +173,7 @@
             for running in claim.running:
                 self.batch[running.replica_id] -= running.items
 
-    def at(self, replica: Replica) -> int:
+    def requests_at(self, replica: Replica) -> int:
         """Return all requests at a replica."""
         return self.online[replica.id] + self.batch[replica.id]
 
--- a/src/quaymill/process/jobs/slot_allocator.py
+++ b/src/quaymill/process/jobs/slot_allocator.py
@@ -31,7 +31,7 @@
     SlownessReport,
     WantedItems,
 )
-from quaymill.process.jobs.engine_loads import EngineLoads, reserve_of
+from quaymill.process.jobs.engine_loads import EngineLoads, reserved_slots
 from quaymill.process.jobs.engine_pool import EnginePool
 from quaymill.process.jobs.item_urgency import RoutePaces
 from quaymill.process.jobs.pool_counts import Claim, PoolCounts, RunningItems
@@ -43,7 +43,7 @@
 CLAIM_LIFETIME_S = 1.0
 ONLINE_LIFETIME_S = 1.0
 """How long a gateway's word of its online requests counts: four times what it repeats it in."""
-FORGET_INTERVAL_S = 0.1
+EXPIRY_INTERVAL_S = 0.1
 """Time between two looks for words that are too old: a tenth of how long they count."""
 SAME_DUE_S = 0.5
 """Difference of due times that does not count: they are known no better after a hand-over."""
@@ -84,17 +84,17 @@
     ) -> None:
         self._table = table
         self._loads = loads
-        self._order_back = preempt_items
+        self._preempt_items = preempt_items
         self._wake = wake
         self._woken_at: dict[str, float] = {}
         self._random = random.Random()
-        self._send_turn = send_grant
+        self._send_grant = send_grant
         self.turns = PoolQueues(self._random)
         self._lock = threading.Lock()
         self._counts_by_pool: dict[EnginePool, PoolCounts] = {}
-        self._owed_by_coordinator: dict[str, Counter[str]] = {}
+        self._to_preempt_by_coordinator: dict[str, Counter[str]] = {}
         self._paces = RoutePaces()
-        self._forget_at = 0.0
+        self._expire_at = 0.0
         if peer_server is not None:
             peer_server.register(ClaimSlots, self.claim)
             peer_server.register(OnlineInFlight, self.record_online)
@@ -106,43 +106,43 @@
         self._paces.add_all(message.done)
         with self._lock:
             counts = self._counts(pool)
-            counts.take_claim(message.coordinator, Claim.from_message(message, boot_clock.now()))
-            self._want_reports()
+            counts.set_claim(message.coordinator, Claim.from_message(message, boot_clock.now()))
+            self._poll_claimed_pools()
             replicas = pool.members(self._table)
-            self._share_out_excess(counts, replicas)
-            give_back = self._owed_by_coordinator.pop(message.coordinator, Counter())
+            self._preempt_excess(counts, replicas)
+            to_preempt = self._to_preempt_by_coordinator.pop(message.coordinator, Counter())
             reachable = [replica for replica in replicas if replica.id not in message.avoided]
-            starts = self._grant(counts, message, reachable)
-            turns = self._give_turns(pool, counts, replicas)
-            orders = self._take_orders()
+            starts = self._grant_items(counts, message, reachable)
+            grants = self._grant_slots(pool, counts, replicas)
+            preemptions = self._take_preemptions()
             to_wake = self._first_to_wake(counts, replicas)
-        self._send_turns(turns)
-        self._send_orders(orders)
+        self._send_grants(grants)
+        self._send_preemptions(preemptions)
         if to_wake and to_wake != message.coordinator:
             self._wake(to_wake)
-        return SlotsGranted(_items_at(starts), _items_at(give_back), self._paces.averages())
+        return SlotsGranted(_items_at(starts), _items_at(to_preempt), self._paces.averages())
 
     def record_online(self, message: OnlineInFlight) -> PoolLoads:
         """Count online requests, let batch items give way to them, and tell the pool's loads."""
-        self._take_told(message.slowness_reports)
+        self._record_slowness(message.slowness_reports)
         pool = EnginePool(message.service, message.pool, message.pools)
         with self._lock:
             counts = self._counts(pool)
             in_flight = _by_replica(message.in_flight)
-            counts.take_online(message.gateway, in_flight, boot_clock.now())
+            counts.set_online(message.gateway, in_flight, boot_clock.now())
             self.turns.depart(pool, message.withdrawn)
             replicas = pool.members(self._table)
-            turns = self._give_turns(pool, counts, replicas)
-            self._share_out_excess(counts, [one for one in replicas if one.id in in_flight])
-            orders = self._take_orders()
+            grants = self._grant_slots(pool, counts, replicas)
+            self._preempt_excess(counts, [one for one in replicas if one.id in in_flight])
+            preemptions = self._take_preemptions()
             loads = counts.loads(replicas)
-            line = self._line_length(pool)
+            queue_length = self._reported_queue_length(pool)
             to_wake = self._first_to_wake(counts, replicas)
-        self._send_turns(turns)
-        self._send_orders(orders)
+        self._send_grants(grants)
+        self._send_preemptions(preemptions)
         if to_wake:
             self._wake(to_wake)
-        return PoolLoads(loads, line)
+        return PoolLoads(loads, queue_length)
 
     def place_online(self, message: PlaceOnline) -> OnlinePlaced:
         """Choose the replica of an online request, and let batch items give way to it there.
@@ -150,21 +150,21 @@
         The next request is placed by counts that hold this one, whoever asks: gateways that
         chose by themselves would all take the replica that was least busy a moment ago.
         """
-        self._take_told(message.slowness_reports)
+        self._record_slowness(message.slowness_reports)
         pool = EnginePool(message.service, message.pool, message.pools)
         with self._lock:
             counts = self._counts(pool)
-            counts.take_online(message.gateway, _by_replica(message.in_flight), boot_clock.now())
+            counts.set_online(message.gateway, _by_replica(message.in_flight), boot_clock.now())
             self.turns.depart(pool, message.withdrawn)
             replicas = pool.members(self._table)
-            turns: list[SlotGrant] = []
-            if message.terms is None or self._send_turn is None:
+            grants: list[SlotGrant] = []
+            if message.terms is None or self._send_grant is None:
                 answer = self._place_now(pool, counts, replicas, message)
             else:
-                answer, turns = self._place_or_line_up(pool, counts, replicas, message)
-            orders = self._take_orders()
-        self._send_turns(turns)
-        self._send_orders(orders)
+                answer, grants = self._place_or_queue(pool, counts, replicas, message)
+            preemptions = self._take_preemptions()
+        self._send_grants(grants)
+        self._send_preemptions(preemptions)
         return answer
 
     def _place_now(
@@ -173,7 +173,7 @@
         """Place a request whether or not a slot is free; the lock is held."""
         chosen = self._least_costly(counts, replicas, message)
         if chosen is None:
-            return OnlinePlaced("", counts.loads(replicas), self._line_length(pool))
+            return OnlinePlaced("", counts.loads(replicas), self._reported_queue_length(pool))
         return self._placed_at(chosen, pool, counts, replicas, message)
 
     def _least_costly(
@@ -193,11 +193,11 @@
         replicas: list[Replica],
         message: PlaceOnline,
     ) -> OnlinePlaced:
-        counts.place_at(message.gateway, chosen.id)
-        self._share_out_excess(counts, [chosen])
-        return OnlinePlaced(chosen.id, counts.loads(replicas), self._line_length(pool))
+        counts.add_online(message.gateway, chosen.id)
+        self._preempt_excess(counts, [chosen])
+        return OnlinePlaced(chosen.id, counts.loads(replicas), self._reported_queue_length(pool))
 
-    def _place_or_line_up(
+    def _place_or_queue(
         self, pool: EnginePool, counts: PoolCounts, replicas: list[Replica], message: PlaceOnline
     ) -> tuple[OnlinePlaced, list[SlotGrant]]:
         """Place a request if its turn is now, else let it wait; the lock is held."""
@@ -207,60 +207,64 @@
             if chosen is None:
                 return OnlinePlaced("", counts.loads(replicas), 0), []
             if counts.online_load(chosen) < chosen.slots:
-                self.turns.pass_by(pool, message.terms.tenant)
+                self.turns.record_immediate(pool, message.terms.tenant)
                 return self._placed_at(chosen, pool, counts, replicas, message), []
         if all(one.id in message.excluded for one in replicas):
-            return OnlinePlaced("", counts.loads(replicas), self._line_length(pool)), []
-        waiter = self.turns.join(pool, message, now)
-        turns = self._give_turns(pool, counts, replicas)
-        own = next((turn for turn in turns if turn.ticket == waiter.ticket), None)
-        if own is not None:
-            self.turns.answered(own, counts, taken=True)
-            turns.remove(own)
-            placed = OnlinePlaced(own.replica.id, counts.loads(replicas), self._line_length(pool))
-            return placed, turns
-        retry_after_s = self.turns.refuse(pool, waiter, replicas, now)
-        waits = retry_after_s is None
-        line = self._line_length(pool)
-        return OnlinePlaced("", counts.loads(replicas), line, waits, retry_after_s), turns
-
-    def grant_answered(self, turn: SlotGrant, taken: bool | None) -> None:
+            return OnlinePlaced("", counts.loads(replicas), self._reported_queue_length(pool)), []
+        queued = self.turns.join(pool, message, now)
+        grants = self._grant_slots(pool, counts, replicas)
+        own_grant = next((grant for grant in grants if grant.ticket == queued.ticket), None)
+        if own_grant is not None:
+            self.turns.record_answer(own_grant, counts, accepted=True)
+            grants.remove(own_grant)
+            placed = OnlinePlaced(
+                own_grant.replica.id, counts.loads(replicas), self._reported_queue_length(pool)
+            )
+            return placed, grants
+        retry_after_s = self.turns.refuse_if_infeasible(pool, queued, replicas, now)
+        is_queued = retry_after_s is None
+        queue_length = self._reported_queue_length(pool)
+        return OnlinePlaced(
+            "", counts.loads(replicas), queue_length, is_queued, retry_after_s
+        ), grants
+
+    def grant_answered(self, grant: SlotGrant, accepted: bool | None) -> None:
         """Take a gateway's answer to a turn; ``None`` if its process is gone, with all it held.
 
         The slot of a turn that was not taken goes to the next. One that was not answered in time
         costs its own request the place: it asks again, or goes by its gateway's view.
         """
         with self._lock:
-            counts = self._counts(turn.pool)
-            self.turns.answered(turn, counts, taken=bool(taken))
-            if taken is None:
-                dropped = self.turns.drop_process(turn.process)
-                log_message("line:gateway_gone", gateway=turn.gateway, dropped=dropped)
-            replicas = turn.pool.members(self._table)
-            turns = [] if taken else self._give_turns(turn.pool, counts, replicas)
-            orders = self._take_orders()
-        self._send_turns(turns)
-        self._send_orders(orders)
-
-    def _give_turns(
+            counts = self._counts(grant.pool)
+            self.turns.record_answer(grant, counts, accepted=bool(accepted))
+            if accepted is None:
+                dropped = self.turns.drop_process(grant.process)
+                log_message("line:gateway_gone", gateway=grant.gateway, dropped=dropped)
+            replicas = grant.pool.members(self._table)
+            grants = [] if accepted else self._grant_slots(grant.pool, counts, replicas)
+            preemptions = self._take_preemptions()
+        self._send_grants(grants)
+        self._send_preemptions(preemptions)
+
+    def _grant_slots(
         self, pool: EnginePool, counts: PoolCounts, replicas: list[Replica]
     ) -> list[SlotGrant]:
         """Give what is free to who waits, and let batch items give way; the lock is held."""
-        turns = self.turns.give(pool, counts, replicas, boot_clock.now())
-        if turns:
-            self._share_out_excess(counts, [turn.replica for turn in turns])
-        return turns
+        grants = self.turns.grant_slots(pool, counts, replicas, boot_clock.now())
+        if grants:
+            self._preempt_excess(counts, [grant.replica for grant in grants])
+        return grants
 
-    def _send_turns(self, turns: list[SlotGrant]) -> None:
-        for turn in turns:
-            self._send_turn(turn)
+    def _send_grants(self, grants: list[SlotGrant]) -> None:
+        for grant in grants:
+            self._send_grant(grant)
 
-    def _line_length(self, pool: EnginePool) -> int:
+    def _reported_queue_length(self, pool: EnginePool) -> int:
         """Return what gateways are told of the line."""
-        return NO_QUEUE if self._send_turn is None else self.turns.length(pool)
+        return NO_QUEUE if self._send_grant is None else self.turns.length(pool)
 
-    def _take_told(self, told: Iterable[SlownessReport]) -> None:
-        for one in told:
+    def _record_slowness(self, reports: Iterable[SlownessReport]) -> None:
+        for one in reports:
             replica = self._table.get(one.replica_id)
             if replica is not None:
                 replica.take_slowness(one.slowness, one.age_s)
@@ -268,14 +272,14 @@
     def _counts(self, pool: EnginePool) -> PoolCounts:
         """Return a pool's counts, without words that are too old; the lock is held."""
         now = boot_clock.now()
-        if now >= self._forget_at:
-            self._forget_at = now + FORGET_INTERVAL_S
-            self._forget(now)
+        if now >= self._expire_at:
+            self._expire_at = now + EXPIRY_INTERVAL_S
+            self._drop_expired(now)
         return self._counts_by_pool.setdefault(pool, PoolCounts())
 
-    def _forget(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         for pool, counts in list(self._counts_by_pool.items()):
-            counts.forget_before(now - ONLINE_LIFETIME_S, now - CLAIM_LIFETIME_S)
+            counts.drop_before(now - ONLINE_LIFETIME_S, now - CLAIM_LIFETIME_S)
             if counts.is_empty:
                 del self._counts_by_pool[pool]
 
@@ -289,51 +293,51 @@
                 for name, claim in claims.items()
                 for waiting in claim.waiting
                 if now - self._woken_at.get(name, 0.0) >= WAKE_INTERVAL_S
-                and now - claim.at >= WAKE_INTERVAL_S
+                and now - claim.received_at >= WAKE_INTERVAL_S
             ),
             default=None,
         )
-        if first is None or not any(_has_room(counts, replica) for replica in replicas):
+        if first is None or not any(_has_free_slot(counts, replica) for replica in replicas):
             return ""
         self._woken_at = {name: at for name, at in self._woken_at.items() if name in claims}
         self._woken_at[first[1]] = now
         return first[1]
 
-    def _take_orders(self) -> dict[str, Counter[str]]:
+    def _take_preemptions(self) -> dict[str, Counter[str]]:
         """Take what coordinators owe, if they can be asked at once; the lock is held."""
-        if self._order_back is None:
+        if self._preempt_items is None:
             return {}
-        orders, self._owed_by_coordinator = self._owed_by_coordinator, {}
-        return orders
+        preemptions, self._to_preempt_by_coordinator = self._to_preempt_by_coordinator, {}
+        return preemptions
 
-    def _send_orders(self, orders: dict[str, Counter[str]]) -> None:
-        for coordinator, owed in orders.items():
-            self._order_back(coordinator, _items_at(owed))
+    def _send_preemptions(self, preemptions: dict[str, Counter[str]]) -> None:
+        for coordinator, items_by_replica in preemptions.items():
+            self._preempt_items(coordinator, _items_at(items_by_replica))
 
-    def _want_reports(self) -> None:
+    def _poll_claimed_pools(self) -> None:
         pools = [
             pool.members(self._table)
             for pool, counts in self._counts_by_pool.items()
             if counts.claims
         ]
-        self._loads.want([replica for replicas in pools for replica in replicas])
+        self._loads.poll_only([replica for replicas in pools for replica in replicas])
 
-    def _share_out_excess(self, counts: PoolCounts, replicas: list[Replica]) -> None:
+    def _preempt_excess(self, counts: PoolCounts, replicas: list[Replica]) -> None:
         """Note what each coordinator owes where requests wait, by the counts or the report."""
         for replica in replicas:
-            excess = max(counts.at(replica) - replica.slots, self._loads.excess(replica))
+            excess = max(counts.requests_at(replica) - replica.slots, self._loads.excess(replica))
             if excess <= 0 or not counts.batch[replica.id]:
                 continue
             for name, running in _least_urgent_first(counts.claims, replica):
                 share = min(excess, running.items)
                 if share <= 0:
                     break
-                self._owed_by_coordinator.setdefault(name, Counter())[replica.id] += share
-                counts.cut_items(running, share)
+                self._to_preempt_by_coordinator.setdefault(name, Counter())[replica.id] += share
+                counts.remove_items(running, share)
                 excess -= share
-                self._loads.gave_way(replica)
+                self._loads.record_preemption(replica)
 
-    def _grant(
+    def _grant_items(
         self,
         counts: PoolCounts,
         message: ClaimSlots,
@@ -344,39 +348,43 @@
         now = boot_clock.now()
         for wanted in message.wanted:
             due_at = now + wanted.due_in_s
-            free = sum(self._room(counts, replica, wanted) for replica in replicas)
-            part = _part(counts.claims, message.coordinator, free, due_at)
-            for _ in range(min(wanted.items, part)):
-                replica = self._emptiest(counts, message.zone, replicas, wanted)
+            free = sum(self._startable_items(counts, replica, wanted) for replica in replicas)
+            most_items = _fair_share(counts.claims, message.coordinator, free, due_at)
+            for _ in range(min(wanted.items, most_items)):
+                replica = self._most_free(counts, message.zone, replicas, wanted)
                 if replica is None:
                     break
-                self._loads.started(replica, wanted.tokens)
+                self._loads.record_start(replica, wanted.tokens)
                 counts.start_item(message.coordinator, replica, due_at)
                 starts[replica.id] += 1
         return starts
 
-    def _emptiest(
+    def _most_free(
         self, counts: PoolCounts, zone: str, replicas: list[Replica], wanted: WantedItems
     ) -> Replica | None:
         best: Replica | None = None
-        best_room = 0.0
+        best_free = 0.0
         for replica in replicas:
-            room = float(self._room(counts, replica, wanted))
-            if room >= 1 and replica.entry.zone == zone:
-                room += OWN_ZONE_BONUS
-            if room > best_room:
-                best, best_room = replica, room
+            free = float(self._startable_items(counts, replica, wanted))
+            if free >= 1 and replica.entry.zone == zone:
+                free += OWN_ZONE_BONUS
+            if free > best_free:
+                best, best_free = replica, free
         return best
 
-    def _room(self, counts: PoolCounts, replica: Replica, wanted: WantedItems) -> int:
+    def _startable_items(self, counts: PoolCounts, replica: Replica, wanted: WantedItems) -> int:
         """Return the items that may be started at a replica, by the counts and its report."""
-        counted = replica.slots - reserve_of(replica, wanted.reserve_share) - counts.at(replica)
+        counted = (
+            replica.slots
+            - reserved_slots(replica, wanted.reserve_share)
+            - counts.requests_at(replica)
+        )
         if counted <= 0:
             return 0
-        return min(counted, self._loads.room(replica, wanted.tokens))
+        return min(counted, self._loads.startable_items(replica, wanted.tokens))
 
 
-def _part(claims: dict[str, Claim], coordinator: str, free: int, due_at: float) -> int:
+def _fair_share(claims: dict[str, Claim], coordinator: str, free: int, due_at: float) -> int:
     """Return what is free beyond what items of others want that are due clearly earlier.
 
     Those that are due at about the same time share evenly.
@@ -391,9 +399,9 @@
     return -(-max(0, free - earlier) // (1 + alike))
 
 
-def _has_room(counts: PoolCounts, replica: Replica) -> bool:
-    taken = counts.at(replica) + reserve_of(replica, 0.0)
-    return taken < replica.slots and not replica.avoided
+def _has_free_slot(counts: PoolCounts, replica: Replica) -> bool:
+    requests = counts.requests_at(replica) + reserved_slots(replica, 0.0)
+    return requests < replica.slots and not replica.avoided
 
 
 def _least_urgent_first(
--- a/src/quaymill/process/jobs/slot_claims.py
+++ b/src/quaymill/process/jobs/slot_claims.py
@@ -14,7 +14,7 @@
 from quaymill.process.membership.ranking import rank_nodes, strongest
 
 CLAIM_TIMEOUT_S = 0.5
-AVOID_KEEPER_S = 2.0
+AVOID_ALLOCATOR_S = 2.0
 """How long a gateway that did not answer a claim is passed over: by then membership knows."""
 
 ClaimSlotsCall = Callable[[ClaimSlots], SlotsGranted | None]
@@ -49,8 +49,8 @@
         """
         now = boot_clock.now()
         gateways = self._reachable(self._gateways())
-        strong = strongest(gateways)
-        for group in (strong, gateways):
+        strong_gateways = strongest(gateways)
+        for group in (strong_gateways, gateways):
             for member in rank_nodes(f"room/{service}/{pool}", group):
                 if self._avoided_until_by_name.get(member.name, 0.0) <= now:
                     return member
@@ -59,7 +59,7 @@
     def avoid(self, service: str, member: Member) -> None:
         """Pass over a gateway that did not answer, in favour of the next in rank."""
         log_message("batch:keeper_silent", service=service, keeper=member.name)
-        self._avoided_until_by_name[member.name] = boot_clock.now() + AVOID_KEEPER_S
+        self._avoided_until_by_name[member.name] = boot_clock.now() + AVOID_ALLOCATOR_S
 
 
 class SlotClaims:
@@ -78,23 +78,23 @@
     def __init__(
         self,
         own_name: str,
-        keeper: SlotAllocator,
+        allocator: SlotAllocator,
         client: PeerClient,
         gateways: Callable[[], tuple[Member, ...]],
         reachable: ReachableOf = tuple,
     ) -> None:
         self._own_name = own_name
-        self._keeper = keeper
+        self._local_allocator = allocator
         self._client = client
-        self._keepers = AllocatorChoice(gateways, reachable)
+        self._allocator_choice = AllocatorChoice(gateways, reachable)
 
     def claim(self, claim: ClaimSlots) -> SlotsGranted | None:
         """Put a claim to the gateway that ranks first for its pool."""
-        member = self._keepers.allocator_of(claim.service, claim.pool)
+        member = self._allocator_choice.allocator_of(claim.service, claim.pool)
         if member is None or member.name == self._own_name:
-            return self._keeper.claim(claim)
+            return self._local_allocator.claim(claim)
         reply = self._client.call(member.peer, claim, SlotsGranted, CLAIM_TIMEOUT_S)
         if isinstance(reply, SlotsGranted):
             return reply
-        self._keepers.avoid(claim.service, member)
+        self._allocator_choice.avoid(claim.service, member)
         return None
--- a/src/quaymill/process/jobs/slot_grants.py
+++ b/src/quaymill/process/jobs/slot_grants.py
@@ -45,113 +45,115 @@
 
     def __init__(self, rng: random.Random) -> None:
         self._random = rng
-        self._line_by_pool: dict[EnginePool, PoolQueue] = {}
+        self._queue_by_pool: dict[EnginePool, PoolQueue] = {}
         self._unanswered: set[SlotGrant] = set()
         self.refused_early = 0
 
     def length(self, pool: EnginePool) -> int:
         """Return how many requests wait for a pool."""
-        line = self._line_by_pool.get(pool)
-        return 0 if line is None else len(line)
+        queue = self._queue_by_pool.get(pool)
+        return 0 if queue is None else len(queue)
 
     def lengths(self) -> dict[EnginePool, int]:
         """Return how many requests wait, by pool; safe without the lock."""
-        return {pool: len(line) for pool, line in list(self._line_by_pool.items())}
+        return {pool: len(queue) for pool, queue in list(self._queue_by_pool.items())}
 
     @property
     def tenants(self) -> int:
         """Tenants with requests that wait, counted by line; safe without the lock."""
-        return sum(line.tenants for line in list(self._line_by_pool.values()))
+        return sum(queue.tenants for queue in list(self._queue_by_pool.values()))
 
-    def pass_by(self, pool: EnginePool, tenant: str | None) -> None:
+    def record_immediate(self, pool: EnginePool, tenant: str | None) -> None:
         """Count a request that found nobody waiting and a slot free."""
-        self._line_by_pool.setdefault(pool, PoolQueue()).pass_by(tenant)
+        self._queue_by_pool.setdefault(pool, PoolQueue()).record_immediate(tenant)
 
-    def join(self, pool: EnginePool, asked: PlaceOnline, now: float) -> QueuedRequest:
+    def join(self, pool: EnginePool, message: PlaceOnline, now: float) -> QueuedRequest:
         """Put a request into the line of its pool."""
-        return self._line_by_pool.setdefault(pool, PoolQueue()).join(asked, now)
+        return self._queue_by_pool.setdefault(pool, PoolQueue()).join(message, now)
 
-    def refuse(
-        self, pool: EnginePool, waiter: QueuedRequest, replicas: list[Replica], now: float
+    def refuse_if_infeasible(
+        self, pool: EnginePool, queued: QueuedRequest, replicas: list[Replica], now: float
     ) -> float | None:
         """Take a request out that cannot be served; return when it may come again."""
-        line = self._line_by_pool[pool]
+        queue = self._queue_by_pool[pool]
         slots = sum(one.slots for one in replicas)
         if not slots:
             return None
-        retry_after_s = line.retry_after_s(waiter, slots, now)
+        retry_after_s = queue.retry_after_s(queued, slots, now)
         if retry_after_s is None:
             return None
-        line.leave(waiter)
+        queue.leave(queued)
         self.refused_early += 1
         # Those refused meanwhile would else all come at once.
         return retry_after_s * (1.0 + self._random.random())
 
-    def give(
+    def grant_slots(
         self, pool: EnginePool, counts: PoolCounts, replicas: list[Replica], now: float
     ) -> list[SlotGrant]:
         """Give the free slots of a pool, as far as there are any, in the order of the line."""
-        line = self._line_by_pool.get(pool)
-        if line is None or not len(line):
+        queue = self._queue_by_pool.get(pool)
+        if queue is None or not len(queue):
             return []
         free = [one for one in replicas if counts.online_load(one) < one.slots]
-        given: list[SlotGrant] = []
-        for waiter in line.ordered(now) if free else []:
-            able = _able(waiter.asked, free, replicas)
-            if able:
-                turn = self._give_one(pool, counts, line, waiter, able)
-                given.append(turn)
-                if counts.online_load(turn.replica) >= turn.replica.slots:
-                    free.remove(turn.replica)
+        grants: list[SlotGrant] = []
+        for queued in queue.ordered(now) if free else []:
+            usable = _usable_replicas(queued.message, free, replicas)
+            if usable:
+                grant = self._grant_slot(pool, counts, queue, queued, usable)
+                grants.append(grant)
+                if counts.online_load(grant.replica) >= grant.replica.slots:
+                    free.remove(grant.replica)
             if not free:
                 break
-        return given
+        return grants
 
-    def _give_one(
+    def _grant_slot(
         self,
         pool: EnginePool,
         counts: PoolCounts,
-        line: PoolQueue,
-        waiter: QueuedRequest,
-        able: list[Replica],
+        queue: PoolQueue,
+        queued: QueuedRequest,
+        usable: list[Replica],
     ) -> SlotGrant:
-        asked = waiter.asked
-        offsets = {offset.replica_id: offset.requests for offset in asked.offsets}
-        chosen = least_costly(able, counts.online_load, asked.zone, offsets, self._random)
-        line.serve(waiter)
-        counts.promise(chosen.id)
-        turn = SlotGrant(pool, asked.gateway, waiter.process, waiter.ticket, chosen)
-        self._unanswered.add(turn)
-        return turn
-
-    def answered(self, turn: SlotGrant, counts: PoolCounts, *, taken: bool) -> None:
+        message = queued.message
+        offsets = {offset.replica_id: offset.requests for offset in message.offsets}
+        chosen = least_costly(usable, counts.online_load, message.zone, offsets, self._random)
+        queue.serve(queued)
+        counts.reserve(chosen.id)
+        grant = SlotGrant(pool, message.gateway, queued.process, queued.ticket, chosen)
+        self._unanswered.add(grant)
+        return grant
+
+    def record_answer(self, grant: SlotGrant, counts: PoolCounts, *, accepted: bool) -> None:
         """Count a turn that was taken as its gateway's request; else its slot is free again."""
-        if turn not in self._unanswered:
+        if grant not in self._unanswered:
             return
-        self._unanswered.discard(turn)
-        counts.end_promise(turn.replica.id)
-        if taken:
-            counts.place_at(turn.gateway, turn.replica.id)
+        self._unanswered.discard(grant)
+        counts.end_reservation(grant.replica.id)
+        if accepted:
+            counts.add_online(grant.gateway, grant.replica.id)
 
     def depart(self, pool: EnginePool, tickets: Iterable[str]) -> None:
         """Take out requests that wait no more, by the word of their gateway."""
-        line = self._line_by_pool.get(pool)
-        if line is not None:
-            line.depart(tickets)
+        queue = self._queue_by_pool.get(pool)
+        if queue is not None:
+            queue.depart(tickets)
 
     def drop_process(self, process: str) -> int:
         """Take out what a gateway holds that does not answer; return how much that was."""
-        return sum(line.drop_process(process) for line in self._line_by_pool.values())
+        return sum(queue.drop_process(process) for queue in self._queue_by_pool.values())
 
 
-def _able(asked: PlaceOnline, free: list[Replica], replicas: list[Replica]) -> list[Replica]:
+def _usable_replicas(
+    message: PlaceOnline, free: list[Replica], replicas: list[Replica]
+) -> list[Replica]:
     """Return the free replicas that a request may go to.
 
     One that fails is taken only if all that the request may go to do.
     """
-    allowed = [one for one in free if one.id not in asked.excluded]
-    sound = [one for one in allowed if not one.avoided]
-    if sound or not allowed:
-        return sound
-    others = (one for one in replicas if one.id not in asked.excluded)
+    allowed = [one for one in free if one.id not in message.excluded]
+    healthy = [one for one in allowed if not one.avoided]
+    if healthy or not allowed:
+        return healthy
+    others = (one for one in replicas if one.id not in message.excluded)
     return [] if any(not one.avoided for one in others) else best_group(allowed)
--- a/tests/load_player.py
+++ b/tests/load_player.py
@@ -93,7 +93,7 @@
     slot_s_late: float = 0.0
 
     @property
-    def asked(self) -> int:
+    def total(self) -> int:
         """All items."""
         return self.in_time + self.late + self.undone
 
@@ -114,7 +114,7 @@
             if now < self._load.length_s:
                 self._arrive(now)
             self._serve(now)
-            self._share_out(now + STEP_S)
+            self._assign_slots(now + STEP_S)
         self.outcome.undone = len(self._waiting) + len(self._running)
         return self.outcome
 
@@ -132,9 +132,9 @@
             item.done += STEP_S / EVENT_S
             if item.done >= item.events:
                 self._running.remove(item)
-                self._note_done(item, now + STEP_S)
+                self._record_done(item, now + STEP_S)
 
-    def _note_done(self, item: _Item, now: float) -> None:
+    def _record_done(self, item: _Item, now: float) -> None:
         events_in_run = int(item.events - item.events_at_start)
         if events_in_run > 0:
             self._pace.add(item.events, (now - item.started_at) / events_in_run, 1)
@@ -144,7 +144,7 @@
             self.outcome.late += 1
             self.outcome.slot_s_late += item.events * EVENT_S
 
-    def _share_out(self, now: float) -> None:
+    def _assign_slots(self, now: float) -> None:
         free = self._load.slots(now) - self._load.online(now) - len(self._running)
         if free > 0:
             for item in self._by_urgency(self._waiting, now)[:free]:
--- a/tests/test_allocator_calls.py
+++ b/tests/test_allocator_calls.py
@@ -21,7 +21,7 @@
     SlotsFreed,
     SlotsFreedAcknowledged,
 )
-from quaymill.process.jobs.allocator_calls import SENDERS, AllocatorCalls, _Pending
+from quaymill.process.jobs.allocator_calls import MAX_SENDERS, AllocatorCalls, _Pending
 from quaymill.process.jobs.engine_pool import EnginePool
 from quaymill.process.jobs.slot_grants import SlotGrant
 
@@ -32,10 +32,10 @@
     """Answers when the test says so, apart from silent coordinators' calls."""
 
     def __init__(self) -> None:
-        self.go_on = threading.Event()
+        self.may_answer = threading.Event()
         self.calls: list[tuple[str, object]] = []
         self.under_way: Counter[str] = Counter()
-        self.most_under_way: Counter[str] = Counter()
+        self.max_under_way: Counter[str] = Counter()
         self._lock = threading.Lock()
 
     def call(self, endpoint, message, reply_type, timeout_s):
@@ -43,16 +43,16 @@
         with self._lock:
             self.calls.append((name, message))
             self.under_way[name] += 1
-            self.most_under_way |= self.under_way
+            self.max_under_way |= self.under_way
         if name.startswith("slow"):
-            self.go_on.wait(TIMEOUT_S)
+            self.may_answer.wait(TIMEOUT_S)
         with self._lock:
             self.under_way[name] -= 1
         if name.startswith("slow"):
             return PeerNoReply(endpoint, "silent")
         return ItemsPreempted() if isinstance(message, PreemptItems) else SlotsFreedAcknowledged()
 
-    def told(self, name: str) -> list[object]:
+    def sent_to(self, name: str) -> list[object]:
         return [message for to, message in self.calls if to == name]
 
 
@@ -68,26 +68,26 @@
     return Member(name, "z", "r", endpoint, endpoint)
 
 
-class RoomOrdersTest(unittest.TestCase):
+class AllocatorCallsTest(unittest.TestCase):
     """Orders of one keeper."""
 
     def setUp(self):
         self.client = SlowClient()
-        self.cut: list[tuple[ItemsAt, ...]] = []
+        self.preempted: list[tuple[ItemsAt, ...]] = []
         self.claimed = 0
-        self.orders = AllocatorCalls(
-            "own", self.cut.append, self._claim, self.client, NoServer(), member_named
+        self.sender = AllocatorCalls(
+            "own", self.preempted.append, self._claim, self.client, NoServer(), member_named
         )
-        self.addCleanup(self.orders.stop)
-        self.addCleanup(self.client.go_on.set)
+        self.addCleanup(self.sender.stop)
+        self.addCleanup(self.client.may_answer.set)
 
     def _claim(self) -> None:
         self.claimed += 1
 
     def test_own_coordinator_is_told_at_once(self):
-        self.orders.send("own", (ItemsAt("r", 1),))
-        self.orders.wake("own")
-        self.assertEqual(self.cut, [(ItemsAt("r", 1),)])
+        self.sender.send("own", (ItemsAt("r", 1),))
+        self.sender.wake("own")
+        self.assertEqual(self.preempted, [(ItemsAt("r", 1),)])
         self.assertEqual(self.claimed, 1)
 
     def test_a_bug_in_an_order_answers_no_turn_twice(self):
@@ -101,48 +101,48 @@
             raise ValueError("a bug")
 
         client.call = call
-        orders = AllocatorCalls(
+        sender = AllocatorCalls(
             "own",
-            self.cut.append,
+            self.preempted.append,
             self._claim,
             client,
             NoServer(),
             member_named,
-            grant_answered=lambda turn, taken: answered.append((turn.ticket, taken)),
+            grant_answered=lambda grant, accepted: answered.append((grant.ticket, accepted)),
         )
-        self.addCleanup(orders.stop)
+        self.addCleanup(sender.stop)
         replica = mock.Mock(id="r")
-        with orders._changed:
-            orders._waiting["peer"] = _Pending(Counter(r=1))
-            orders.send_grant(SlotGrant(EnginePool("s"), "g", "peer", "t", replica))
-        eventually(lambda: not orders._being_told and not orders._waiting, TIMEOUT_S)
+        with sender._changed:
+            sender._waiting["peer"] = _Pending(Counter(r=1))
+            sender.send_grant(SlotGrant(EnginePool("s"), "g", "peer", "t", replica))
+        eventually(lambda: not sender._being_called and not sender._waiting, TIMEOUT_S)
         self.assertEqual([("t", True)], answered)
 
     def test_silent_coordinators_hold_up_neither_the_keeper_nor_others(self):
         """Each such order took the answer to a placement 0.2 s before."""
         began = time.monotonic()
-        for number in range(SENDERS - 1):
-            self.orders.send(f"slow-{number}", (ItemsAt("r", 1),))
-        self.orders.send("quick", (ItemsAt("r", 2),))
+        for number in range(MAX_SENDERS - 1):
+            self.sender.send(f"slow-{number}", (ItemsAt("r", 1),))
+        self.sender.send("quick", (ItemsAt("r", 2),))
         self.assertLess(time.monotonic() - began, 1.0)
-        eventually(lambda: self.client.told("quick"), TIMEOUT_S)
-        self.assertEqual(self.client.told("quick"), [PreemptItems((ItemsAt("r", 2),))])
+        eventually(lambda: self.client.sent_to("quick"), TIMEOUT_S)
+        self.assertEqual(self.client.sent_to("quick"), [PreemptItems((ItemsAt("r", 2),))])
 
     def test_word_for_a_coordinator_that_is_being_told_goes_out_together(self):
-        self.orders.send("slow", (ItemsAt("r", 1),))
-        eventually(lambda: self.client.told("slow"), TIMEOUT_S)
+        self.sender.send("slow", (ItemsAt("r", 1),))
+        eventually(lambda: self.client.sent_to("slow"), TIMEOUT_S)
         for _ in range(5):
-            self.orders.send("slow", (ItemsAt("r", 1),))
-            self.orders.wake("slow")
-        self.client.go_on.set()
-        eventually(lambda: len(self.client.told("slow")) == 2, TIMEOUT_S)
-        self.assertEqual(self.client.told("slow")[1], PreemptItems((ItemsAt("r", 5),)))
-        self.assertEqual(self.client.most_under_way["slow"], 1)
+            self.sender.send("slow", (ItemsAt("r", 1),))
+            self.sender.wake("slow")
+        self.client.may_answer.set()
+        eventually(lambda: len(self.client.sent_to("slow")) == 2, TIMEOUT_S)
+        self.assertEqual(self.client.sent_to("slow")[1], PreemptItems((ItemsAt("r", 5),)))
+        self.assertEqual(self.client.max_under_way["slow"], 1)
 
     def test_every_word_arrives_however_many_there_are(self):
         names = [f"quick-{number}" for number in range(200)]
         for name in names:
-            self.orders.wake(name)
+            self.sender.wake(name)
         eventually(lambda: len(self.client.calls) == 200, TIMEOUT_S)
         self.assertEqual({name for name, _ in self.client.calls}, set(names))
         self.assertTrue(all(isinstance(message, SlotsFreed) for _, message in self.client.calls))
--- a/tests/test_allocator_queue.py
+++ b/tests/test_allocator_queue.py
@@ -48,19 +48,19 @@
 ROUTE = RequestRoute(
     "online", "h", "/", RouteKind.STREAMING, (WeightedService(SERVICE, 1.0),), 8.0, 0.4
 )
-PATIENCE_S = 8.0
+TIMEOUT_S = 8.0
 
 
 class NoLoads:
     """Engines without reports."""
 
-    def want(self, replicas) -> None:
+    def poll_only(self, replicas) -> None:
         """Do nothing."""
 
     def excess(self, replica) -> int:
         return 0
 
-    def gave_way(self, replica) -> None:
+    def record_preemption(self, replica) -> None:
         """Do nothing."""
 
 
@@ -70,8 +70,8 @@
     def __init__(self) -> None:
         self.handlers_by_name: dict[str, dict[type, object]] = {}
         self.silent: set[str] = set()
-        self.old: set[str] = set()
-        self.broken: set[str] = set()
+        self.old_builds: set[str] = set()
+        self.unsendable: set[str] = set()
 
     def register_for(self, name: str):
         handlers = self.handlers_by_name.setdefault(name, {})
@@ -86,15 +86,15 @@
     def call(self, endpoint, message, reply_type, timeout_s):
         name = endpoint.host
         handler = self.handlers_by_name.get(name, {}).get(type(message))
-        if name in self.broken:
+        if name in self.unsendable:
             raise ValueError("cannot be sent")
         if name in self.silent or handler is None:
             return PeerNoReply(endpoint, "silent")
         line = msgspec.json.encode(message)
-        if name in self.old:
+        if name in self.old_builds:
             line = without(line, "terms")
         reply = msgspec.json.encode(handler(msgspec.json.decode(line, type=type(message))))
-        if name in self.old:
+        if name in self.old_builds:
             reply = without(reply, "line", "waits", "retry_after_s")
         return msgspec.json.decode(reply, type=reply_type)
 
@@ -118,27 +118,27 @@
             self.table,
             self.ask,
             self.process,
-            lambda replica: self.notices.give_back(replica),
-            lambda service, ticket: self.notices.depart(service, ticket),
+            lambda replica: self.reporter.give_back(replica),
+            lambda service, ticket: self.reporter.depart(service, ticket),
         )
-        self.orders = AllocatorCalls(
+        self.calls = AllocatorCalls(
             self.process,
             lambda items: None,
             lambda: None,
             wire,
             wire.register_for(name),
             lambda process: next((one for one in members() if process == f"{one.name}#1"), None),
-            lambda turns: self.notices.accept_grants(turns),
-            lambda turn, taken: self.keeper.grant_answered(turn, taken),
+            lambda grants: self.reporter.accept_grants(grants),
+            lambda grant, taken: self.allocator.grant_answered(grant, taken),
         )
-        self.keeper = SlotAllocator(
-            self.table, NoLoads(), wire.register_for(name), send_grant=self.orders.send_grant
+        self.allocator = SlotAllocator(
+            self.table, NoLoads(), wire.register_for(name), send_grant=self.calls.send_grant
         )
-        self.notices = OnlineReporter(
+        self.reporter = OnlineReporter(
             name,
             "z",
             self.table,
-            self.keeper,
+            self.allocator,
             wire,
             members,
             lambda: {SERVICE},
@@ -146,38 +146,40 @@
             allocator_lost=self.queue.leave_allocator_queue,
             release=self.queue.accept_grant,
         )
-        self.router = Router(self.table, "z", name, self.notices.place)
+        self.router = Router(self.table, "z", name, self.reporter.place)
         self.queue.record(SERVICE, 0.8, 0.05)
-        self.notices.start()
+        self.reporter.start()
 
     def ask(self, service, request, terms):
         found = self.router.constraints_of(service, request.prompt)
-        return None if found is None else self.notices.request_slot(*found, terms)
+        return None if found is None else self.reporter.request_slot(*found, terms)
 
     def begin(self, replica) -> None:
         replica.begin()
-        self.notices.began(replica)
+        self.reporter.began(replica)
 
     def end(self) -> None:
         replica = self.table.get("e1")
         replica.end()
-        self.notices.ended(replica)
+        self.reporter.ended(replica)
 
-    def place_alone(self) -> None:
+    def place_at_once(self) -> None:
         """Send a request as builds without a line do."""
         self.begin(self.router.choose(SERVICE))
 
 
-class OnlineLineTest(unittest.TestCase):
+class AllocatorQueueTest(unittest.TestCase):
     """Two gateways beside the one that keeps room for an engine of two slots."""
 
     def setUp(self) -> None:
         self.wire = Wire()
         self.names = ["a", "b", "c"]
         self.gateways = {name: Gateway(name, self.wire, self.members) for name in self.names}
-        keeper = AllocatorChoice(self.members).allocator_of(SERVICE, 0).name
-        self.keeper = self.gateways[keeper]
-        self.one, self.two = (one for one in self.gateways.values() if one.name != keeper)
+        allocator = AllocatorChoice(self.members).allocator_of(SERVICE, 0).name
+        self.allocator = self.gateways[allocator]
+        self.first_gateway, self.second_gateway = (
+            one for one in self.gateways.values() if one.name != allocator
+        )
         self.results: dict[str, object] = {}
         self.presences: dict[str, CallerPresence] = {}
         self.threads: list[threading.Thread] = []
@@ -189,8 +191,8 @@
         for thread in self.threads:
             thread.join()
         for gateway in self.gateways.values():
-            gateway.notices.stop()
-            gateway.orders.stop()
+            gateway.reporter.stop()
+            gateway.calls.stop()
 
     def members(self) -> tuple[Member, ...]:
         return tuple(
@@ -202,23 +204,23 @@
         name: str,
         gateway: Gateway,
         tenant: str | None = None,
-        patience_s: float = PATIENCE_S,
+        timeout_s: float = TIMEOUT_S,
     ) -> None:
         """Send a request that begins at its engine as soon as it may, and does not end."""
         request = ForwardedRequest(
-            name, "POST", "/x", (), b"", Deadline.after(patience_s), tenant=tenant
+            name, "POST", "/x", (), b"", Deadline.after(timeout_s), tenant=tenant
         )
         presence = self.presences[name] = CallerPresence()
 
         def run() -> None:
-            turn = gateway.queue.wait_for_slot(SERVICE, ROUTE, request, presence)
+            grant = gateway.queue.wait_for_slot(SERVICE, ROUTE, request, presence)
             if presence.gone:
-                if turn is not None:
-                    gateway.queue.give_back(turn)
+                if grant is not None:
+                    gateway.queue.give_back(grant)
                 return
-            if not isinstance(turn, CannotServeInTime):
-                gateway.begin(turn or gateway.router.choose(SERVICE))
-            self.results[name] = turn
+            if not isinstance(grant, CannotServeInTime):
+                gateway.begin(grant or gateway.router.choose(SERVICE))
+            self.results[name] = grant
 
         thread = threading.Thread(target=run)
         self.threads.append(thread)
@@ -230,231 +232,244 @@
             self.assertLess(time.monotonic(), deadline, f"{what}; gone: {self.results}")
             time.sleep(0.002)
 
-    def wait_gone(self, *names: str) -> None:
+    def wait_until_dispatched(self, *names: str) -> None:
         self.wait_for(lambda: set(names) <= set(self.results), f"{names} did not go")
 
-    def wait_line(self, length: int) -> None:
-        turns = self.keeper.keeper.turns
-        self.wait_for(lambda: sum(turns.lengths().values()) == length, f"{turns.lengths()} wait")
+    def wait_until_queued(self, length: int) -> None:
+        queues = self.allocator.allocator.turns
+        self.wait_for(lambda: sum(queues.lengths().values()) == length, f"{queues.lengths()} wait")
 
-    def fill(self) -> None:
+    def take_all_slots(self) -> None:
         """Take all slots, by each gateway at least one: so all know of the keeper's line."""
-        self.one.place_alone()
-        self.two.place_alone()
+        self.first_gateway.place_at_once()
+        self.second_gateway.place_at_once()
 
     def test_a_request_that_finds_a_slot_goes_with_its_place_at_once(self) -> None:
-        self.one.place_alone()
-        self.send("r", self.one)
-        self.wait_gone("r")
+        self.first_gateway.place_at_once()
+        self.send("r", self.first_gateway)
+        self.wait_until_dispatched("r")
         self.assertEqual("e1", self.results["r"].id)
 
     def test_who_waits_goes_when_a_slot_comes_free_anywhere(self) -> None:
-        self.fill()
-        self.send("first", self.one)
-        self.wait_line(1)
-        self.send("second", self.two)
-        self.wait_line(2)
-        self.two.end()
-        self.wait_gone("first")
+        self.take_all_slots()
+        self.send("first", self.first_gateway)
+        self.wait_until_queued(1)
+        self.send("second", self.second_gateway)
+        self.wait_until_queued(2)
+        self.second_gateway.end()
+        self.wait_until_dispatched("first")
         self.assertEqual("e1", self.results["first"].id)
         self.assertNotIn("second", self.results)
-        self.one.end()
-        self.wait_gone("second")
+        self.first_gateway.end()
+        self.wait_until_dispatched("second")
 
     def test_who_left_stands_in_the_line_no_more(self) -> None:
-        self.fill()
-        self.send("leaves", self.one)
-        self.wait_line(1)
-        self.send("stays", self.two)
-        self.wait_line(2)
+        self.take_all_slots()
+        self.send("leaves", self.first_gateway)
+        self.wait_until_queued(1)
+        self.send("stays", self.second_gateway)
+        self.wait_until_queued(2)
         self.presences["leaves"].leave()
-        self.wait_line(1)
-        self.two.end()
-        self.wait_gone("stays")
+        self.wait_until_queued(1)
+        self.second_gateway.end()
+        self.wait_until_dispatched("stays")
 
     def test_many_turns_of_the_keepers_own_requests_that_left(self) -> None:
         """Each is answered at once: they must not be nested in one another."""
-        self.fill()
-        own = self.keeper
+        self.take_all_slots()
+        own = self.allocator
         for index in range(300):
             terms = QueueTerms(f"gone-{index}", own.process, None, 0, 0.5, 0.3, 30, 60, 0.001, 0.05)
-            own.keeper.place_online(PlaceOnline(own.name, "z", SERVICE, (), terms=terms))
-        self.send("waits", self.two, patience_s=1000.0)
-        self.wait_line(301)
-        self.two.end()
-        self.wait_gone("waits")
+            own.allocator.place_online(PlaceOnline(own.name, "z", SERVICE, (), terms=terms))
+        self.send("waits", self.second_gateway, timeout_s=1000.0)
+        self.wait_until_queued(301)
+        self.second_gateway.end()
+        self.wait_until_dispatched("waits")
 
     def test_each_tenant_has_its_turn(self) -> None:
-        self.fill()
+        self.take_all_slots()
         for index in range(3):
-            self.send(f"big-{index}", self.one, "big")
-            self.wait_line(index + 1)
-        self.send("small", self.two, "small")
-        self.wait_line(4)
-        ends = ((self.one, "big-0"), (self.one, "small"), (self.two, "big-1"))
-        for gateway, went in ends:
+            self.send(f"big-{index}", self.first_gateway, "big")
+            self.wait_until_queued(index + 1)
+        self.send("small", self.second_gateway, "small")
+        self.wait_until_queued(4)
+        ends = (
+            (self.first_gateway, "big-0"),
+            (self.first_gateway, "small"),
+            (self.second_gateway, "big-1"),
+        )
+        for gateway, dispatched in ends:
             gateway.end()
-            self.wait_gone(went)
+            self.wait_until_dispatched(dispatched)
         self.assertNotIn("big-2", self.results)
 
     def test_the_turn_of_a_caller_that_left_goes_to_the_next(self) -> None:
-        self.fill()
-        self.send("left", self.one)
-        self.wait_line(1)
-        self.send("next", self.two)
-        self.wait_line(2)
+        self.take_all_slots()
+        self.send("left", self.first_gateway)
+        self.wait_until_queued(1)
+        self.send("next", self.second_gateway)
+        self.wait_until_queued(2)
         self.presences["left"].leave()
         self.threads[0].join()
-        self.two.end()
-        self.wait_gone("next")
+        self.second_gateway.end()
+        self.wait_until_dispatched("next")
         self.assertNotIn("left", self.results)
 
     def test_the_turn_of_a_gateway_that_is_gone_goes_to_the_next(self) -> None:
-        self.fill()
-        self.send("lost", self.one)
-        self.wait_line(1)
-        self.send("next", self.two)
-        self.wait_line(2)
-        self.wire.silent.add(self.one.name)
-        self.two.end()
-        self.wait_gone("next")
+        self.take_all_slots()
+        self.send("lost", self.first_gateway)
+        self.wait_until_queued(1)
+        self.send("next", self.second_gateway)
+        self.wait_until_queued(2)
+        self.wire.silent.add(self.first_gateway.name)
+        self.second_gateway.end()
+        self.wait_until_dispatched("next")
 
     def test_a_turn_that_cannot_be_sent_goes_to_the_next(self) -> None:
-        self.fill()
-        self.send("lost", self.one)
-        self.wait_line(1)
-        self.send("next", self.two)
-        self.wait_line(2)
-        self.wire.broken.add(self.one.name)
-        self.two.end()
-        self.wait_gone("next")
+        self.take_all_slots()
+        self.send("lost", self.first_gateway)
+        self.wait_until_queued(1)
+        self.send("next", self.second_gateway)
+        self.wait_until_queued(2)
+        self.wire.unsendable.add(self.first_gateway.name)
+        self.second_gateway.end()
+        self.wait_until_dispatched("next")
 
     def test_requests_decide_by_themselves_while_their_keeper_is_silent(self) -> None:
-        self.fill()
-        self.send("r", self.one)
-        self.wait_line(1)
-        self.wire.silent.add(self.keeper.name)
-        self.wire.silent.add(self.two.name)
-        self.names.remove(self.keeper.name)
-        self.wait_gone("r")
+        self.take_all_slots()
+        self.send("r", self.first_gateway)
+        self.wait_until_queued(1)
+        self.wire.silent.add(self.allocator.name)
+        self.wire.silent.add(self.second_gateway.name)
+        self.names.remove(self.allocator.name)
+        self.wait_until_dispatched("r")
 
     def test_who_waits_is_taken_up_by_the_next_keeper(self) -> None:
-        self.fill()
-        self.send("r", self.one)
-        self.wait_line(1)
-        self.wire.silent.add(self.keeper.name)
-        self.names.remove(self.keeper.name)
-        self.keeper = self.gateways[AllocatorChoice(self.members).allocator_of(SERVICE, 0).name]
+        self.take_all_slots()
+        self.send("r", self.first_gateway)
+        self.wait_until_queued(1)
+        self.wire.silent.add(self.allocator.name)
+        self.names.remove(self.allocator.name)
+        self.allocator = self.gateways[AllocatorChoice(self.members).allocator_of(SERVICE, 0).name]
         # Both tell the new keeper what they have, and so learn that it keeps a line.
-        self.wait_line(1)
-        self.two.end()
-        self.wait_gone("r")
+        self.wait_until_queued(1)
+        self.second_gateway.end()
+        self.wait_until_dispatched("r")
 
     def test_nothing_waits_past_its_last_call(self) -> None:
-        self.fill()
+        self.take_all_slots()
         began = time.monotonic()
-        self.send("r", self.one, patience_s=2.5)
-        self.wait_gone("r")
+        self.send("r", self.first_gateway, timeout_s=2.5)
+        self.wait_until_dispatched("r")
         self.assertIsNone(self.results["r"])
         self.assertLess(time.monotonic() - began, 1.5)
 
     def test_what_cannot_be_served_is_refused_at_once(self) -> None:
-        self.fill()
+        self.take_all_slots()
         for index in range(12):
-            self.send(f"r{index}", self.one)
-            self.wait_line(index + 1)
+            self.send(f"r{index}", self.first_gateway)
+            self.wait_until_queued(index + 1)
         # Twelve before it at two slots of 0.8 s each take more than 1.5 times its patience.
-        self.send("hopeless", self.two, patience_s=2.7)
-        self.wait_gone("hopeless")
+        self.send("hopeless", self.second_gateway, timeout_s=2.7)
+        self.wait_until_dispatched("hopeless")
         refusal = self.results["hopeless"]
         self.assertIsInstance(refusal, CannotServeInTime)
         self.assertGreater(refusal.retry_after_s, 1.0)
-        self.assertEqual(1, self.keeper.keeper.turns.refused_early)
+        self.assertEqual(1, self.allocator.allocator.turns.refused_early)
 
     def test_a_gateway_that_cannot_wait_is_placed_at_once(self) -> None:
-        self.fill()
-        self.send("waits", self.one)
-        self.wait_line(1)
-        self.assertEqual("e1", self.two.router.choose(SERVICE).id)
+        self.take_all_slots()
+        self.send("waits", self.first_gateway)
+        self.wait_until_queued(1)
+        self.assertEqual("e1", self.second_gateway.router.choose(SERVICE).id)
 
     def test_a_keeper_that_keeps_no_line_is_asked_as_before(self) -> None:
-        self.wire.old.add(self.keeper.name)
-        self.fill()
-        self.send("fresh", self.one)
-        self.wait_gone("fresh")
+        self.wire.old_builds.add(self.allocator.name)
+        self.take_all_slots()
+        self.send("fresh", self.first_gateway)
+        self.wait_until_dispatched("fresh")
         self.assertIsNone(self.results["fresh"])
 
     def test_ends_are_told_at_once_before_anybody_waits(self) -> None:
         """Else the keeper counts slots as taken that came free, and lets the first ones wait."""
-        self.one.place_alone()
-        self.assertFalse(self.one.notices._ends_matter)
-        self.two.place_alone()
-        self.wait_for(lambda: self.two.notices._ends_matter, "the second knows of free slots")
-        self.wait_for(lambda: self.one.notices._ends_matter, "the first heard nothing")
-        self.two.end()
-        self.one.end()
-        self.wait_for(lambda: not self.two.notices._ends_matter, "it still tells at once")
+        self.first_gateway.place_at_once()
+        self.assertFalse(self.first_gateway.reporter._reports_ends_at_once)
+        self.second_gateway.place_at_once()
+        self.wait_for(
+            lambda: self.second_gateway.reporter._reports_ends_at_once,
+            "the second knows of free slots",
+        )
+        self.wait_for(
+            lambda: self.first_gateway.reporter._reports_ends_at_once, "the first heard nothing"
+        )
+        self.second_gateway.end()
+        self.first_gateway.end()
+        self.wait_for(
+            lambda: not self.second_gateway.reporter._reports_ends_at_once, "it still tells at once"
+        )
 
     def test_of_two_keepers_turns_one_is_taken(self) -> None:
-        self.fill()
-        self.send("r", self.one)
-        self.wait_line(1)
-        (ticket,) = self.one.queue._held_by_ticket
-        turn = OnlineGrant(ticket, "e1")
-        self.assertEqual((ticket,), self.one.notices.accept_grants([turn]))
-        self.assertEqual((), self.one.notices.accept_grants([turn]))
-        self.wait_gone("r")
-        self.assertEqual(0, self.one.notices._placed["e1"])
-        self.assertEqual(2, self.one.notices._in_flight["e1"])
+        self.take_all_slots()
+        self.send("r", self.first_gateway)
+        self.wait_until_queued(1)
+        (ticket,) = self.first_gateway.queue._held_by_ticket
+        grant = OnlineGrant(ticket, "e1")
+        self.assertEqual((ticket,), self.first_gateway.reporter.accept_grants([grant]))
+        self.assertEqual((), self.first_gateway.reporter.accept_grants([grant]))
+        self.wait_until_dispatched("r")
+        self.assertEqual(0, self.first_gateway.reporter._placed["e1"])
+        self.assertEqual(2, self.first_gateway.reporter._in_flight["e1"])
 
     def test_a_turn_that_comes_after_its_request_went_is_not_taken(self) -> None:
         """The keeper took the request into its line, and its word of that was lost."""
-        self.one.place_alone()
+        self.first_gateway.place_at_once()
         late: list[str] = []
-        ask = self.one.queue._ask
+        ask = self.first_gateway.queue._ask
 
         def lose_answer(service, request, terms):
             ask(service, request, terms)
             late.append(terms.ticket)
 
-        self.two.place_alone()
-        with mock.patch.object(self.one.queue, "_ask", lose_answer):
-            self.one.queue._may_go = lambda *_: True
-            self.send("r", self.one)
-            self.wait_gone("r")
+        self.second_gateway.place_at_once()
+        with mock.patch.object(self.first_gateway.queue, "_ask", lose_answer):
+            self.first_gateway.queue._may_go = lambda *_: True
+            self.send("r", self.first_gateway)
+            self.wait_until_dispatched("r")
         self.assertIsNone(self.results["r"])
-        self.assertEqual((), self.one.notices.accept_grants([OnlineGrant(late[0], "e1")]))
+        self.assertEqual(
+            (), self.first_gateway.reporter.accept_grants([OnlineGrant(late[0], "e1")])
+        )
 
     def test_a_place_that_is_given_back_is_free_for_the_next(self) -> None:
-        self.one.place_alone()
-        self.two.place_alone()
-        self.two.end()
-        self.send("r", self.one)
-        self.wait_gone("r")
-        self.send("waits", self.two)
-        self.wait_line(1)
-        self.one.end()
-        self.wait_gone("waits")
+        self.first_gateway.place_at_once()
+        self.second_gateway.place_at_once()
+        self.second_gateway.end()
+        self.send("r", self.first_gateway)
+        self.wait_until_dispatched("r")
+        self.send("waits", self.second_gateway)
+        self.wait_until_queued(1)
+        self.first_gateway.end()
+        self.wait_until_dispatched("waits")
 
 
 class ForwardingTest(unittest.TestCase):
     """What becomes of a request whose turn did not lead to an attempt."""
 
     def setUp(self) -> None:
-        self.turns = mock.Mock()
+        self.queue = mock.Mock()
         self.router = mock.Mock()
         self.presence = CallerPresence()
-        self.request = ForwardedRequest("r", "POST", "/x", (), b"", Deadline.after(PATIENCE_S))
+        self.request = ForwardedRequest("r", "POST", "/x", (), b"", Deadline.after(TIMEOUT_S))
 
     def forward(self, key_change=lambda: None):
         forwarder = Forwarder(
-            self.router, mock.Mock(), mock.Mock(), mock.Mock(), self.turns, NoGuard()
+            self.router, mock.Mock(), mock.Mock(), mock.Mock(), self.queue, NoGuard()
         )
         answer = mock.Mock(started=False)
         return forwarder.forward(self.request, ROUTE, answer, self.presence, key_change)
 
     def test_what_cannot_be_served_was_not_run(self) -> None:
-        self.turns.wait_for_slot.return_value = CannotServeInTime("too many", 3.21)
+        self.queue.wait_for_slot.return_value = CannotServeInTime("too many", 3.21)
         refusal = forwarding_refusal(self.forward())
         self.assertEqual((503, 3.2), (refusal.status, refusal.retry_after_s))
         self.router.choose.assert_not_called()
@@ -466,23 +481,23 @@
             self.presence.leave()
             return place
 
-        self.turns.wait_for_slot.side_effect = leave
+        self.queue.wait_for_slot.side_effect = leave
         self.assertIsInstance(self.forward(), CallerLeft)
-        self.turns.give_back.assert_called_once_with(place)
+        self.queue.give_back.assert_called_once_with(place)
 
     def test_the_place_of_a_key_that_was_taken_away_is_given_back(self) -> None:
-        place = self.turns.wait_for_slot.return_value
+        place = self.queue.wait_for_slot.return_value
         changes = iter((None, KeyChanged(taken_away=True)))
         self.assertIsInstance(self.forward(lambda: next(changes)), KeyChanged)
-        self.turns.give_back.assert_called_once_with(place)
+        self.queue.give_back.assert_called_once_with(place)
 
 
 class MixedBuildsTest(unittest.TestCase):
     """Messages of builds that know no line."""
 
     def test_old_words_are_read(self) -> None:
-        old = b'{"kind":"PlaceOnline","gateway":"g","zone":"z","service":"s","in_flight":[]}'
-        self.assertIsNone(msgspec.json.decode(old, type=PlaceOnline).terms)
+        old_builds = b'{"kind":"PlaceOnline","gateway":"g","zone":"z","service":"s","in_flight":[]}'
+        self.assertIsNone(msgspec.json.decode(old_builds, type=PlaceOnline).terms)
 
     def test_turns_survive_the_wire(self) -> None:
         for message in (OnlineGrants(()), GrantsAccepted(("t",)), OnlineInFlight("g", "s", ())):
--- a/tests/test_item_run.py
+++ b/tests/test_item_run.py
@@ -29,7 +29,7 @@
 )
 HALF_AN_EVENT = HEAD_ONLY + b"8\r\nid: 1\nda\r\n"
 JOIN_TIMEOUT_S = 10.0
-LONGEST_SILENCE_S = 18.0 / 6
+MAX_SILENCE_S = 18.0 / 6
 """A sixth of the 18 s in which a job is due: an item of five seconds that meets two such$
 replicas is still in time."""
 
@@ -95,6 +95,6 @@
         began = boot_clock.now()
         thread, connection = self.run_until_answered(answer)
         outcome = self.outcome_of(thread)
-        self.assertLess(boot_clock.now() - began, LONGEST_SILENCE_S)
+        self.assertLess(boot_clock.now() - began, MAX_SILENCE_S)
         self.assertTrue(outcome.blames_replica)
         self.assertEqual(b"", connection.recv(1), "the replica sees that the item has left")
--- a/tests/test_load_player.py
+++ b/tests/test_load_player.py
@@ -29,7 +29,7 @@
 
 def mean_share(load: Load, count: Callable[[Outcome], int]) -> float:
     outcomes = [play(load, seed) for seed in SEEDS]
-    return sum(map(count, outcomes)) / sum(outcome.asked for outcome in outcomes)
+    return sum(map(count, outcomes)) / sum(outcome.total for outcome in outcomes)
 
 
 @attrs.frozen
@@ -67,7 +67,7 @@
         self.assertLess(share, 0.08)
 
     def test_rows_go_red_without_the_margin(self):
-        with mock.patch("quaymill.process.jobs.item_urgency.SAFE_FACTOR", 0.7):
+        with mock.patch("quaymill.process.jobs.item_urgency.SAFETY_FACTOR", 0.7):
             for row in ROWS[-2:]:
                 share = mean_share(row.load, lambda outcome: outcome.in_time)
                 self.assertLess(share, row.in_time, row.what)
--- a/tests/test_pool_queue.py
+++ b/tests/test_pool_queue.py
@@ -13,7 +13,7 @@
 from quaymill.connection.slot_messages import PlaceOnline, QueueTerms
 from quaymill.process.jobs.engine_pool import EnginePool
 from quaymill.process.jobs.pool_counts import PoolCounts
-from quaymill.process.jobs.pool_queue import SURE_FACTOR, TURN_WAY_S, PoolQueue
+from quaymill.process.jobs.pool_queue import GRANT_LATENCY_S, REFUSAL_FACTOR, PoolQueue
 from quaymill.process.jobs.slot_grants import PoolQueues, SlotGrant
 from quaymill.process.replica_set.replica import Replica
 from quaymill.request.fair_shares import MAX_TENANTS, FairShares
@@ -22,9 +22,11 @@
 SERVICE_S = 0.8
 
 
-def asked(ticket: str, tenant: str | None = None, process: str = "g#1", **fields) -> PlaceOnline:
+def place_message(
+    ticket: str, tenant: str | None = None, process: str = "g#1", **fields
+) -> PlaceOnline:
     """Return how a gateway asks for a request that may wait."""
-    given = {
+    fields_of_terms = {
         "rank": 0,
         "waited_s": 0.0,
         "target_in_s": 0.3,
@@ -33,7 +35,7 @@
         "service_s": SERVICE_S,
         "first_byte_s": 0.05,
     } | fields
-    terms = QueueTerms(ticket, process, tenant, **given)
+    terms = QueueTerms(ticket, process, tenant, **fields_of_terms)
     return PlaceOnline(process.partition("#")[0], "x", SERVICE, (), terms=terms)
 
 
@@ -75,28 +77,28 @@
         self.assertLessEqual(len(self.shares._next_tag_by_tenant), MAX_TENANTS + 1)
 
 
-class WaitingLineTest(unittest.TestCase):
+class PoolQueueTest(unittest.TestCase):
     """One line."""
 
     def setUp(self) -> None:
-        self.line = PoolQueue()
+        self.queue = PoolQueue()
 
     def tickets(self, now: float) -> list[str]:
-        return [one.ticket for one in self.line.ordered(now)]
+        return [one.ticket for one in self.queue.ordered(now)]
 
     def test_order(self) -> None:
         now = 10.0
-        given = [
-            asked("late", "c", target_in_s=-1.0),
-            asked("too near its aim", "d", target_in_s=0.05 + TURN_WAY_S),
-            asked("first of a", "a"),
-            asked("second of a", "a"),
-            asked("third of a", "a"),
-            asked("first of b", "b"),
-            asked("urgent", "a", rank=-1),
+        fields_of_terms = [
+            place_message("late", "c", target_in_s=-1.0),
+            place_message("too near its aim", "d", target_in_s=0.05 + GRANT_LATENCY_S),
+            place_message("first of a", "a"),
+            place_message("second of a", "a"),
+            place_message("third of a", "a"),
+            place_message("first of b", "b"),
+            place_message("urgent", "a", rank=-1),
         ]
-        for index, one in enumerate(given):
-            self.line.join(one, now + 0.001 * index)
+        for index, one in enumerate(fields_of_terms):
+            self.queue.join(one, now + 0.001 * index)
         expected = [
             "urgent",
             "first of a",
@@ -110,57 +112,57 @@
 
     def test_without_tenants_the_oldest_goes_first(self) -> None:
         for ticket, waited_s in (("new", 0.0), ("old", 0.2), ("between", 0.1)):
-            self.line.join(asked(ticket, waited_s=waited_s), 1.0)
+            self.queue.join(place_message(ticket, waited_s=waited_s), 1.0)
         self.assertEqual(["old", "between", "new"], self.tickets(1.0))
 
     def test_who_asks_again_keeps_its_place(self) -> None:
         for ticket in ("first", "second"):
-            self.line.join(asked(ticket, "a"), 1.0)
-        self.line.join(asked("first", "a", waited_s=0.1), 1.1)
+            self.queue.join(place_message(ticket, "a"), 1.0)
+        self.queue.join(place_message("first", "a", waited_s=0.1), 1.1)
         self.assertEqual(["first", "second"], self.tickets(1.1))
-        self.assertEqual(2, len(self.line))
+        self.assertEqual(2, len(self.queue))
 
     def test_past_its_last_call_a_request_is_its_gateways(self) -> None:
-        self.line.join(asked("short", dispatch_by_s=0.5), 1.0)
-        self.line.join(asked("long"), 1.0)
+        self.queue.join(place_message("short", dispatch_by_s=0.5), 1.0)
+        self.queue.join(place_message("long"), 1.0)
         self.assertEqual(["long"], self.tickets(1.6))
 
     def test_requests_of_a_gateway_that_is_gone_are_dropped(self) -> None:
-        self.line.join(asked("a"), 1.0)
-        self.line.join(asked("b", process="h#1"), 1.0)
-        self.assertEqual(1, self.line.drop_process("g#1"))
+        self.queue.join(place_message("a"), 1.0)
+        self.queue.join(place_message("b", process="h#1"), 1.0)
+        self.assertEqual(1, self.queue.drop_process("g#1"))
         self.assertEqual(["b"], self.tickets(1.0))
 
     def test_requests_past_their_last_call_refuse_nobody(self) -> None:
         for index in range(40):
-            self.line.join(asked(f"gone-{index}", dispatch_by_s=0.1), 1.0)
-        fresh = self.line.join(asked("fresh", left_s=2.0), 2.0)
-        self.assertIsNone(self.line.retry_after_s(fresh, 2, 2.0))
+            self.queue.join(place_message(f"gone-{index}", dispatch_by_s=0.1), 1.0)
+        fresh = self.queue.join(place_message("fresh", left_s=2.0), 2.0)
+        self.assertIsNone(self.queue.retry_after_s(fresh, 2, 2.0))
 
     def test_what_was_never_served_costs_a_tenant_nothing(self) -> None:
         for index in range(300):
-            self.line.join(asked(f"gone-{index}", "large", dispatch_by_s=0.1), 1.0)
-        self.line.ordered(2.0)
-        self.line.join(asked("small", "small"), 2.0)
-        self.line.join(asked("large", "large"), 2.0)
-        self.line.join(asked("second small", "small"), 2.0)
+            self.queue.join(place_message(f"gone-{index}", "large", dispatch_by_s=0.1), 1.0)
+        self.queue.ordered(2.0)
+        self.queue.join(place_message("small", "small"), 2.0)
+        self.queue.join(place_message("large", "large"), 2.0)
+        self.queue.join(place_message("second small", "small"), 2.0)
         self.assertEqual(["small", "large", "second small"], self.tickets(2.0))
 
     @params((4, None), (14, None), (16, 2.4))
     def test_only_what_can_surely_not_be_served_is_refused(self, ahead, expected) -> None:
         """Two slots serve 2.5 requests a second; the caller waits four seconds."""
-        self.assertEqual(1.5, SURE_FACTOR)
+        self.assertEqual(1.5, REFUSAL_FACTOR)
         for index in range(ahead):
-            self.line.join(asked(f"before-{index}"), 1.0)
-        last = self.line.join(asked("last", left_s=4.0), 1.1)
-        found = self.line.retry_after_s(last, 2, 1.1)
+            self.queue.join(place_message(f"before-{index}"), 1.0)
+        last = self.queue.join(place_message("last", left_s=4.0), 1.1)
+        found = self.queue.retry_after_s(last, 2, 1.1)
         if expected is None:
             self.assertIsNone(found)
         else:
             self.assertAlmostEqual(expected, found)
 
 
-class TurnGiverTest(unittest.TestCase):
+class PoolQueuesTest(unittest.TestCase):
     """Turns, and what the counts of a pool hold of them."""
 
     def setUp(self) -> None:
@@ -168,29 +170,29 @@
         address = Endpoint("127.0.0.1", 1)
         self.replica = Replica(ReplicaEntry("e", SERVICE, address, "x", slots=2))
         self.counts = PoolCounts()
-        self.counts.take_online("g", Counter(), 1.0)
-        self.giver = PoolQueues(random.Random(1))
+        self.counts.set_online("g", Counter(), 1.0)
+        self.queues = PoolQueues(random.Random(1))
 
-    def give(self, ticket: str, now: float) -> SlotGrant:
-        self.giver.join(self.pool, asked(ticket), now)
-        (turn,) = self.giver.give(self.pool, self.counts, [self.replica], now)
-        return turn
+    def join_and_grant(self, ticket: str, now: float) -> SlotGrant:
+        self.queues.join(self.pool, place_message(ticket), now)
+        (grant,) = self.queues.grant_slots(self.pool, self.counts, [self.replica], now)
+        return grant
 
     def test_without_a_replica_nobody_is_refused(self) -> None:
         for index in range(40):
-            waiter = self.giver.join(self.pool, asked(str(index)), 1.0)
-        self.assertIsNone(self.giver.refuse(self.pool, waiter, [], 1.0))
+            queued = self.queues.join(self.pool, place_message(str(index)), 1.0)
+        self.assertIsNone(self.queues.refuse_if_infeasible(self.pool, queued, [], 1.0))
 
     @params((True, False), (False, True), (False, False))
-    def test_a_second_turn_of_one_request_keeps_no_slot(self, *taken: bool) -> None:
+    def test_a_second_turn_of_one_request_keeps_no_slot(self, *accepted: bool) -> None:
         """It asked again while its first turn was on its way."""
-        turns = [self.give("one", 1.0), self.give("one", 2.0)]
-        self.assertEqual(2, self.counts.promised)
-        for turn, was_taken in zip(turns, taken, strict=True):
-            self.giver.answered(turn, self.counts, taken=was_taken)
-            self.giver.answered(turn, self.counts, taken=was_taken)
-        self.assertEqual(0, self.counts.promised)
-        self.assertEqual(sum(taken), self.counts.online[self.replica.id])
+        grants = [self.join_and_grant("one", 1.0), self.join_and_grant("one", 2.0)]
+        self.assertEqual(2, self.counts.reserved)
+        for grant, was_accepted in zip(grants, accepted, strict=True):
+            self.queues.record_answer(grant, self.counts, accepted=was_accepted)
+            self.queues.record_answer(grant, self.counts, accepted=was_accepted)
+        self.assertEqual(0, self.counts.reserved)
+        self.assertEqual(sum(accepted), self.counts.online[self.replica.id])
 
 
 if __name__ == "__main__":
--- a/tests/test_slot_allocator.py
+++ b/tests/test_slot_allocator.py
@@ -44,14 +44,14 @@
     WAKE_INTERVAL_S,
     SlotAllocator,
 )
-from quaymill.process.jobs.slot_claims import AVOID_KEEPER_S, AllocatorChoice, SlotClaims
+from quaymill.process.jobs.slot_claims import AVOID_ALLOCATOR_S, AllocatorChoice, SlotClaims
 from quaymill.process.membership.ranking import strongest
 from quaymill.process.replica_set.router import PlacementConstraints
 from quaymill.process.replica_set.table import ReplicaTable
 from quaymill.version.request_routes import RequestRoute, RouteKind, WeightedService
 
 SERVICE = "engine"
-NO_WISHES = PlacementConstraints(frozenset(), {})
+NO_CONSTRAINTS = PlacementConstraints(frozenset(), {})
 EVERY_ITEM = WantedItems(reserve_share=0.0, items=100, tokens=10)
 
 
@@ -63,19 +63,19 @@
         self.excess_by_replica: Counter[str] = Counter()
         self.wanted: frozenset[str] = frozenset()
 
-    def want(self, replicas):
+    def poll_only(self, replicas):
         self.wanted = frozenset(replica.entry.service for replica in replicas)
 
-    def room(self, replica, tokens):
+    def startable_items(self, replica, tokens):
         return max(0, self.free_by_replica[replica.id])
 
     def excess(self, replica):
         return self.excess_by_replica[replica.id]
 
-    def started(self, replica, tokens):
+    def record_start(self, replica, tokens):
         self.free_by_replica[replica.id] -= 1
 
-    def gave_way(self, replica):
+    def record_preemption(self, replica):
         self.excess_by_replica[replica.id] = 0
 
 
@@ -88,7 +88,7 @@
     return {at.replica_id: at.items for at in granted_at}
 
 
-class KeeperCase(unittest.TestCase):
+class AllocatorCase(unittest.TestCase):
     """Time is the test's own; slots are enough for every count, unless a test says otherwise."""
 
     slots = 64
@@ -99,7 +99,7 @@
         patch.start()
         self.addCleanup(patch.stop)
 
-    def keeper(self, **free_by_replica: int) -> SlotAllocator:
+    def allocator(self, **free_by_replica: int) -> SlotAllocator:
         self.lost_zones: set[str] = set()
         table = ReplicaTable(is_unreachable=self.lost_zones.__contains__)
         entries = [
@@ -112,133 +112,133 @@
         return SlotAllocator(table, self.loads)
 
 
-class RoomKeeperTest(KeeperCase):
+class SlotAllocatorTest(AllocatorCase):
     """Claims of coordinators."""
 
     def test_alone_a_coordinator_gets_all_that_is_free(self) -> None:
-        granted = self.keeper(x1=3, y1=2).claim(claim("a", EVERY_ITEM))
+        granted = self.allocator(x1=3, y1=2).claim(claim("a", EVERY_ITEM))
         self.assertEqual({"x1": 3, "y1": 2}, items(granted.starts))
 
     def test_no_more_is_granted_than_is_wanted(self) -> None:
-        granted = self.keeper(x1=3).claim(claim("a", WantedItems(0.0, 2, 10)))
+        granted = self.allocator(x1=3).claim(claim("a", WantedItems(0.0, 2, 10)))
         self.assertEqual({"x1": 2}, items(granted.starts))
 
     def test_what_is_free_is_shared_among_those_that_wait(self) -> None:
-        keeper = self.keeper(x1=0)
+        allocator = self.allocator(x1=0)
         for name in ("a", "b", "c"):
-            keeper.claim(claim(name, EVERY_ITEM))
+            allocator.claim(claim(name, EVERY_ITEM))
         self.loads.free_by_replica["x1"] = 9
-        granted = [keeper.claim(claim(name, EVERY_ITEM)) for name in ("a", "b", "c")]
+        granted = [allocator.claim(claim(name, EVERY_ITEM)) for name in ("a", "b", "c")]
         # A third of nine, then a third of six, then of four: no one is left without.
         self.assertEqual([3, 2, 2], [items(one.starts)["x1"] for one in granted])
 
     def test_coordinators_that_claim_no_more_get_no_part(self) -> None:
-        keeper = self.keeper(x1=0)
-        keeper.claim(claim("a", EVERY_ITEM))
-        keeper.claim(claim("b", EVERY_ITEM))
+        allocator = self.allocator(x1=0)
+        allocator.claim(claim("a", EVERY_ITEM))
+        allocator.claim(claim("b", EVERY_ITEM))
         self.now += CLAIM_LIFETIME_S
         self.loads.free_by_replica["x1"] = 4
-        self.assertEqual({"x1": 4}, items(keeper.claim(claim("b", EVERY_ITEM)).starts))
+        self.assertEqual({"x1": 4}, items(allocator.claim(claim("b", EVERY_ITEM)).starts))
 
     def test_engines_are_polled_only_while_someone_claims(self) -> None:
-        keeper = self.keeper(x1=0)
-        keeper.claim(claim("a", EVERY_ITEM))
-        keeper.claim(claim("b", EVERY_ITEM, service="other"))
+        allocator = self.allocator(x1=0)
+        allocator.claim(claim("a", EVERY_ITEM))
+        allocator.claim(claim("b", EVERY_ITEM, service="other"))
         self.assertEqual({SERVICE, "other"}, self.loads.wanted)
         self.now += CLAIM_LIFETIME_S
-        keeper.claim(claim("b", EVERY_ITEM, service="other"))
+        allocator.claim(claim("b", EVERY_ITEM, service="other"))
         self.assertEqual({"other"}, self.loads.wanted)
 
     def test_excess_is_owed_by_those_with_most_items_there_and_only_once(self) -> None:
-        keeper = self.keeper(x1=0)
-        keeper.claim(claim("a", running=[("x1", 5)]))
-        keeper.claim(claim("b", running=[("x1", 2)]))
+        allocator = self.allocator(x1=0)
+        allocator.claim(claim("a", running=[("x1", 5)]))
+        allocator.claim(claim("b", running=[("x1", 2)]))
         self.loads.excess_by_replica["x1"] = 6
-        granted = keeper.claim(claim("b", running=[("x1", 2)]))
+        granted = allocator.claim(claim("b", running=[("x1", 2)]))
         self.assertEqual({"x1": 1}, items(granted.preempt))
-        granted = keeper.claim(claim("a", running=[("x1", 5)]))
+        granted = allocator.claim(claim("a", running=[("x1", 5)]))
         self.assertEqual({"x1": 5}, items(granted.preempt))
-        self.assertEqual({}, items(keeper.claim(claim("a", running=[("x1", 5)])).preempt))
+        self.assertEqual({}, items(allocator.claim(claim("a", running=[("x1", 5)])).preempt))
 
     def test_replicas_of_the_zone_come_first_among_those_as_free(self) -> None:
-        granted = self.keeper(x1=2, y1=2).claim(claim("a", WantedItems(0.0, 1, 10), zone="y"))
+        granted = self.allocator(x1=2, y1=2).claim(claim("a", WantedItems(0.0, 1, 10), zone="y"))
         self.assertEqual({"y1": 1}, items(granted.starts))
 
     def test_replica_that_fails_for_a_coordinator_is_not_granted_to_it(self) -> None:
-        keeper = self.keeper(x1=5, y1=2)
-        granted = keeper.claim(claim("a", EVERY_ITEM, avoided=("x1",)))
+        allocator = self.allocator(x1=5, y1=2)
+        granted = allocator.claim(claim("a", EVERY_ITEM, avoided=("x1",)))
         self.assertEqual({"y1": 2}, items(granted.starts))
-        granted = keeper.claim(claim("a", EVERY_ITEM))
+        granted = allocator.claim(claim("a", EVERY_ITEM))
         self.assertEqual({"x1": 5}, items(granted.starts))
 
 
-class OnlineTest(KeeperCase):
+class OnlineLoadTest(AllocatorCase):
     """Online requests that gateways tell of before the engines do."""
 
     slots = 8
 
     def setUp(self) -> None:
         super().setUp()
-        self.orders: list[tuple[str, dict[str, int]]] = []
+        self.preemptions: list[tuple[str, dict[str, int]]] = []
 
-    def keeper(self, **free_by_replica: int) -> SlotAllocator:
-        keeper = super().keeper(**free_by_replica)
-        keeper._order_back = lambda name, at: self.orders.append((name, items(at)))
-        return keeper
+    def allocator(self, **free_by_replica: int) -> SlotAllocator:
+        allocator = super().allocator(**free_by_replica)
+        allocator._preempt_items = lambda name, at: self.preemptions.append((name, items(at)))
+        return allocator
 
-    def tell(self, keeper: SlotAllocator, gateway: str, **in_flight: int) -> PoolLoads:
-        told = tuple(ItemsAt(*one) for one in in_flight.items())
-        return keeper.record_online(OnlineInFlight(gateway, SERVICE, told))
+    def report(self, allocator: SlotAllocator, gateway: str, **in_flight: int) -> PoolLoads:
+        in_flight_items = tuple(ItemsAt(*one) for one in in_flight.items())
+        return allocator.record_online(OnlineInFlight(gateway, SERVICE, in_flight_items))
 
     def test_excess_is_owed_by_those_with_most_items_there_and_only_once(self) -> None:
-        keeper = self.keeper(x1=0)
-        keeper.claim(claim("a", running=[("x1", 5)]))
-        keeper.claim(claim("b", running=[("x1", 2)]))
-        self.tell(keeper, "g", x1=7)
-        self.assertEqual([("a", {"x1": 5}), ("b", {"x1": 1})], self.orders)
-        self.tell(keeper, "g", x1=7)
-        self.assertEqual(2, len(self.orders))
+        allocator = self.allocator(x1=0)
+        allocator.claim(claim("a", running=[("x1", 5)]))
+        allocator.claim(claim("b", running=[("x1", 2)]))
+        self.report(allocator, "g", x1=7)
+        self.assertEqual([("a", {"x1": 5}), ("b", {"x1": 1})], self.preemptions)
+        self.report(allocator, "g", x1=7)
+        self.assertEqual(2, len(self.preemptions))
 
     def test_nothing_is_placed_in_a_zone_that_is_not_reached(self) -> None:
-        keeper = self.keeper(x1=0, y1=0)
-        self.tell(keeper, "h", x1=5)
-        self.assertEqual("y1", self.place(keeper, "g", in_flight=()).replica_id)
+        allocator = self.allocator(x1=0, y1=0)
+        self.report(allocator, "h", x1=5)
+        self.assertEqual("y1", self.place(allocator, "g", in_flight=()).replica_id)
         self.lost_zones.add("y")
-        self.assertEqual("x1", self.place(keeper, "g", in_flight=()).replica_id)
-        placed = self.place(keeper, "g", in_flight=(), excluded=("x1",))
+        self.assertEqual("x1", self.place(allocator, "g", in_flight=()).replica_id)
+        placed = self.place(allocator, "g", in_flight=(), excluded=("x1",))
         self.assertEqual("y1", placed.replica_id)
 
     def test_only_what_is_new_makes_items_give_way(self) -> None:
-        keeper = self.keeper(x1=0)
-        keeper.claim(claim("a", running=[("x1", 5)]))
-        self.tell(keeper, "g", x1=3)
-        self.assertEqual([], self.orders)
-        self.tell(keeper, "h", x1=1)
-        self.tell(keeper, "g", x1=5)
-        self.assertEqual([("a", {"x1": 1}), ("a", {"x1": 2})], self.orders)
+        allocator = self.allocator(x1=0)
+        allocator.claim(claim("a", running=[("x1", 5)]))
+        self.report(allocator, "g", x1=3)
+        self.assertEqual([], self.preemptions)
+        self.report(allocator, "h", x1=1)
+        self.report(allocator, "g", x1=5)
+        self.assertEqual([("a", {"x1": 1}), ("a", {"x1": 2})], self.preemptions)
 
     def test_answer_tells_what_all_have_at_each_replica(self) -> None:
-        keeper = self.keeper(x1=0, y1=0)
-        keeper.claim(claim("a", running=[("y1", 2)]))
-        self.tell(keeper, "g", x1=3)
-        loads = {one.replica_id: one for one in self.tell(keeper, "h", x1=1).loads}
+        allocator = self.allocator(x1=0, y1=0)
+        allocator.claim(claim("a", running=[("y1", 2)]))
+        self.report(allocator, "g", x1=3)
+        loads = {one.replica_id: one for one in self.report(allocator, "h", x1=1).loads}
         self.assertEqual((4, 0), (loads["x1"].online, loads["x1"].batch))
         self.assertEqual((0, 2), (loads["y1"].online, loads["y1"].batch))
 
-    def place(self, keeper: SlotAllocator, gateway: str, **fields) -> OnlinePlaced:
-        return keeper.place_online(PlaceOnline(gateway, "x", SERVICE, **fields))
+    def place(self, allocator: SlotAllocator, gateway: str, **fields) -> OnlinePlaced:
+        return allocator.place_online(PlaceOnline(gateway, "x", SERVICE, **fields))
 
     def test_requests_of_many_gateways_are_placed_evenly(self) -> None:
-        keeper = self.keeper(x1=0, x2=0, x3=0)
-        placed = Counter(self.place(keeper, f"g{n}", in_flight=()).replica_id for n in range(9))
+        allocator = self.allocator(x1=0, x2=0, x3=0)
+        placed = Counter(self.place(allocator, f"g{n}", in_flight=()).replica_id for n in range(9))
         self.assertEqual({"x1": 3, "x2": 3, "x3": 3}, placed)
 
     def test_a_placed_request_counts_until_its_gateway_tells_again(self) -> None:
-        keeper = self.keeper(x1=0)
-        placed = self.place(keeper, "g", in_flight=(ItemsAt("x1", 2),))
+        allocator = self.allocator(x1=0)
+        placed = self.place(allocator, "g", in_flight=(ItemsAt("x1", 2),))
         self.assertEqual([3], [one.online for one in placed.loads])
-        self.assertEqual([3], [one.online for one in self.tell(keeper, "h").loads])
-        self.assertEqual([1], [one.online for one in self.tell(keeper, "g", x1=1).loads])
+        self.assertEqual([3], [one.online for one in self.report(allocator, "h").loads])
+        self.assertEqual([1], [one.online for one in self.report(allocator, "g", x1=1).loads])
 
     @params(
         ("less busy", {"in_flight": (ItemsAt("x1", 1),)}, "x2"),
@@ -251,163 +251,169 @@
         ("all tried", {"in_flight": (), "excluded": ("x1", "x2", "y1")}, ""),
     )
     def test_where_a_request_is_placed(self, _name, fields, expected) -> None:
-        placed = self.place(self.keeper(x1=0, x2=0, y1=0), "g", **fields)
+        placed = self.place(self.allocator(x1=0, x2=0, y1=0), "g", **fields)
         self.assertIn(placed.replica_id, expected.split() or [""])
 
     def test_batch_items_give_way_to_a_placed_request(self) -> None:
-        keeper = self.keeper(x1=0)
-        keeper.claim(claim("a", running=[("x1", 7)]))
-        self.place(keeper, "g", in_flight=(ItemsAt("x1", 1),))
-        self.assertEqual([("a", {"x1": 1})], self.orders)
+        allocator = self.allocator(x1=0)
+        allocator.claim(claim("a", running=[("x1", 7)]))
+        self.place(allocator, "g", in_flight=(ItemsAt("x1", 1),))
+        self.assertEqual([("a", {"x1": 1})], self.preemptions)
 
     def test_word_of_a_gateway_that_is_gone_lapses(self) -> None:
-        keeper = self.keeper(x1=0)
-        self.tell(keeper, "g", x1=3)
+        allocator = self.allocator(x1=0)
+        self.report(allocator, "g", x1=3)
         self.now += ONLINE_LIFETIME_S + 0.1
-        self.assertEqual([0], [one.online for one in self.tell(keeper, "h").loads])
+        self.assertEqual([0], [one.online for one in self.report(allocator, "h").loads])
 
     def test_online_requests_take_room_before_the_engine_tells(self) -> None:
-        keeper = self.keeper(x1=8)
-        keeper.claim(claim("a"))
-        self.tell(keeper, "g", x1=4)
+        allocator = self.allocator(x1=8)
+        allocator.claim(claim("a"))
+        self.report(allocator, "g", x1=4)
         # Eight slots, four of them taken, and one that is left to online requests.
-        self.assertEqual({"x1": 3}, items(keeper.claim(claim("a", EVERY_ITEM)).starts))
+        self.assertEqual({"x1": 3}, items(allocator.claim(claim("a", EVERY_ITEM)).starts))
 
 
-class NoticesTest(KeeperCase):
+class OnlineReporterTest(AllocatorCase):
     """What a gateway tells of its own requests; it keeps room itself here."""
 
     def setUp(self) -> None:
         super().setUp()
-        self.room = self.keeper(x1=0, y1=0)
+        self.own_allocator = self.allocator(x1=0, y1=0)
         self.batch_services = {SERVICE}
         own = member("me", 1)
-        self.notices = OnlineReporter(
+        self.reporter = OnlineReporter(
             "me",
             "x",
-            self.room._table,
-            self.room,
+            self.own_allocator._table,
+            self.own_allocator,
             mock.Mock(),
             lambda: (own,),
             lambda: self.batch_services,
         )
 
-    def tell(self) -> dict[str, int]:
-        due = self.notices._due()
+    def report(self) -> dict[str, int]:
+        due = self.reporter._take_due()
         if due is not None:
-            self.notices._tell(due)
-        return self.room._counts(pools_of(SERVICE, self.room._table)[0]).online_of("me")
+            self.reporter._report(due)
+        return self.own_allocator._counts(
+            pools_of(SERVICE, self.own_allocator._table)[0]
+        ).online_of("me")
 
     def test_requests_in_flight_are_told_and_their_end_once(self) -> None:
-        replica = self.room._table.get("x1")
-        self.notices.began(replica)
-        self.notices.began(replica)
-        self.assertEqual({"x1": 2}, self.tell())
+        replica = self.own_allocator._table.get("x1")
+        self.reporter.began(replica)
+        self.reporter.began(replica)
+        self.assertEqual({"x1": 2}, self.report())
         self.assertTrue(replica.has_pool_view)
-        self.notices.ended(replica)
-        self.assertEqual({"x1": 1}, self.tell())
-        self.notices.ended(replica)
-        self.assertEqual({}, self.tell())
-        self.assertIsNone(self.notices._due())
+        self.reporter.ended(replica)
+        self.assertEqual({"x1": 1}, self.report())
+        self.reporter.ended(replica)
+        self.assertEqual({}, self.report())
+        self.assertIsNone(self.reporter._take_due())
 
     def test_a_placed_request_is_told_with_the_next_notice_only(self) -> None:
-        first = self.room._table.get("x1")
-        chosen = self.notices.place(first, NO_WISHES)
-        self.notices.began(chosen)
-        self.assertFalse(self.notices._news.is_set())
-        self.assertEqual({chosen.id: 1}, self.tell())
-        self.notices.began(chosen)
-        self.assertTrue(self.notices._news.is_set())
+        first = self.own_allocator._table.get("x1")
+        chosen = self.reporter.place(first, NO_CONSTRAINTS)
+        self.reporter.began(chosen)
+        self.assertFalse(self.reporter._report_now.is_set())
+        self.assertEqual({chosen.id: 1}, self.report())
+        self.reporter.began(chosen)
+        self.assertTrue(self.reporter._report_now.is_set())
 
     def test_the_end_of_a_placed_request_is_told(self) -> None:
         """Else the keeper counts it until its gateway's word lapses, and keeps the slot free."""
-        chosen = self.notices.place(self.room._table.get("x1"), NO_WISHES)
-        self.notices.began(chosen)
-        self.notices.ended(chosen)
-        self.assertEqual({}, self.tell())
+        chosen = self.reporter.place(self.own_allocator._table.get("x1"), NO_CONSTRAINTS)
+        self.reporter.began(chosen)
+        self.reporter.ended(chosen)
+        self.assertEqual({}, self.report())
 
     def test_a_place_that_cannot_be_used_is_taken_back(self) -> None:
-        with mock.patch.object(self.room._table, "get", return_value=None):
-            self.assertIsNone(self.notices.place(self.room._table.replicas()[0], NO_WISHES))
-        self.assertEqual({}, self.tell())
+        with mock.patch.object(self.own_allocator._table, "get", return_value=None):
+            self.assertIsNone(
+                self.reporter.place(self.own_allocator._table.replicas()[0], NO_CONSTRAINTS)
+            )
+        self.assertEqual({}, self.report())
 
     def test_no_place_is_asked_for_where_there_is_no_batch_work(self) -> None:
         self.batch_services.clear()
-        self.assertIsNone(self.notices.place(self.room._table.get("x1"), NO_WISHES))
+        self.assertIsNone(self.reporter.place(self.own_allocator._table.get("x1"), NO_CONSTRAINTS))
 
     def test_a_keeper_that_is_silent_is_not_asked_again_at_once(self) -> None:
         other = member("other", 2)
-        self.notices._keepers = AllocatorChoice(lambda: (other,))
-        self.notices._client.call.return_value = PeerNoReply(other.peer, "silent")
+        self.reporter._allocator_choice = AllocatorChoice(lambda: (other,))
+        self.reporter._client.call.return_value = PeerNoReply(other.peer, "silent")
         for _ in range(2):
-            self.assertIsNone(self.notices.place(self.room._table.get("x1"), NO_WISHES))
-        self.assertEqual(1, self.notices._client.call.call_count)
+            self.assertIsNone(
+                self.reporter.place(self.own_allocator._table.get("x1"), NO_CONSTRAINTS)
+            )
+        self.assertEqual(1, self.reporter._client.call.call_count)
         self.now += PLACE_PAUSE_S
-        self.assertIsNone(self.notices.place(self.room._table.get("x1"), NO_WISHES))
-        self.assertEqual(2, self.notices._client.call.call_count)
+        self.assertIsNone(self.reporter.place(self.own_allocator._table.get("x1"), NO_CONSTRAINTS))
+        self.assertEqual(2, self.reporter._client.call.call_count)
 
     def test_a_service_that_loses_its_batch_routes_leaves_no_count_behind(self) -> None:
-        replica = self.room._table.get("x1")
-        self.notices.began(replica)
-        self.tell()
+        replica = self.own_allocator._table.get("x1")
+        self.reporter.began(replica)
+        self.report()
         self.batch_services.clear()
-        self.notices.ended(replica)
+        self.reporter.ended(replica)
         self.batch_services.add(SERVICE)
-        self.assertEqual({}, self.tell())
+        self.assertEqual({}, self.report())
 
 
-class UrgencyTest(KeeperCase):
+class UrgencyTest(AllocatorCase):
     """What is due first goes first, whoever coordinates it."""
 
     slots = 8
 
     def setUp(self) -> None:
         super().setUp()
-        self.woken: list[str] = []
-        self.orders: list[tuple[str, dict[str, int]]] = []
+        self.notified: list[str] = []
+        self.preemptions: list[tuple[str, dict[str, int]]] = []
 
-    def keeper(self, **free_by_replica: int) -> SlotAllocator:
-        keeper = super().keeper(**free_by_replica)
-        keeper._wake = self.woken.append
-        keeper._order_back = lambda name, at: self.orders.append((name, items(at)))
-        return keeper
+    def allocator(self, **free_by_replica: int) -> SlotAllocator:
+        allocator = super().allocator(**free_by_replica)
+        allocator._wake = self.notified.append
+        allocator._preempt_items = lambda name, at: self.preemptions.append((name, items(at)))
+        return allocator
 
     @staticmethod
     def due(due_in_s: float, count: int = 100) -> WantedItems:
         return WantedItems(0.0, count, 10, due_in_s)
 
     def test_what_others_want_earlier_is_left_to_them(self) -> None:
-        keeper = self.keeper(x1=0)
-        keeper.claim(claim("early", self.due(5.0, 4)))
+        allocator = self.allocator(x1=0)
+        allocator.claim(claim("early", self.due(5.0, 4)))
         self.loads.free_by_replica["x1"] = 8
-        granted = keeper.claim(claim("late", self.due(15.0)))
+        granted = allocator.claim(claim("late", self.due(15.0)))
         self.assertEqual(3, items(granted.starts)["x1"])
-        granted = keeper.claim(claim("early", self.due(5.0, 4)))
+        granted = allocator.claim(claim("early", self.due(5.0, 4)))
         self.assertEqual(4, items(granted.starts)["x1"])
 
     def test_what_is_due_alike_is_shared(self) -> None:
-        keeper = self.keeper(x1=0)
-        keeper.claim(claim("a", self.due(5.0)))
+        allocator = self.allocator(x1=0)
+        allocator.claim(claim("a", self.due(5.0)))
         self.loads.free_by_replica["x1"] = 8
-        granted = keeper.claim(claim("b", self.due(5.2)))
+        granted = allocator.claim(claim("b", self.due(5.2)))
         self.assertEqual(4, items(granted.starts)["x1"])
 
     def test_what_is_due_last_gives_way_first(self) -> None:
-        keeper = self.keeper(x1=0)
-        keeper.claim(claim("a", running=[("x1", 2, 3.0), ("x1", 1, INFEASIBLE_DUE_S)]))
-        keeper.claim(claim("b", running=[("x1", 4, 9.0)]))
-        keeper.record_online(OnlineInFlight("g", SERVICE, (ItemsAt("x1", 4),)))
-        self.assertEqual([("a", {"x1": 1}), ("b", {"x1": 2})], sorted(self.orders))
+        allocator = self.allocator(x1=0)
+        allocator.claim(claim("a", running=[("x1", 2, 3.0), ("x1", 1, INFEASIBLE_DUE_S)]))
+        allocator.claim(claim("b", running=[("x1", 4, 9.0)]))
+        allocator.record_online(OnlineInFlight("g", SERVICE, (ItemsAt("x1", 4),)))
+        self.assertEqual([("a", {"x1": 1}), ("b", {"x1": 2})], sorted(self.preemptions))
 
     def test_who_waits_longest_due_hears_of_room_when_online_requests_end(self) -> None:
-        keeper = self.keeper(x1=0)
-        keeper.record_online(OnlineInFlight("g", SERVICE, (ItemsAt("x1", 8),)))
-        keeper.claim(claim("late", self.due(15.0)))
-        keeper.claim(claim("early", self.due(5.0)))
+        allocator = self.allocator(x1=0)
+        allocator.record_online(OnlineInFlight("g", SERVICE, (ItemsAt("x1", 8),)))
+        allocator.claim(claim("late", self.due(15.0)))
+        allocator.claim(claim("early", self.due(5.0)))
         self.now += 2 * WAKE_INTERVAL_S
-        self.assertEqual([], self.woken)
-        keeper.record_online(OnlineInFlight("g", SERVICE, (ItemsAt("x1", 5),)))
-        self.assertEqual(["early"], self.woken)
+        self.assertEqual([], self.notified)
+        allocator.record_online(OnlineInFlight("g", SERVICE, (ItemsAt("x1", 5),)))
+        self.assertEqual(["early"], self.notified)
 
 
 class PaceTest(unittest.TestCase):
@@ -452,14 +458,14 @@
 
     def test_a_coordinator_learns_the_pace_of_others_from_the_keeper(self) -> None:
         """With more gateways than jobs most have seen no item end; all seemed doable to them."""
-        keeper = SlotAllocator(ReplicaTable(), FixedLoads())
+        allocator = SlotAllocator(ReplicaTable(), FixedLoads())
         quick, other = RoutePaces(), RoutePaces()
         for _ in range(30):
             quick.record("jobs", 200, 200, 5.0)
-        keeper.claim(msgspec.structs.replace(claim("a"), done=quick.take_unreported()))
+        allocator.claim(msgspec.structs.replace(claim("a"), done=quick.take_unreported()))
         self.assertEqual((), quick.take_unreported())
         self.assertEqual(1.0, self.left_s(17.0))
-        other.adopt(keeper.claim(claim("b")).paces)
+        other.adopt(allocator.claim(claim("b")).paces)
         self.paces = other
         self.assertEqual(INFEASIBLE_DUE_S, self.left_s(17.0))
         self.assertAlmostEqual(5.0, self.pace.remaining_s(0), delta=0.1)
@@ -510,7 +516,7 @@
         table = self.table(100)
         loads = FixedLoads(**{replica.id: 1 for replica in table.replicas()})
         wanted = []
-        loads.want = wanted.extend
+        loads.poll_only = wanted.extend
         pool = pools_of(SERVICE, table)[1]
         message = msgspec.structs.replace(claim("a", EVERY_ITEM), pool=pool.index, pools=pool.pools)
         granted = SlotAllocator(table, loads).claim(message)
@@ -519,7 +525,7 @@
         self.assertEqual(members, {replica.id for replica in wanted})
 
 
-class RoomClaimsTest(unittest.TestCase):
+class SlotClaimsTest(unittest.TestCase):
     """To whom a claim goes, while keepers come and go."""
 
     def setUp(self) -> None:
@@ -528,21 +534,23 @@
         patch.start()
         self.addCleanup(patch.stop)
         self.members = tuple(map(member, ("a", "b", "c"), (1, 2, 3)))
-        self.asked: list[str] = []
-        self.silent: set[str] = set()
-        self.keeper = mock.Mock()
-        self.keeper.claim.side_effect = lambda message: self.answer("own")
+        self.claimed_from: list[str] = []
+        self.unresponsive: set[str] = set()
+        self.allocator = mock.Mock()
+        self.allocator.claim.side_effect = lambda message: self.answer("own")
 
     def answer(self, name: str) -> SlotsGranted | PeerNoReply:
-        self.asked.append(name)
+        self.claimed_from.append(name)
         return (
-            PeerNoReply(self.members[0].peer, "silent") if name in self.silent else SlotsGranted()
+            PeerNoReply(self.members[0].peer, "silent")
+            if name in self.unresponsive
+            else SlotsGranted()
         )
 
     def claims(self, own_name: str) -> SlotClaims:
         client = mock.Mock()
         client.call.side_effect = lambda peer, *_: self.answer(self.name_of(peer))
-        return SlotClaims(own_name, self.keeper, client, lambda: self.members)
+        return SlotClaims(own_name, self.allocator, client, lambda: self.members)
 
     def name_of(self, peer: Endpoint) -> str:
         return next(one.name for one in self.members if one.peer == peer)
@@ -551,8 +559,8 @@
         members = [msgspec.structs.replace(one, cores=0.5) for one in self.members]
         members[1:] = [msgspec.structs.replace(one, cores=2.0) for one in members[1:]]
         choice = AllocatorChoice(lambda: tuple(members))
-        keepers = {choice.allocator_of(f"service-{n}", 0).name for n in range(50)}
-        self.assertEqual({"b", "c"}, keepers)
+        allocators = {choice.allocator_of(f"service-{n}", 0).name for n in range(50)}
+        self.assertEqual({"b", "c"}, allocators)
 
     def test_keeper_is_one_that_is_reached(self) -> None:
         lost: set[str] = set()
@@ -598,27 +606,27 @@
     def test_all_gateways_claim_of_the_same_one(self) -> None:
         for own_name in ("a", "b", "c"):
             self.claims(own_name).claim(claim(own_name))
-        keeper = next(name for name in self.asked if name != "own")
-        self.assertEqual(2, self.asked.count(keeper))
-        self.assertEqual(1, self.asked.count("own"))
+        allocator = next(name for name in self.claimed_from if name != "own")
+        self.assertEqual(2, self.claimed_from.count(allocator))
+        self.assertEqual(1, self.claimed_from.count("own"))
 
     def test_next_in_rank_is_asked_while_the_keeper_is_silent(self) -> None:
         claims = self.claims("elsewhere")
         claims.claim(claim("elsewhere"))
-        first = self.asked[-1]
-        self.silent = {first}
+        first = self.claimed_from[-1]
+        self.unresponsive = {first}
         self.assertIsNone(claims.claim(claim("elsewhere")))
         self.assertIsNotNone(claims.claim(claim("elsewhere")))
-        self.assertNotEqual(first, self.asked[-1])
-        self.silent = set()
-        self.now += AVOID_KEEPER_S
+        self.assertNotEqual(first, self.claimed_from[-1])
+        self.unresponsive = set()
+        self.now += AVOID_ALLOCATOR_S
         claims.claim(claim("elsewhere"))
-        self.assertEqual(first, self.asked[-1])
+        self.assertEqual(first, self.claimed_from[-1])
 
     def test_without_an_answer_of_any_it_keeps_room_itself(self) -> None:
         claims = self.claims("elsewhere")
-        self.silent = {"a", "b", "c"}
+        self.unresponsive = {"a", "b", "c"}
         for _ in range(4):
             claims.claim(claim("elsewhere"))
-        self.assertEqual({"a", "b", "c"}, set(self.asked[:3]))
-        self.assertEqual("own", self.asked[3])
+        self.assertEqual({"a", "b", "c"}, set(self.claimed_from[:3]))
+        self.assertEqual("own", self.claimed_from[3])
