--- a/src/quaymill/process/jobs/__init__.py
+++ b/src/quaymill/process/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""What a gateway does for batch jobs: takes them, runs their items, and shows their results."""
+"""Batch jobs on a gateway: accepts jobs, runs their items and serves their results."""
--- a/src/quaymill/process/jobs/pool_counts.py
+++ b/src/quaymill/process/jobs/pool_counts.py
@@ -1,4 +1,7 @@
-"""What gateways and coordinators told the keeper of a pool of engines, and the counts from it."""
+"""Counts of requests and batch items at the replicas of one pool, kept by its slot allocator.
+
+The counts come from the load reports of gateways and the claims of coordinators.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 
 @attrs.define
 class RunningItems:
-    """Items of a coordinator at a replica, what was granted or cut since its claim included.
+    """Items of a coordinator at a replica, including starts and preemptions since its claim.
 
     Attributes
     ----------
@@ -28,7 +31,7 @@
 
 @attrs.frozen
 class WaitingItems:
-    """Items of a coordinator that wait.
+    """Items of a coordinator that wait for a slot.
 
     Attributes
     ----------
@@ -42,12 +45,12 @@
 
 @attrs.frozen
 class Claim:
-    """What a coordinator said last.
+    """The last claim of a coordinator.
 
     Attributes
     ----------
-    at
-        Monotonic time when it came.
+    received_at
+        Monotonic time.
     """
 
     running: list[RunningItems]
@@ -56,7 +59,7 @@
 
     @classmethod
     def from_message(cls, message: ClaimSlots, now: float) -> Claim:
-        """Note what a claim says, with times on this process's clock."""
+        """Convert a claim message; its relative due times become monotonic times."""
         return cls(
             [
                 RunningItems(one.replica_id, one.items, now + one.due_in_s)
@@ -69,14 +72,14 @@
 
 @attrs.frozen
 class OnlineCounts:
-    """What a gateway said last of its online requests.
+    """The last load report of a gateway.
 
     Attributes
     ----------
     counts
-        Requests by replica, what was placed since included.
-    at
-        Monotonic time when it came.
+        Online requests by replica, including those placed since the report.
+    received_at
+        Monotonic time.
     """
 
     counts: Counter[str]
@@ -84,16 +87,16 @@
 
 
 class PoolCounts:
-    """Requests at each replica of one pool, kept up with every word; guarded by the keeper's lock.
+    """Requests at each replica of one pool; guarded by the allocator's lock.
 
     Attributes
     ----------
     online, batch
-        Requests by replica, turns that have been given and not been answered included.
-    promised
-        Turns that have been given and not been answered yet.
+        Requests by replica, including slot grants that have not been answered yet.
+    reserved
+        Number of slot grants that have not been answered yet.
     claims
-        What each coordinator said last, by its name.
+        Last claim of each coordinator, by its name.
     """
 
     def __init__(self) -> None:
@@ -105,56 +108,56 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing is known of the pool."""
+        """Whether there is no claim, load report or unanswered grant for the pool."""
         return not self.claims and not self._online_by_gateway and not self.reserved
 
     def online_of(self, gateway: str) -> Counter[str]:
-        """Return what a gateway has at each replica."""
+        """Return a gateway's online requests by replica."""
         known = self._online_by_gateway.get(gateway)
         return Counter() if known is None else known.counts
 
     def set_online(self, gateway: str, counts: Counter[str], now: float) -> None:
-        """Take a gateway's word in place of the one before."""
+        """Replace a gateway's previous load report."""
         self._drop_online(gateway)
         self._online_by_gateway[gateway] = OnlineCounts(counts, now)
         self.online.update(counts)
 
     def add_online(self, gateway: str, replica_id: str) -> None:
-        """Count one more online request, unless the gateway has given no word of late."""
+        """Count one more online request, unless the gateway has no current load report."""
         known = self._online_by_gateway.get(gateway)
         if known is not None:
             known.counts[replica_id] += 1
             self.online[replica_id] += 1
 
     def reserve(self, replica_id: str) -> None:
-        """Count a turn at a replica until it is answered."""
+        """Count a slot grant at a replica until it is answered."""
         self.reserved += 1
         self.online[replica_id] += 1
 
     def end_reservation(self, replica_id: str) -> None:
-        """Stop counting a turn that was answered, or that was not."""
+        """Stop counting a slot grant, after its answer or after no answer arrived in time."""
         self.reserved -= 1
         self.online[replica_id] -= 1
 
     def set_claim(self, coordinator: str, claim: Claim) -> None:
-        """Take a coordinator's claim in place of the one before."""
+        """Replace a coordinator's previous claim."""
         self._drop_claim(coordinator)
         self.claims[coordinator] = claim
         for running in claim.running:
             self.batch[running.replica_id] += running.items
 
     def start_item(self, coordinator: str, replica: Replica, due_at: float) -> None:
-        """Count an item that a coordinator may start."""
+        """Count an item that a coordinator has been allowed to start."""
         self.claims[coordinator].running.append(RunningItems(replica.id, 1, due_at))
         self.batch[replica.id] += 1
 
     def remove_items(self, running: RunningItems, items: int) -> None:
-        """Stop counting items that a coordinator is asked to cut."""
+        """Stop counting items that a coordinator is asked to preempt."""
         running.items -= items
         self.batch[running.replica_id] -= items
 
     def drop_before(self, online_since: float, claims_since: float) -> None:
-        """Drop the words and the claims that are older than these monotonic times."""
+        """Drop the load reports and claims received at or before these monotonic times."""
         for gateway, known in list(self._online_by_gateway.items()):
             if known.received_at <= online_since:
                 self._drop_online(gateway)
@@ -174,7 +177,7 @@
                 self.batch[running.replica_id] -= running.items
 
     def requests_at(self, replica: Replica) -> int:
-        """Return all requests at a replica."""
+        """Return the number of online requests and batch items at a replica."""
         return self.online[replica.id] + self.batch[replica.id]
 
     def online_load(self, replica: Replica) -> float:
@@ -182,7 +185,7 @@
         return online_load(self.online[replica.id], self.batch[replica.id])
 
     def loads(self, replicas: Iterable[Replica]) -> tuple[ReplicaLoad, ...]:
-        """Return what gateways are told of replicas."""
+        """Return the counts of some replicas in the form that gateways receive."""
         return tuple(
             ReplicaLoad(one.id, self.online[one.id], self.batch[one.id]) for one in replicas
         )
--- a/src/quaymill/process/jobs/pool_queue.py
+++ b/src/quaymill/process/jobs/pool_queue.py
@@ -1,9 +1,11 @@
-"""The line of online requests that wait for a slot of one pool of engines, at its keeper.
+"""The queue of online requests for a slot of one engine pool, held by the pool's slot allocator.
 
-The load it answers: bursts above what the engines serve. The keeper alone knows when a slot comes
-free, so whoever waits does so here, in one order for all gateways, until one is free: a request
-that queues at an engine stands before everybody who comes later, however urgent. State and
-decisions only; time is a parameter. Guarded by the keeper's lock.
+It absorbs bursts that exceed the engines' capacity. Only the allocator knows when a slot becomes
+free, so the requests of all gateways wait here, in one order. A request that waited at an engine
+instead would be served before any later request, however urgent.
+
+This module holds state and decisions only; the current time is a parameter. The allocator's lock
+guards it.
 """
 
 from __future__ import annotations
@@ -17,26 +19,27 @@
 from quaymill.request.fair_shares import FairShares
 
 GRANT_LATENCY_S = 0.02
-"""From a slot's end to the next request's start there, beyond what an engine takes: three messages
-among peers. Whoever has less time left is late already."""
+"""Time from the release of a slot to the start of the next request: three messages between peers.
+A request with less time left is already late."""
 REFUSAL_FACTOR = 1.5
-"""A request counts as impossible to serve once its wait, by the usual pace, is so many times what
-its caller waits yet: the pace is an average."""
+"""A request is refused once its expected wait is this many times its caller's remaining time. The
+margin is needed because the expected wait is computed from averages."""
 
 
 @attrs.frozen(eq=False)
 class QueuedRequest:
-    """A request that waits in the line.
+    """A request in the queue.
 
     Attributes
     ----------
-    asked
-        What its gateway asked with, its terms included.
-    came_at, target_at, dispatch_by, gone_at
-        Monotonic times: when it came, when its first event is late, when its gateway lets it go
-        in any case, and when its caller's patience ends.
+    message
+        The gateway's request for a placement, including its queue terms.
+    came_at, target_at, dispatch_by, timeout_at
+        Monotonic times: arrival, when its first event is late, when its gateway dispatches it in
+        any case, and when its caller gives up.
     start_tag
-        By fair queueing over tenants (``FairShares``): the lowest goes first within a rank.
+        Start tag of fair queueing over tenants (``FairShares``): within a rank, the request with
+        the lowest tag is served first.
     """
 
     message: PlaceOnline
@@ -48,17 +51,17 @@
 
     @property
     def ticket(self) -> str:
-        """Names the request."""
+        """Identifies the request."""
         return self.message.terms.ticket
 
     @property
     def process(self) -> str:
-        """Name of its gateway's process; a gateway that starts again has another."""
+        """Name of its gateway's process; a restarted gateway has a different one."""
         return self.message.terms.process
 
 
 class PoolQueue:
-    """Who waits for one pool."""
+    """The queued requests of one pool."""
 
     def __init__(self) -> None:
         self._shares = FairShares()
@@ -69,11 +72,11 @@
 
     @property
     def tenants(self) -> int:
-        """Tenants that have requests in the line."""
+        """Number of tenants with queued requests."""
         return len({one.message.terms.tenant for one in self.waiters()})
 
     def join(self, message: PlaceOnline, now: float) -> QueuedRequest:
-        """Put a request into the line; one that asks again keeps its number."""
+        """Add a request to the queue; a request that is sent again keeps its start tag."""
         terms = message.terms
         earlier = self._queued_by_ticket.get(terms.ticket)
         tag = earlier.start_tag if earlier else self._shares.start_tag(terms.tenant)
@@ -89,17 +92,17 @@
         return queued
 
     def record_immediate(self, tenant: str | None) -> None:
-        """Count a tenant's request that goes without waiting."""
+        """Count a request that is served without waiting toward its tenant's share."""
         self._shares.serve(self._shares.start_tag(tenant))
 
     def waiters(self) -> tuple[QueuedRequest, ...]:
-        """Return who waits, in no order."""
+        """Return the queued requests in no particular order."""
         return tuple(self._queued_by_ticket.values())
 
     def ordered(self, now: float) -> list[QueuedRequest]:
-        """Return who waits, whose turn is next first; those past their last call are dropped.
+        """Return the queued requests, next to be served first.
 
-        Their gateways let them go by themselves.
+        Requests past their dispatch deadline are dropped: their gateways dispatch them locally.
         """
         self._drop_expired(now)
         return sorted(self._queued_by_ticket.values(), key=lambda one: _sort_key(one, now))
@@ -110,44 +113,45 @@
                 self.leave(queued)
 
     def serve(self, queued: QueuedRequest) -> None:
-        """Take a request out whose turn has come."""
+        """Remove a request that is granted a slot."""
         self._queued_by_ticket.pop(queued.ticket, None)
         self._shares.serve(queued.start_tag)
 
     def leave(self, queued: QueuedRequest) -> None:
-        """Take a request out that will not be served from here."""
+        """Remove a request that will not be served from this queue."""
         self._queued_by_ticket.pop(queued.ticket, None)
         self._shares.take_back(queued.message.terms.tenant)
 
     def depart(self, tickets: Iterable[str]) -> None:
-        """Take out requests that wait no more."""
+        """Remove requests that no longer wait, by their tickets."""
         for ticket in tickets:
             queued = self._queued_by_ticket.get(ticket)
             if queued is not None:
                 self.leave(queued)
 
     def drop_process(self, process: str) -> int:
-        """Take out what a gateway holds that does not answer; return how much that was."""
+        """Remove the requests of a gateway's process; return how many there were."""
         dropped = [one for one in self._queued_by_ticket.values() if one.process == process]
         for queued in dropped:
             self.leave(queued)
         return len(dropped)
 
     def wait_s(self, queued: QueuedRequest, slots: int, now: float) -> float:
-        """Return how long a request waits at least, at the pace of ``slots`` slots."""
+        """Return the expected wait of a request in seconds, if ``slots`` slots serve the queue."""
         service_s = queued.message.terms.service_s
         own_key = _sort_key(queued, now)
         ahead = sum(_sort_key(one, now) < own_key for one in self._queued_by_ticket.values())
         return ahead * service_s / max(1, slots)
 
     def retry_after_s(self, queued: QueuedRequest, slots: int, now: float) -> float | None:
-        """Return after how many seconds a request may come again; ``None`` if it may be served.
+        """Return the seconds after which a request may be retried; ``None`` if it is feasible.
 
-        It cannot be if its expected wait is ``SURE_FACTOR`` times what its caller waits yet; once
-        the excess is over, the line is short enough for a caller that waits as long.
+        A request is infeasible if its expected wait exceeds ``REFUSAL_FACTOR`` times its caller's
+        remaining time. After the returned time the queue is expected to be short enough for a
+        caller with the same timeout.
         """
         self._drop_expired(now)
-        # The whole line bounds the wait, which mostly spares a look at who is ahead.
+        # The length of the queue bounds the wait, so the exact position is rarely needed.
         left_s = queued.timeout_at - now
         longest_wait_s = len(self) * queued.message.terms.service_s / max(1, slots)
         if longest_wait_s <= REFUSAL_FACTOR * left_s:
--- a/src/quaymill/process/jobs/slot_allocator.py
+++ b/src/quaymill/process/jobs/slot_allocator.py
@@ -1,11 +1,13 @@
-"""Shares the free slots of engines among the coordinators of batch jobs.
-
-For each pool of engines one gateway keeps room: the one that ranks first for it. Gateways tell it
-of their online requests in flight, and coordinators of the items that run and wait, so that it
-counts what every engine has. It grants free slots to what is due first, and has what is due last
-cut when an online request would wait. It alone polls the engines, for their memory and as a check.
-Who keeps room holds nothing that must last: when it dies, coordinators ask the next in rank, and
-go on with what runs meanwhile.
+"""Allocates the slots of engine pools to online requests and to the items of batch jobs.
+
+Each pool of engines has one slot allocator: the gateway that ranks first for it. Gateways report
+their online requests in flight to it, and coordinators report their running and waiting items, so
+it can count the requests at every engine. It grants free slots to the items that are due first,
+and preempts the items that are due last when an online request would have to wait. Only the
+allocator polls the engines, for their free memory and to check its counts.
+
+An allocator keeps no durable state: if it dies, coordinators claim from the gateway that ranks
+next, and running items continue.
 """
 
 from __future__ import annotations
@@ -42,35 +44,38 @@
 
 CLAIM_LIFETIME_S = 1.0
 ONLINE_LIFETIME_S = 1.0
-"""How long a gateway's word of its online requests counts: four times what it repeats it in."""
+"""How long a gateway's load report is valid: four times the interval at which it is repeated."""
 EXPIRY_INTERVAL_S = 0.1
-"""Time between two looks for words that are too old: a tenth of how long they count."""
+"""Time between two removals of expired claims and load reports."""
 SAME_DUE_S = 0.5
-"""Difference of due times that does not count: they are known no better after a hand-over."""
+"""Due times that differ by less are treated as equal: a job's hand-over makes them imprecise."""
 WAKE_INTERVAL_S = 0.05
-"""Least time between two words of free room to a coordinator: it claims no more often."""
+"""Minimum time between two notifications of free slots to one coordinator."""
 OWN_ZONE_BONUS = 1.0
-"""Free slots by which a replica of the coordinator's zone counts as emptier."""
+"""Free slots added to a replica in the coordinator's zone when replicas are compared."""
 
 
 PreemptCall = Callable[[str, tuple[ItemsAt, ...]], None]
-"""Asks a coordinator to cut items at once; called without any lock."""
+"""Asks a coordinator to preempt items immediately; called without holding a lock."""
 SendGrant = Callable[[SlotGrant], None]
-"""Has a gateway told whose turn it is; called without any lock, ``grant_answered`` follows."""
+"""Sends a grant to its gateway, called without holding a lock.
+
+``SlotAllocator.grant_answered`` is called later with the gateway's answer.
+"""
 
 
 class SlotAllocator:
-    """Answers claims for any pool; safe to use from any thread.
+    """Answers claims and placement requests for any pool; safe to use from any thread.
 
     Parameters
     ----------
     preempt_items
-        How coordinators are asked to give way at once; without it they hear of it with their
-        next claim.
+        Asks a coordinator to preempt items immediately; without it, the request is part of the
+        answer to the coordinator's next claim.
     wake
-        Tells a coordinator that there is room for its items.
+        Notifies a coordinator that there are free slots for its items.
     send_grant
-        How gateways are told whose turn it is; without it no request waits here.
+        Sends a slot grant to a gateway; without it, no request is queued here.
     """
 
     def __init__(
@@ -101,7 +106,7 @@
             peer_server.register(PlaceOnline, self.place_online)
 
     def claim(self, message: ClaimSlots) -> SlotsGranted:
-        """Take a claim, and tell what may be started and what is to be given back."""
+        """Record a claim; return the items to start and the items to preempt."""
         pool = EnginePool(message.service, message.pool, message.pools)
         self._paces.add_all(message.done)
         with self._lock:
@@ -123,7 +128,7 @@
         return SlotsGranted(_items_at(starts), _items_at(to_preempt), self._paces.averages())
 
     def record_online(self, message: OnlineInFlight) -> PoolLoads:
-        """Count online requests, let batch items give way to them, and tell the pool's loads."""
+        """Count a gateway's online requests, preempt batch items, and return the pool's loads."""
         self._record_slowness(message.slowness_reports)
         pool = EnginePool(message.service, message.pool, message.pools)
         with self._lock:
@@ -145,10 +150,10 @@
         return PoolLoads(loads, queue_length)
 
     def place_online(self, message: PlaceOnline) -> OnlinePlaced:
-        """Choose the replica of an online request, and let batch items give way to it there.
+        """Choose the replica of an online request, and preempt batch items there if necessary.
 
-        The next request is placed by counts that hold this one, whoever asks: gateways that
-        chose by themselves would all take the replica that was least busy a moment ago.
+        The request is counted immediately, so that the next one is placed with it in view. Gateways
+        that chose for themselves would all send to the replica that was least busy a moment ago.
         """
         self._record_slowness(message.slowness_reports)
         pool = EnginePool(message.service, message.pool, message.pools)
@@ -170,7 +175,7 @@
     def _place_now(
         self, pool: EnginePool, counts: PoolCounts, replicas: list[Replica], message: PlaceOnline
     ) -> OnlinePlaced:
-        """Place a request whether or not a slot is free; the lock is held."""
+        """Place a request even if no slot is free; the lock is held."""
         chosen = self._least_costly(counts, replicas, message)
         if chosen is None:
             return OnlinePlaced("", counts.loads(replicas), self._reported_queue_length(pool))
@@ -200,7 +205,7 @@
     def _place_or_queue(
         self, pool: EnginePool, counts: PoolCounts, replicas: list[Replica], message: PlaceOnline
     ) -> tuple[OnlinePlaced, list[SlotGrant]]:
-        """Place a request if its turn is now, else let it wait; the lock is held."""
+        """Place a request if it is granted a slot now, otherwise queue it; the lock is held."""
         now = boot_clock.now()
         if not self.turns.length(pool):
             chosen = self._least_costly(counts, replicas, message)
@@ -229,10 +234,16 @@
         ), grants
 
     def grant_answered(self, grant: SlotGrant, accepted: bool | None) -> None:
-        """Take a gateway's answer to a turn; ``None`` if its process is gone, with all it held.
+        """Record a gateway's answer to a grant.
+
+        A slot whose grant was not accepted goes to the next queued request. A request whose grant
+        was not answered in time loses its place in the queue: its gateway asks again or decides
+        locally.
 
-        The slot of a turn that was not taken goes to the next. One that was not answered in time
-        costs its own request the place: it asks again, or goes by its gateway's view.
+        Parameters
+        ----------
+        accepted
+            ``None`` if the gateway's process has ended, with all its requests.
         """
         with self._lock:
             counts = self._counts(grant.pool)
@@ -249,7 +260,7 @@
     def _grant_slots(
         self, pool: EnginePool, counts: PoolCounts, replicas: list[Replica]
     ) -> list[SlotGrant]:
-        """Give what is free to who waits, and let batch items give way; the lock is held."""
+        """Grant free slots to queued requests, and preempt batch items; the lock is held."""
         grants = self.turns.grant_slots(pool, counts, replicas, boot_clock.now())
         if grants:
             self._preempt_excess(counts, [grant.replica for grant in grants])
@@ -260,7 +271,7 @@
             self._send_grant(grant)
 
     def _reported_queue_length(self, pool: EnginePool) -> int:
-        """Return what gateways are told of the line."""
+        """Return the queue length for gateways, ``NO_QUEUE`` if requests are not queued here."""
         return NO_QUEUE if self._send_grant is None else self.turns.length(pool)
 
     def _record_slowness(self, reports: Iterable[SlownessReport]) -> None:
@@ -270,7 +281,7 @@
                 replica.take_slowness(one.slowness, one.age_s)
 
     def _counts(self, pool: EnginePool) -> PoolCounts:
-        """Return a pool's counts, without words that are too old; the lock is held."""
+        """Return a pool's counts without expired claims and load reports; the lock is held."""
         now = boot_clock.now()
         if now >= self._expire_at:
             self._expire_at = now + EXPIRY_INTERVAL_S
@@ -284,7 +295,7 @@
                 del self._counts_by_pool[pool]
 
     def _first_to_wake(self, counts: PoolCounts, replicas: list[Replica]) -> str:
-        """Return who should claim at once: whose items are due first, if there is room."""
+        """Return the coordinator whose items are due first; empty if no slot is free."""
         now = boot_clock.now()
         claims = counts.claims
         first = min(
@@ -304,7 +315,7 @@
         return first[1]
 
     def _take_preemptions(self) -> dict[str, Counter[str]]:
-        """Take what coordinators owe, if they can be asked at once; the lock is held."""
+        """Return and clear the items to preempt, if they can be sent; the lock is held."""
         if self._preempt_items is None:
             return {}
         preemptions, self._to_preempt_by_coordinator = self._to_preempt_by_coordinator, {}
@@ -323,7 +334,7 @@
         self._loads.poll_only([replica for replicas in pools for replica in replicas])
 
     def _preempt_excess(self, counts: PoolCounts, replicas: list[Replica]) -> None:
-        """Note what each coordinator owes where requests wait, by the counts or the report."""
+        """Select the items to preempt where the counts or an engine's report exceed its slots."""
         for replica in replicas:
             excess = max(counts.requests_at(replica) - replica.slots, self._loads.excess(replica))
             if excess <= 0 or not counts.batch[replica.id]:
@@ -343,7 +354,7 @@
         message: ClaimSlots,
         replicas: list[Replica],
     ) -> Counter[str]:
-        """Grant starts, what is due first before all else, whoever coordinates it."""
+        """Grant starts to a claim, leaving slots for items of others that are due earlier."""
         starts: Counter[str] = Counter()
         now = boot_clock.now()
         for wanted in message.wanted:
@@ -373,7 +384,7 @@
         return best
 
     def _startable_items(self, counts: PoolCounts, replica: Replica, wanted: WantedItems) -> int:
-        """Return the items that may be started at a replica, by the counts and its report."""
+        """Return how many items may start at a replica, from the counts and its report."""
         counted = (
             replica.slots
             - reserved_slots(replica, wanted.reserve_share)
@@ -385,9 +396,10 @@
 
 
 def _fair_share(claims: dict[str, Claim], coordinator: str, free: int, due_at: float) -> int:
-    """Return what is free beyond what items of others want that are due clearly earlier.
+    """Return how many free slots a coordinator may use for items due at a time.
 
-    Those that are due at about the same time share evenly.
+    Slots for items of other coordinators that are due earlier are left free; coordinators with
+    items due at about the same time share the rest evenly.
     """
     others = [claim for name, claim in claims.items() if name != coordinator]
     earlier = sum(
@@ -407,7 +419,7 @@
 def _least_urgent_first(
     claims: dict[str, Claim], replica: Replica
 ) -> list[tuple[str, RunningItems]]:
-    """Return what runs at a replica, with its coordinators' names, in the order of giving way."""
+    """Return the items at a replica with their coordinators' names, in order of preemption."""
     found = [
         (name, running)
         for name, claim in claims.items()
--- a/src/quaymill/process/jobs/slot_grants.py
+++ b/src/quaymill/process/jobs/slot_grants.py
@@ -1,6 +1,7 @@
-"""Gives the free slots of engines to the requests that wait, for the gateway that keeps room.
+"""Grants the free slots of engines to queued online requests, for the slot allocator.
 
-Decisions and state only, guarded by the keeper's lock; who sends the turns is told them.
+This module holds state and decisions only, guarded by the allocator's lock; sending the grants is
+up to the caller.
 """
 
 from __future__ import annotations
@@ -20,12 +21,14 @@
 
 @attrs.frozen(eq=False)
 class SlotGrant:
-    """A turn that its gateway is told; a request that asks again may be given a second one.
+    """A slot granted to a queued request, to be accepted by the request's gateway.
+
+    A request that its gateway sends again may be granted a second slot.
 
     Attributes
     ----------
     process
-        Name of its gateway's process; a gateway that starts again has another.
+        Name of its gateway's process; a restarted gateway has a different one.
     """
 
     pool: EnginePool
@@ -36,12 +39,18 @@
 
     @property
     def message(self) -> OnlineGrant:
-        """What the gateway is told."""
+        """The message for the gateway."""
         return OnlineGrant(self.ticket, self.replica.id)
 
 
 class PoolQueues:
-    """The lines of all pools that one gateway keeps room for."""
+    """The queues of all pools whose slots one gateway allocates.
+
+    Attributes
+    ----------
+    refused_early
+        Requests refused as infeasible since the start.
+    """
 
     def __init__(self, rng: random.Random) -> None:
         self._random = rng
@@ -50,31 +59,34 @@
         self.refused_early = 0
 
     def length(self, pool: EnginePool) -> int:
-        """Return how many requests wait for a pool."""
+        """Return the number of queued requests of a pool."""
         queue = self._queue_by_pool.get(pool)
         return 0 if queue is None else len(queue)
 
     def lengths(self) -> dict[EnginePool, int]:
-        """Return how many requests wait, by pool; safe without the lock."""
+        """Return the number of queued requests by pool; safe without the lock."""
         return {pool: len(queue) for pool, queue in list(self._queue_by_pool.items())}
 
     @property
     def tenants(self) -> int:
-        """Tenants with requests that wait, counted by line; safe without the lock."""
+        """Tenants with queued requests, summed over the queues; safe without the lock."""
         return sum(queue.tenants for queue in list(self._queue_by_pool.values()))
 
     def record_immediate(self, pool: EnginePool, tenant: str | None) -> None:
-        """Count a request that found nobody waiting and a slot free."""
+        """Count a request that was served without waiting toward its tenant's share."""
         self._queue_by_pool.setdefault(pool, PoolQueue()).record_immediate(tenant)
 
     def join(self, pool: EnginePool, message: PlaceOnline, now: float) -> QueuedRequest:
-        """Put a request into the line of its pool."""
+        """Add a request to the queue of its pool."""
         return self._queue_by_pool.setdefault(pool, PoolQueue()).join(message, now)
 
     def refuse_if_infeasible(
         self, pool: EnginePool, queued: QueuedRequest, replicas: list[Replica], now: float
     ) -> float | None:
-        """Take a request out that cannot be served; return when it may come again."""
+        """Remove a request that cannot be served in time.
+
+        Returns the seconds after which it may be retried, ``None`` if it stays in the queue.
+        """
         queue = self._queue_by_pool[pool]
         slots = sum(one.slots for one in replicas)
         if not slots:
@@ -84,13 +96,13 @@
             return None
         queue.leave(queued)
         self.refused_early += 1
-        # Those refused meanwhile would else all come at once.
+        # Spreads the retries of requests that are refused at about the same time.
         return retry_after_s * (1.0 + self._random.random())
 
     def grant_slots(
         self, pool: EnginePool, counts: PoolCounts, replicas: list[Replica], now: float
     ) -> list[SlotGrant]:
-        """Give the free slots of a pool, as far as there are any, in the order of the line."""
+        """Grant the free slots of a pool to its queued requests, in the order of the queue."""
         queue = self._queue_by_pool.get(pool)
         if queue is None or not len(queue):
             return []
@@ -125,7 +137,10 @@
         return grant
 
     def record_answer(self, grant: SlotGrant, counts: PoolCounts, *, accepted: bool) -> None:
-        """Count a turn that was taken as its gateway's request; else its slot is free again."""
+        """End the reservation of a grant; count an accepted one as a request of its gateway.
+
+        Does nothing for a grant that has been answered before.
+        """
         if grant not in self._unanswered:
             return
         self._unanswered.discard(grant)
@@ -134,22 +149,22 @@
             counts.add_online(grant.gateway, grant.replica.id)
 
     def depart(self, pool: EnginePool, tickets: Iterable[str]) -> None:
-        """Take out requests that wait no more, by the word of their gateway."""
+        """Remove requests that no longer wait according to their gateway, by their tickets."""
         queue = self._queue_by_pool.get(pool)
         if queue is not None:
             queue.depart(tickets)
 
     def drop_process(self, process: str) -> int:
-        """Take out what a gateway holds that does not answer; return how much that was."""
+        """Remove the requests of a gateway's process; return how many there were."""
         return sum(queue.drop_process(process) for queue in self._queue_by_pool.values())
 
 
 def _usable_replicas(
     message: PlaceOnline, free: list[Replica], replicas: list[Replica]
 ) -> list[Replica]:
-    """Return the free replicas that a request may go to.
+    """Return the free replicas that a request may be sent to.
 
-    One that fails is taken only if all that the request may go to do.
+    Failing replicas are used only if all replicas that the request may be sent to are failing.
     """
     allowed = [one for one in free if one.id not in message.excluded]
     healthy = [one for one in allowed if not one.avoided]
