--- a/src/quaymill/process/jobs/allocator_calls.py
+++ b/src/quaymill/process/jobs/allocator_calls.py
@@ -80,7 +80,7 @@
         server: PeerServer,
         process: Callable[[str], Member | None],
         accept_grants: Callable[[tuple[OnlineGrant, ...]], tuple[str, ...]] = lambda grants: (),
-        grant_answered: Callable[[SlotGrant, bool | None], None] = lambda grant, taken: None,
+        grant_answered: Callable[[SlotGrant, bool | None], None] = lambda grant, accepted: None,
     ) -> None:
         self._process_name = process_name
         self._preempt_items = preempt_items
@@ -140,14 +140,14 @@
 
     def _send_pending(self) -> None:
         while (work := self._take_next()) is not None:
-            coordinator, pending = work
+            process_name, pending = work
             try:
-                self._deliver(coordinator, pending)
+                self._deliver(process_name, pending)
             except Exception as error:  # A bug here must not end the orders of this keeper.
-                log_message("batch:order_error", coordinator=coordinator, error=repr(error))
+                log_message("batch:order_error", coordinator=process_name, error=repr(error))
             finally:
                 with self._changed:
-                    self._being_called.discard(coordinator)
+                    self._being_called.discard(process_name)
 
     def _take_next(self) -> tuple[str, _Pending] | None:
         """Wait until there is something to tell a coordinator to which no call is under way.
@@ -155,25 +155,25 @@
         Returns ``None`` if this thread is to end: at the stop, or since nothing came for long.
         """
         with self._changed:
-            coordinator = self._next_ready()
-            if coordinator is None and not self._stopping:
+            process_name = self._next_ready()
+            if process_name is None and not self._stopping:
                 self._idle_senders += 1
                 self._changed.wait_for(
                     lambda: self._stopping or self._next_ready() is not None, SENDER_IDLE_S
                 )
                 self._idle_senders -= 1
-                coordinator = self._next_ready()
-            if coordinator is None or self._stopping:
+                process_name = self._next_ready()
+            if process_name is None or self._stopping:
                 self._senders -= 1
                 return None
-            self._being_called.add(coordinator)
-            return coordinator, self._waiting.pop(coordinator)
+            self._being_called.add(process_name)
+            return process_name, self._waiting.pop(process_name)
 
     def _next_ready(self) -> str | None:
         return next((name for name in self._waiting if name not in self._being_called), None)
 
-    def _deliver(self, coordinator: str, pending: _Pending) -> None:
-        member = self._process(coordinator)
+    def _deliver(self, process_name: str, pending: _Pending) -> None:
+        member = self._process(process_name)
         if pending.grants:
             self._deliver_grants(member, pending.grants)
         if member is None:
@@ -187,18 +187,18 @@
                 member.peer, PreemptItems(items), ItemsPreempted, CALL_TIMEOUT_S
             )
             if not isinstance(reply, ItemsPreempted):
-                log_message("batch:order_unanswered", coordinator=coordinator)
+                log_message("batch:order_unanswered", coordinator=process_name)
         elif pending.slots_freed:
             self._client.call(member.peer, SlotsFreed(), SlotsFreedAcknowledged, CALL_TIMEOUT_S)
 
     def _deliver_grants(self, member: Member | None, grants: list[SlotGrant]) -> None:
-        taken: tuple[str, ...] | None = ()
+        accepted: tuple[str, ...] | None = ()
         try:
-            taken = None if member is None else self._offer_grants(member, grants)
+            accepted = None if member is None else self._offer_grants(member, grants)
         except Exception as error:  # A turn that nobody answers for would keep its slot.
             log_message("line:turn_error", gateway=grants[0].gateway, error=repr(error))
         for grant in grants:
-            self._grant_answered(grant, None if taken is None else grant.ticket in taken)
+            self._grant_answered(grant, None if accepted is None else grant.ticket in accepted)
 
     def _offer_grants(self, member: Member, grants: list[SlotGrant]) -> tuple[str, ...]:
         """Tell a gateway of turns; return the tickets of the requests that go."""
