--- a/src/quaymill/process/jobs/allocator_calls.py
+++ b/src/quaymill/process/jobs/allocator_calls.py
@@ -1,8 +1,8 @@
-"""Tells others, for the gateway that keeps room, to cut items, that there is room, or of turns.
+"""Calls from a slot allocator to other processes: preemptions, free slots and slot grants.
 
-Other processes are told by a few threads beside the keeper's answers, so that a coordinator that
-is slow or silent holds up no placement. What is meant for the same coordinator while a call to it
-is under way goes out together with the next one.
+A few threads make the calls, so that a process that is slow or unresponsive does not delay the
+allocator's answers. While a call to a process is in progress, further messages to it are collected
+and sent together.
 """
 
 from __future__ import annotations
@@ -30,21 +30,21 @@
 from quaymill.process.jobs.slot_grants import SlotGrant
 
 CALL_TIMEOUT_S = 0.2
-"""A coordinator that takes longer hears of it with its next claim: the engine still shows it."""
+"""A coordinator that answers later is asked again with its next claim: the engine's report still
+shows the excess."""
 GRANT_TIMEOUT_S = 0.1
-"""A gateway that takes longer has its requests decide by themselves, and the slot goes to the next:
-a third of callers' shortest objective (0.3 s), so that the next is still in time."""
+"""If a gateway answers later, the slot is granted to the next queued request. Short enough that the
+next request can still meet its latency target."""
 MAX_SENDERS = 8
-"""Threads that send, so as many silent coordinators may be waited for at once. With the calls in
-the keeper's own answers a keeper of 165 gateways had up to 127 threads, each at a call, and 193
-placements were not answered in time in 18 s of a day with trouble."""
+"""Maximum number of sending threads, and so of unresponsive processes that are waited for at the
+same time."""
 SENDER_IDLE_S = 5.0
-"""Time after which a thread ends that has nothing to send: most gateways keep no room."""
+"""Time after which an idle sending thread ends: most gateways allocate no slots."""
 
 
 @attrs.define
 class _Pending:
-    """What is to be told to one process."""
+    """Messages to be sent to one process."""
 
     to_preempt: Counter[str] = attrs.field(factory=Counter)
     slots_freed: bool = False
@@ -52,23 +52,25 @@
 
 
 class AllocatorCalls:
-    """Sends and takes orders; safe to use from any thread.
+    """Sends an allocator's calls, and handles those of other allocators.
+
+    Safe to use from any thread.
 
     Parameters
     ----------
     process_name
-        Of this process's coordinator.
-    give_back
-        Cuts items of this process's coordinator.
+        Name of this process, as used by its coordinator.
+    preempt_items
+        Preempts items of this process's coordinator.
     claim_slots
-        Makes this process's coordinator claim room at once.
+        Makes this process's coordinator claim slots immediately.
     process
-        Returns where a process runs; ``None`` if it is gone.
+        Returns the member that a process runs on; ``None`` if the process has ended.
     accept_grants
-        Lets requests of this process go; returns the tickets of those that do.
+        Dispatches queued requests of this process; returns the tickets of those it dispatched.
     grant_answered
-        Hears for each turn that was sent whether it was taken; ``None`` if its gateway's process
-        is gone.
+        Called once for each grant that was sent, with whether it was accepted; ``None`` if its
+        gateway's process has ended.
     """
 
     def __init__(
@@ -100,13 +102,13 @@
         server.register(OnlineGrants, self._receive_grants)
 
     def stop(self) -> None:
-        """Send nothing more."""
+        """Stop sending."""
         with self._changed:
             self._stopping = True
             self._changed.notify_all()
 
     def send(self, coordinator: str, items: tuple[ItemsAt, ...]) -> None:
-        """Have a coordinator asked to cut items at once; returns without waiting for that."""
+        """Ask a coordinator to preempt items; returns without waiting for the answer."""
         if coordinator == self._process_name:
             self._preempt_items(items)
             return
@@ -116,7 +118,7 @@
             self._ensure_sender()
 
     def wake(self, coordinator: str) -> None:
-        """Have a coordinator told that there is room; unheard, it claims soon anyway."""
+        """Notify a coordinator of free slots; if the message is lost, it still claims soon."""
         if coordinator == self._process_name:
             self._claim_slots()
             return
@@ -125,34 +127,34 @@
             self._ensure_sender()
 
     def send_grant(self, grant: SlotGrant) -> None:
-        """Have a gateway told whose turn it is; ``grant_answered`` hears what came of it."""
+        """Send a grant to its gateway; ``grant_answered`` is called with the result."""
         with self._changed:
             self._waiting.setdefault(grant.process, _Pending()).grants.append(grant)
             self._ensure_sender()
 
     def _ensure_sender(self) -> None:
-        """Have a thread look at what waits; the lock is held."""
+        """Wake an idle sending thread, and start another one if needed; the lock is held."""
         self._changed.notify()
         ready = sum(name not in self._being_called for name in self._waiting)
         if ready > self._idle_senders and self._senders < MAX_SENDERS and not self._stopping:
             self._senders += 1
-            threading.Thread(target=self._send_pending, name="room-orders", daemon=True).start()
+            threading.Thread(target=self._send_pending, name="allocator-calls", daemon=True).start()
 
     def _send_pending(self) -> None:
         while (work := self._take_next()) is not None:
             process_name, pending = work
             try:
                 self._deliver(process_name, pending)
-            except Exception as error:  # A bug here must not end the orders of this keeper.
+            except Exception as error:  # A bug must not stop the calls of this allocator.
                 log_message("batch:order_error", coordinator=process_name, error=repr(error))
             finally:
                 with self._changed:
                     self._being_called.discard(process_name)
 
     def _take_next(self) -> tuple[str, _Pending] | None:
-        """Wait until there is something to tell a coordinator to which no call is under way.
+        """Wait for messages to a process to which no call is in progress.
 
-        Returns ``None`` if this thread is to end: at the stop, or since nothing came for long.
+        Returns ``None`` if this thread is to end: on stop, or after ``SENDER_IDLE_S`` idle.
         """
         with self._changed:
             process_name = self._next_ready()
@@ -179,7 +181,7 @@
         if member is None:
             return
         if pending.to_preempt:
-            # A coordinator that cuts items claims again by itself: it need not be woken.
+            # A coordinator that preempts items claims again by itself, so no wake-up is needed.
             items = tuple(
                 ItemsAt(replica_id, count) for replica_id, count in pending.to_preempt.items()
             )
@@ -195,13 +197,13 @@
         accepted: tuple[str, ...] | None = ()
         try:
             accepted = None if member is None else self._offer_grants(member, grants)
-        except Exception as error:  # A turn that nobody answers for would keep its slot.
+        except Exception as error:  # An unanswered grant would reserve its slot forever.
             log_message("line:turn_error", gateway=grants[0].gateway, error=repr(error))
         for grant in grants:
             self._grant_answered(grant, None if accepted is None else grant.ticket in accepted)
 
     def _offer_grants(self, member: Member, grants: list[SlotGrant]) -> tuple[str, ...]:
-        """Tell a gateway of turns; return the tickets of the requests that go."""
+        """Send grants to a gateway; return the tickets of the requests that it dispatches."""
         messages = tuple(grant.message for grant in grants)
         if grants[0].process == self._process_name:
             return self._accept_grants(messages)
--- a/src/quaymill/process/jobs/online_reporter.py
+++ b/src/quaymill/process/jobs/online_reporter.py
@@ -1,12 +1,12 @@
-"""Tells who keeps room for batch items what online requests this gateway has in flight.
+"""Reports this gateway's online requests in flight to the slot allocators of their pools.
 
-An engine takes requests in the order in which they come: an online request that meets only batch
-items waits until one of them ends or is cut. The keeper of room learns of it from the engine's
-report, which is old by then. A notice, sent beside the request, comes within a millisecond or
-two. Its answer tells what all gateways have at each engine.
+An engine serves requests in the order of their arrival, so an online request at an engine that is
+full of batch items waits until one of them ends or is preempted. The engine's own report would
+reach the allocator too late. A load report sent together with the request arrives within a few
+milliseconds; its answer contains the load of all gateways at each engine.
 
-A request is placed by the keeper itself where that answers at once, since it alone knows what
-others have placed in the last few milliseconds.
+The allocator also places requests if it answers in time, because only it knows what other gateways
+have placed in the last few milliseconds.
 """
 
 from __future__ import annotations
@@ -44,51 +44,54 @@
 from quaymill.request.replica_choice import CannotServeInTime, ChosenReplica
 
 REPORT_TIMEOUT_S = 0.2
-"""Later than this the engine's own report has told the keeper."""
+"""After this time the engine's own report has reached the allocator."""
 PLACE_TIMEOUT_S = 0.05
-"""A sixth of the shortest objective of a stream on the deployments measured (0.3 s): a request
-that has waited so long for the keeper is better placed by its own gateway."""
+"""A request that has waited this long for the allocator is placed by its own gateway, so that it
+can still meet its latency target."""
 PLACE_PAUSE_S = 0.25
-"""How long this gateway chooses by itself after a keeper did not answer in time: by then a
-notice has told whether it lives, and who is next in rank."""
+"""How long this gateway places requests itself after an allocator did not answer in time. By then a
+load report has shown whether the allocator is alive."""
 FULLNESS_LIFETIME_S = 1.0
-"""How long a keeper's word that a pool is nearly full counts: four times what a gateway repeats its
-own word in."""
+"""How long a pool counts as nearly full after a report: four times ``REPEAT_INTERVAL_S``."""
 NEARLY_FULL_SHARE = 0.6
-"""Part of a pool's slots from which on ends are told at once: once requests wait it is too late,
-as the keeper then counts slots as taken that came free up to a repetition ago."""
+"""Share of a pool's slots above which ends of requests are reported immediately. Doing so only once
+requests are queued would be too late: the allocator would still count slots that are free again."""
 ENDS_INTERVAL_S = 0.05
-"""Ends of requests may wait so long for a start that they can go out with."""
+"""How long ends of requests wait for the start of another one, to be reported together with it."""
 ENDS_INTERVAL_PER_GATEWAY_S = 0.002
-"""The same where there are many gateways: ends alone bring a keeper 500 notices a second at most.
-At 900 messages a second one gateway of a fleet of 53 was too slow to answer (docs/POLICIES.md)."""
+"""Lower bound of the same interval per live gateway: limits the reports of ends that one allocator
+receives to 500 a second."""
 SLOWNESS_LIFETIME_S = 1.0
-"""How long what replicas tell of their slowness waits for a notice."""
+"""Age above which a replica's slowness reading is no longer reported."""
 REPEAT_INTERVAL_S = 0.25
-"""Time after which counts are told again though nothing has changed: they are believed for
-four times as long, and the loads that come back for twice as long."""
+"""Time after which unchanged counts are reported again. The allocator trusts them for four times as
+long, and this gateway trusts the loads in the answer for twice as long."""
 
 
 class OnlineReporter:
-    """Notices of one gateway; ``note`` is safe to use from any thread.
+    """Reports the online requests of one gateway, and asks allocators to place them.
+
+    Safe to use from any thread.
 
     Parameters
     ----------
     zone
-        Where this gateway runs.
+        Zone of this gateway.
+    allocator
+        This process's own slot allocator.
     batch_services
-        Returns the services that batch routes lead to, by the configuration in force.
+        Returns the services that have batch routes in the current configuration.
     gateways
-        Returns the live gateways, this one included.
+        Returns the live gateways, including this one.
     loads_changed
-        Called when a keeper has told the loads of a pool.
+        Called when an allocator has returned the loads of a pool.
     reachable
-        Returns those of some gateways that can be reached.
+        Returns the reachable ones of some gateways.
     allocator_lost
-        Called when a keeper did not answer: what waits in its line decides by itself.
-    release
-        Lets a request go whose turn has come, by its ticket and the replica's id; returns whether
-        it goes.
+        Called when an allocator does not answer; requests in its queue are then decided locally.
+    dispatch_granted
+        Dispatches a queued request that was granted a slot, by its ticket and the replica's id;
+        returns whether the request was still waiting.
     """
 
     def __init__(
@@ -131,18 +134,19 @@
         self._stopping = threading.Event()
 
     def start(self) -> None:
-        """Begin to send notices."""
-        threading.Thread(target=self._run, name="online-notices", daemon=True).start()
+        """Start sending load reports."""
+        threading.Thread(target=self._run, name="online-reporter", daemon=True).start()
 
     def stop(self) -> None:
-        """Send nothing more."""
+        """Stop sending load reports."""
         self._stopping.set()
         self._report_now.set()
 
     def place(self, first: Replica, constraints: PlacementConstraints) -> Replica | None:
-        """Ask the keeper for a place in a replica's pool; ``None`` if there is no answer at once.
+        """Ask the allocator to place a request in a replica's pool.
 
-        The request is counted at the place by the keeper, and by ``began`` here.
+        Returns ``None`` if it does not answer in time. The allocator counts the request at the
+        returned replica; ``began`` is to be called here once it is being sent.
         """
         answer = self._request_placement(first, constraints, None)
         return answer if isinstance(answer, Replica) else None
@@ -150,9 +154,9 @@
     def request_slot(
         self, first: Replica, constraints: PlacementConstraints, terms: QueueTerms
     ) -> Replica | Queued | CannotServeInTime | None:
-        """Ask the keeper for a place now, or in its line.
+        """Ask the allocator to place a request now or to queue it.
 
-        ``None`` if it does not answer at once, or is not known to keep a line.
+        Returns ``None`` if the allocator does not answer in time or is not known to have a queue.
         """
         return self._request_placement(first, constraints, terms)
 
@@ -169,7 +173,7 @@
         with self._lock:
             counts = self._counts_in(pool, self._in_flight + self._placed)
             if pool.pools == 1:
-                # The keeper hears of all that has ended by this question.
+                # The request reports all that has ended, so no separate report is needed.
                 self._changed = False
                 self._reported_at = now
         placed = self._call_place_online(allocator, pool, counts, constraints, terms)
@@ -184,23 +188,25 @@
         self._reported_by_pool[pool] = counts
         self._apply_loads(pool, placed.loads, counts)
         if placed.retry_after_s is not None:
-            return CannotServeInTime("more waits than can be served in time", placed.retry_after_s)
+            return CannotServeInTime(
+                "the queue is too long to serve the request in time", placed.retry_after_s
+            )
         return QUEUED if placed.queued else self._count_placed(placed)
 
     def _count_placed(self, placed: OnlinePlaced) -> Replica | None:
-        """Count a place until its request begins; ``None`` if it cannot be used."""
+        """Count a placement until its request begins; ``None`` if the replica cannot be used."""
         chosen = self._table.get(placed.replica_id)
         usable = chosen is not None and not chosen.leaving
         with self._lock:
             if usable:
                 self._placed[chosen.id] += 1
             else:
-                # The keeper counts a request that goes elsewhere: the next notice corrects it.
+                # The request goes elsewhere: the next load report corrects the allocator's count.
                 self._changed = True
         return chosen if usable else None
 
     def accept_grants(self, grants: Iterable[OnlineGrant]) -> tuple[str, ...]:
-        """Let requests go whose turn has come; return the tickets of those that go."""
+        """Dispatch queued requests that were granted slots; return the tickets of those."""
         return tuple(grant.ticket for grant in grants if self._accept_grant(grant))
 
     def _accept_grant(self, grant: OnlineGrant) -> bool:
@@ -214,14 +220,14 @@
         return False
 
     def give_back(self, replica: ChosenReplica) -> None:
-        """Note that a request that was placed does not go there."""
+        """Record that a placed request is not sent to its replica."""
         with self._lock:
             self._placed[replica.id] -= 1
             self._changed = True
         self._report_now.set()
 
     def depart(self, service: str, ticket: str) -> None:
-        """Tell with the next word for a service that a request waits in line no more."""
+        """Report with the next message for a service that a request no longer waits."""
         with self._lock:
             self._withdrawn_by_service.setdefault(service, []).append(ticket)
             self._changed = True
@@ -236,7 +242,7 @@
         return self._own_name if member is None else member.name
 
     def _is_local(self, allocator: Member | None) -> bool:
-        """Return whether this process's own keeper is meant: no other is known, or it is chosen."""
+        """Return whether this process's own allocator is to be used."""
         return allocator is None or allocator.name == self._own_name
 
     def _call_place_online(
@@ -271,14 +277,14 @@
         return None
 
     def _record_queue_length(self, member: Member | None, length: int) -> None:
-        """Note whether a keeper keeps a line."""
+        """Record whether an allocator has a queue."""
         if length == NO_QUEUE:
             self._queueing_allocators.discard(self._name_of(member))
         else:
             self._queueing_allocators.add(self._name_of(member))
 
     def _record_fullness(self, pool: EnginePool, loads: Iterable[ReplicaLoad]) -> None:
-        """Note whether ends in a pool are to be told at once."""
+        """Record whether a pool is so full that ends of requests are reported immediately."""
         found = [(load, self._table.get(load.replica_id)) for load in loads]
         slots = sum(replica.slots for _, replica in found if replica is not None)
         taken = sum(load.online for load, replica in found if replica is not None)
@@ -289,14 +295,14 @@
 
     @property
     def _reports_ends_at_once(self) -> bool:
-        """Whether others may wait for a slot that comes free."""
+        """Whether ends are reported immediately, because queued requests may need the slots."""
         now = boot_clock.now()
         return bool(self._queueing_allocators) and any(
             until > now for until in tuple(self._full_until_by_pool.values())
         )
 
     def began(self, replica: ChosenReplica) -> None:
-        """Note that an online request is being sent to a replica."""
+        """Record that an online request is being sent to a replica."""
         with self._lock:
             self._in_flight[replica.id] += 1
             reported = self._placed[replica.id] > 0
@@ -308,8 +314,8 @@
             self._report_now.set()
 
     def ended(self, replica: ChosenReplica) -> None:
-        """Note that an online request at a replica has ended."""
-        # Counted whatever the service: it may gain or lose its batch routes before the end.
+        """Record that an online request at a replica has ended."""
+        # Counted for every service: it may gain or lose batch routes while the request runs.
         reading = replica.reported_slowness()
         with self._lock:
             self._in_flight[replica.id] -= 1
@@ -320,7 +326,7 @@
             self._report_now.set()
 
     def _take_slowness_reports(self, pool: EnginePool) -> tuple[SlownessReport, ...]:
-        """Take what replicas of a pool have told here of how slow they are, unless it is old."""
+        """Return and clear the recent slowness readings of a pool's replicas, for its allocator."""
         if not self._slowness_by_replica:
             return ()
         now = boot_clock.now()
@@ -332,7 +338,7 @@
             ]
         allocator = self._allocator_choice.allocator_of(pool.service, pool.index)
         if self._is_local(allocator):
-            return ()  # This process's keeper knows already.
+            return ()  # This process's allocator uses the same replica table.
         return tuple(
             SlownessReport(name, reading.slowness, round(now - reading.at, 3))
             for name, reading in readings
@@ -341,7 +347,7 @@
 
     def _run(self) -> None:
         while not self._stopping.is_set():
-            # Ends alone go out when the wait is over; a gateway without requests sends nothing.
+            # Ends alone are reported after the wait; a gateway without requests reports nothing.
             gateways = len(self._gateways())
             self._report_now.wait(max(ENDS_INTERVAL_S, ENDS_INTERVAL_PER_GATEWAY_S * gateways))
             self._report_now.clear()
@@ -350,11 +356,11 @@
                 continue
             try:
                 self._report(in_flight)
-            except Exception as error:  # A bug here must not end the notices of this gateway.
+            except Exception as error:  # A bug must not stop the reports of this gateway.
                 log_message("batch:notice_error", error=repr(error))
 
     def _take_due(self) -> dict[str, int] | None:
-        """Return what is to be told now; ``None`` if that is nothing."""
+        """Return the counts to be reported now; ``None`` if no report is due."""
         now = boot_clock.now()
         with self._lock:
             self._in_flight = +self._in_flight
@@ -370,13 +376,13 @@
         for service in self._batch_services():
             for pool in pools_of(service, self._table):
                 counts = self._counts_in(pool, in_flight)
-                # A pool without requests of ours is told once, when the last of them has ended.
+                # Empty counts are reported once, after the last request in the pool has ended.
                 if counts or self._reported_by_pool.get(pool):
                     self._reported_by_pool[pool] = counts
                     self._report_pool(pool, counts)
 
     def _counts_in(self, pool: EnginePool, in_flight: Mapping[str, int]) -> dict[str, int]:
-        """Return the requests at the replicas of a pool."""
+        """Return this gateway's requests at the replicas of a pool."""
         replicas = ((self._table.get(name), count) for name, count in in_flight.items() if count)
         return {
             replica.id: count
@@ -401,7 +407,13 @@
     def _apply_loads(
         self, pool: EnginePool, loads: tuple[ReplicaLoad, ...], reported: dict[str, int]
     ) -> None:
-        """Take what the keeper knows; ``told`` is the part of it that it has from here."""
+        """Apply an allocator's loads to the replicas.
+
+        Parameters
+        ----------
+        reported
+            The share of these loads that this gateway has reported itself.
+        """
         self._record_fullness(pool, loads)
         for load in loads:
             replica = self._table.get(load.replica_id)
--- a/src/quaymill/process/jobs/slot_claims.py
+++ b/src/quaymill/process/jobs/slot_claims.py
@@ -1,4 +1,4 @@
-"""Puts claims for room to whichever gateway keeps it for a pool of engines."""
+"""Sends slot claims to the slot allocator of an engine pool, and chooses that allocator."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
 
 CLAIM_TIMEOUT_S = 0.5
 AVOID_ALLOCATOR_S = 2.0
-"""How long a gateway that did not answer a claim is passed over: by then membership knows."""
+"""How long a gateway that did not answer is skipped; by then membership has noticed a failure."""
 
 ClaimSlotsCall = Callable[[ClaimSlots], SlotsGranted | None]
-"""Puts a claim to who keeps room for its pool; ``None`` if that did not answer."""
+"""Sends a claim to the allocator of its pool; ``None`` if it does not answer."""
 
 ReachableOf = Callable[[Iterable[Member]], tuple[Member, ...]]
-"""Returns the members in zones that can be reached; all if there is none such."""
+"""Returns the members in reachable zones; all members if none is reachable."""
 
 
 class AllocatorChoice:
-    """Finds who keeps room; safe to use from any thread.
+    """Finds the slot allocator of a pool; safe to use from any thread.
 
     Parameters
     ----------
     gateways
-        Returns the live gateways, this one included.
+        Returns the live gateways, including this one.
     reachable
-        Returns those of some gateways that can be reached.
+        Returns the reachable ones of some gateways.
     """
 
     def __init__(
@@ -43,36 +43,39 @@
         self._avoided_until_by_name: dict[str, float] = {}
 
     def allocator_of(self, service: str, pool: int) -> Member | None:
-        """Return the gateway that keeps room for a pool; ``None`` if none is known.
+        """Return the gateway that allocates the slots of a pool; ``None`` if none is known.
 
-        It is one of the strongest; the others follow while none of these answers.
+        The gateways with the most cores are preferred; others are used while none of these answers.
         """
         now = boot_clock.now()
         gateways = self._reachable(self._gateways())
         strong_gateways = strongest(gateways)
         for group in (strong_gateways, gateways):
+            # The key is the same in every build: all gateways must choose the same allocator.
             for member in rank_nodes(f"room/{service}/{pool}", group):
                 if self._avoided_until_by_name.get(member.name, 0.0) <= now:
                     return member
         return None
 
     def avoid(self, service: str, member: Member) -> None:
-        """Pass over a gateway that did not answer, in favour of the next in rank."""
+        """Skip a gateway that did not answer for ``AVOID_ALLOCATOR_S``."""
         log_message("batch:keeper_silent", service=service, keeper=member.name)
         self._avoided_until_by_name[member.name] = boot_clock.now() + AVOID_ALLOCATOR_S
 
 
 class SlotClaims:
-    """Claims of one gateway; used by its dispatcher's thread only.
+    """Sends the claims of one gateway; used by its dispatcher's thread only.
 
-    A keeper that does not answer is passed over for a while, in favour of the next in rank.
-    Two keepers of a pool at once only start more items than there is room for: engines
-    refuse them, and they wait again.
+    An allocator that does not answer is skipped for a while in favour of the next in rank. If two
+    gateways allocate the slots of a pool at the same time, more items are started than there are
+    slots: engines refuse the excess, and these items wait again.
 
     Parameters
     ----------
     gateways
-        Returns the live gateways, this one included.
+        Returns the live gateways, including this one.
+    reachable
+        Returns the reachable ones of some gateways.
     """
 
     def __init__(
@@ -89,7 +92,7 @@
         self._allocator_choice = AllocatorChoice(gateways, reachable)
 
     def claim(self, claim: ClaimSlots) -> SlotsGranted | None:
-        """Put a claim to the gateway that ranks first for its pool."""
+        """Send a claim to the allocator of its pool; ``None`` if it does not answer."""
         member = self._allocator_choice.allocator_of(claim.service, claim.pool)
         if member is None or member.name == self._own_name:
             return self._local_allocator.claim(claim)
