--- a/src/quaymill/connection/slot_messages.py
+++ b/src/quaymill/connection/slot_messages.py
@@ -1,4 +1,4 @@
-"""Messages by which coordinators share the engines' free slots, and give way to online work."""
+"""Messages between gateways and slot allocators: claims, load reports, placements and grants."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 class RunningAt(msgspec.Struct, frozen=True, array_like=True):
-    """Items in service at one replica that are due at the same time.
+    """Running items at one replica that are due at the same time.
 
     Attributes
     ----------
     due_in_s
-        Time until they are due; very long for those that cannot be done by then.
+        Time until they are due; a very large value if they cannot finish by then.
     """
 
     replica_id: str
@@ -29,16 +29,17 @@
 
 
 class WantedItems(msgspec.Struct, frozen=True, array_like=True):
-    """Items that wait, and how much of the engines they leave to online requests.
+    """Waiting items that are due at the same time.
 
     Attributes
     ----------
     reserve_share
-        Part of the slots that these items leave free; less for what is nearly due.
+        Share of an engine's slots that these items leave free for online requests; smaller for
+        items that are nearly due.
     tokens
-        Memory that the largest of them takes.
+        Memory of the largest item, in tokens of the KV cache.
     due_in_s
-        Time until they are due; very long for those that cannot be done by then.
+        Time until they are due; a very large value if they cannot finish by then.
     """
 
     reserve_share: float
@@ -48,12 +49,12 @@
 
 
 class RoutePace(msgspec.Struct, frozen=True, array_like=True):
-    """How long items of a route run.
+    """Mean size and speed of a route's finished items.
 
     Attributes
     ----------
     items
-        Done items of which these are the means.
+        Number of finished items that the means are taken over.
     """
 
     route: str
@@ -63,20 +64,20 @@
 
 
 class ClaimSlots(PeerMessage, tag="ClaimRoom", frozen=True):
-    """Ask for room at a pool of engines; answered by ``SlotsGranted``.
+    """Claims slots of an engine pool for a coordinator's items; answered by ``SlotsGranted``.
 
     Attributes
     ----------
     pool, pools
-        Which part of the service's engines, and of how many.
+        Index of the pool, and number of pools of the service.
     running
-        Items of this coordinator in service now.
+        Running items of this coordinator.
     wanted
-        Items that wait, the most urgent first.
+        Waiting items, the most urgent first.
     avoided
-        Replicas that fail for this coordinator: it may be cut off from them alone.
+        Replicas that are failing for this coordinator; they may be reachable for others.
     done
-        Items that were done since the last claim.
+        Paces of the items that have finished since the last claim.
     """
 
     coordinator: str
@@ -91,16 +92,17 @@
 
 
 class SlotsGranted(PeerMessage, tag="RoomGranted", frozen=True):
-    """What the coordinator may start, and what it is to give back.
+    """The items that a coordinator may start, and those that it must preempt.
 
     Attributes
     ----------
     starts
-        Items that may be started now, for the most urgent ones first.
+        Number of items that may be started now, by replica; the most urgent items are started
+        first.
     preempt
-        Items to be cut, because online requests wait or slots run out.
+        Number of items to preempt, by replica.
     paces
-        How long items have run of late, over all coordinators.
+        Recent paces of all coordinators' items.
     """
 
     starts: tuple[ItemsAt, ...] = ()
@@ -109,14 +111,14 @@
 
 
 class SlownessReport(msgspec.Struct, frozen=True, array_like=True):
-    """What a replica told a gateway of how long work takes there.
+    """A slowness reading that a gateway has received from a replica.
 
     Attributes
     ----------
     slowness
-        How many times as long as usual.
+        Duration of work at the replica relative to the usual duration.
     age_s
-        Seconds since it told so.
+        Age of the reading.
     """
 
     replica_id: str
@@ -125,18 +127,18 @@
 
 
 class OnlineInFlight(PeerMessage, frozen=True, omit_defaults=True):
-    """Tell who keeps room what online requests a gateway has at a pool's engines now.
+    """Reports a gateway's online requests at a pool's engines to the slot allocator.
 
-    Answered by ``PoolLoads``. It arrives before an engine's report shows the requests, so that
-    batch items give way before an online request has waited. The counts are absolute: one
-    that is lost is made good by the next.
+    Answered by ``PoolLoads``. It arrives before an engine's own report includes the requests, so
+    that batch items are preempted before online requests have waited for long. The counts are
+    absolute, so a lost message is corrected by the next one.
 
     Attributes
     ----------
     slowness_reports
-        New words of replicas that tell how slow they are.
+        New slowness readings of replicas.
     withdrawn
-        Tickets of requests that wait in the line no more.
+        Tickets of requests that no longer wait in the queue.
     """
 
     gateway: str
@@ -157,16 +159,16 @@
 
 
 NO_QUEUE = -1
-"""In place of a line's length: the keeper keeps none, or is of a build that knows none."""
+"""Queue length of an allocator that has no queue, or whose build does not know queues."""
 
 
 class PoolLoads(PeerMessage, frozen=True):
-    """The replicas of a pool as their keeper knows them now.
+    """Current loads of a pool's replicas, as counted by the allocator.
 
     Attributes
     ----------
     queue_length
-        Requests that wait in the keeper's line, or ``NO_QUEUE``.
+        Number of requests in the allocator's queue, or ``NO_QUEUE``.
     """
 
     loads: tuple[ReplicaLoad, ...]
@@ -174,13 +176,13 @@
 
 
 class LoadOffset(msgspec.Struct, frozen=True, array_like=True):
-    """What a gateway adds to the load of one replica when it compares them.
+    """Offset that a gateway adds to the load of one replica when replicas are compared.
 
     Attributes
     ----------
     requests
-        Negative where the replica is likely to hold a part of the prompt, positive where it
-        has failed of late.
+        Negative if the replica is likely to have cached a part of the prompt, positive if it has
+        failed recently.
     """
 
     replica_id: str
@@ -188,25 +190,25 @@
 
 
 class QueueTerms(msgspec.Struct, frozen=True, array_like=True):
-    """How a request may wait in the keeper's line; times are in seconds from its sending.
+    """Conditions for queueing a request; times are relative to the sending of the message.
 
     Attributes
     ----------
     ticket
-        Names the request; the same when its gateway asks again.
+        Identifies the request; the same if its gateway sends it again.
     process
-        Name of its gateway's process; a gateway that starts again has another.
+        Name of its gateway's process; a restarted gateway has a different one.
     tenant
-        ``None`` where there are no tenants.
+        ``None`` if there are no tenants.
     rank
-        0 goes first.
+        Lower ranks are served first.
     waited_s
-        Since it came.
+        Time since the request arrived at its gateway.
     target_in_s, dispatch_by_s, left_s
-        Time until its first event is late, until its gateway lets it go in any case, and until
-        its caller's patience ends.
+        Time until its first event is late, until its gateway dispatches it in any case, and until
+        its caller's timeout.
     service_s, first_byte_s
-        How long its gateway has seen requests be served, and wait for their first byte.
+        Typical service time and time to first byte, as observed by its gateway.
     """
 
     ticket: str
@@ -222,22 +224,22 @@
 
 
 class PlaceOnline(PeerMessage, frozen=True, omit_defaults=True):
-    """Ask who keeps room where an online request should go; answered by ``OnlinePlaced``.
+    """Asks a slot allocator for the replica of an online request; answered by ``OnlinePlaced``.
 
     Attributes
     ----------
     in_flight
-        Online requests that the gateway has at the pool's engines, without this one.
+        Online requests of the gateway at the pool's engines, without this one.
     excluded
-        Replicas that have been tried, or fail for this gateway.
+        Replicas that have been tried or are failing for this gateway.
     offsets
-        Of the replicas for which there are any.
+        Load offsets; replicas without an entry have none.
     slowness_reports
-        New words of replicas that tell how slow they are.
+        New slowness readings of replicas.
     terms
-        How it may wait; ``None`` if it must be placed at once.
+        Conditions for queueing; ``None`` if the request must be placed immediately.
     withdrawn
-        Tickets of other requests that wait in the line no more.
+        Tickets of other requests that no longer wait in the queue.
     """
 
     gateway: str
@@ -254,20 +256,21 @@
 
 
 class OnlinePlaced(PeerMessage, frozen=True):
-    """The replica for an online request, which is counted there already.
+    """The replica for an online request; the allocator already counts the request there.
 
     Attributes
     ----------
     replica_id
-        Empty if every replica of the pool is excluded, or if the request waits or is refused.
+        Empty if every replica of the pool is excluded, or if the request is queued or refused.
     loads
-        As the keeper knows them now, this request included.
+        Current loads as counted by the allocator, including this request.
     queue_length
-        Requests that wait in the keeper's line, or ``NO_QUEUE``.
+        Number of requests in the allocator's queue, or ``NO_QUEUE``.
     queued
-        Whether the request has its place in the line.
+        Whether the request has been added to the queue.
     retry_after_s
-        Set if the request cannot be served before its caller's patience ends: when to come again.
+        Set if the request is refused because it cannot be served before its caller's timeout:
+        seconds after which it may be sent again.
     """
 
     replica_id: str
@@ -278,40 +281,37 @@
 
 
 class OnlineGrant(msgspec.Struct, frozen=True, array_like=True):
-    """The turn of a request that waits: it is counted at the replica already."""
+    """A slot granted to a queued request, which is already counted at the replica."""
 
     ticket: str
     replica_id: str
 
 
 class OnlineGrants(PeerMessage, tag="OnlineTurns", frozen=True):
-    """Tell a gateway whose turn it is; answered by ``GrantsAccepted``."""
+    """Grants slots to queued requests of a gateway; answered by ``GrantsAccepted``."""
 
     grants: tuple[OnlineGrant, ...] = msgspec.field(name="turns")
 
 
 class GrantsAccepted(PeerMessage, tag="TurnsTaken", frozen=True):
-    """The tickets of the requests that go now; the others have left their gateway."""
+    """Tickets of the requests that are dispatched; the others no longer wait at the gateway."""
 
     tickets: tuple[str, ...]
 
 
 class PreemptItems(PeerMessage, tag="GiveBack", frozen=True):
-    """Ask a coordinator to cut items at once; answered by ``ItemsPreempted``."""
+    """Asks a coordinator to preempt items immediately; answered by ``ItemsPreempted``."""
 
     items: tuple[ItemsAt, ...]
 
 
 class ItemsPreempted(PeerMessage, tag="GivenBack", frozen=True):
-    """The items are being cut, as far as they still ran."""
+    """The items that were still running are being preempted."""
 
 
 class SlotsFreed(PeerMessage, tag="RoomFreed", frozen=True):
-    """Tell a coordinator that there is room for its items.
-
-    Answered by ``SlotsFreedAcknowledged``.
-    """
+    """Notifies a coordinator of free slots; answered by ``SlotsFreedAcknowledged``."""
 
 
 class SlotsFreedAcknowledged(PeerMessage, tag="RoomFreedNoted", frozen=True):
-    """The coordinator claims room at once."""
+    """The coordinator claims slots immediately."""
--- a/src/quaymill/process/jobs/engine_loads.py
+++ b/src/quaymill/process/jobs/engine_loads.py
@@ -1,8 +1,8 @@
-"""Polls the engines' reports while batch work wants room, and tells how much there is.
+"""Polls the load reports of engines while batch items need slots.
 
-Slots are counted by the keeper of room, from what gateways and coordinators tell. A report tells
-what they cannot: the memory left, whether the engine answers, and requests that wait although
-the counts show a free slot. Nothing is polled while there is no batch work.
+The slot allocator counts slots itself, from the messages of gateways and coordinators. An engine's
+report adds what these cannot know: the free memory, whether the engine answers, and requests that
+wait there although the counts show a free slot. Nothing is polled while there is no batch work.
 """
 
 from __future__ import annotations
@@ -21,21 +21,23 @@
 POLL_INTERVAL_S = 0.25
 BUSY_POLL_INTERVAL_S = 0.1
 BUSY_MARGIN = 2
-"""Free slots up to which an engine counts as busy and is polled more often."""
+"""An engine with at most this many free slots is busy and polled more often."""
 POLL_TIMEOUT_S = 0.5
 REPORT_MAX_AGE_S = 1.0
 REPORT_LAG_S = 0.15
-"""How old a report may be when it comes: the engines tell how they stood some hundred ms ago."""
+"""Maximum age of a report's content when it arrives."""
 KEEP_ALIVE_S = 3.0
+"""How long the connection stays open for the next poll."""
 MAX_REPORT_BYTES = 256 * 1024
 MIN_RESERVE = 1
-"""Slots: an online request that finds one free waits for nobody to give way."""
+"""Minimum number of slots left free, so that an online request need not wait for a preemption."""
 KV_RESERVE_SHARE = 0.1
+"""Share of an engine's KV cache that batch items leave free."""
 
 
 @attrs.frozen
 class ReportProtocol:
-    """How an engine is asked for its report."""
+    """How to request and parse an engine's report."""
 
     request: Callable[[], ReplicaRequest]
     read: Callable[[bytes], EngineReport | None]
@@ -43,14 +45,16 @@
 
 @attrs.define
 class _Poll:
-    """What is known of one engine.
+    """The last report of one engine, and what it may not include yet.
 
     Attributes
     ----------
+    received_at
+        When the report arrived; monotonic.
+    preempted_at
+        When items were last preempted; the report may still count them.
     starts
-        When this process started items that the report may not show yet, and their tokens.
-    gave_way_at
-        When items were cut last that the report may still show.
+        Start times and tokens of items that the report may not count yet.
     """
 
     report: EngineReport | None = None
@@ -59,13 +63,13 @@
     starts: list[tuple[float, int]] = attrs.field(factory=list)
 
     def forget_shown_starts(self) -> None:
-        """Drop the starts that the report shows."""
+        """Drop the starts that the report includes."""
         shown_until = self.received_at - REPORT_LAG_S
         self.starts = [start for start in self.starts if start[0] > shown_until]
 
 
 class EngineLoads:
-    """Reports of the engines of the services that batch work waits for."""
+    """Reports of the engines that batch items wait for; safe to use from any thread."""
 
     def __init__(
         self,
@@ -82,11 +86,11 @@
         self.polls = 0
 
     def stop(self) -> None:
-        """Poll no more."""
+        """Stop polling."""
         self._stopping.set()
 
     def poll_only(self, replicas: Iterable[Replica]) -> None:
-        """Poll these engines from now on, and no others."""
+        """Poll these engines and no others from now on."""
         wanted = tuple(replicas)
         self._wanted = frozenset(replica.id for replica in wanted)
         for replica in wanted:
@@ -97,14 +101,14 @@
                 ).start()
 
     def startable_items(self, replica: Replica, tokens: int) -> int:
-        """Return how many items more the replica's state and memory allow now.
+        """Return how many more items a replica's health and free memory allow.
 
-        Its slots are the keeper's to count: a report is older than the gateways' own counts.
+        Occupied slots are not considered here: the allocator counts them, from newer information.
 
         Parameters
         ----------
         tokens
-            Memory that each of them takes.
+            Memory of each item, in tokens of the KV cache.
         """
         with self._lock:
             poll = self._polls_by_replica.get(replica.id)
@@ -122,7 +126,7 @@
             return max(0, min(replica.slots, int(kv_free_tokens // tokens)))
 
     def excess(self, replica: Replica) -> int:
-        """Return how many batch items should give way: one for each request that waits."""
+        """Return how many batch items to preempt: the requests beyond the engine's slots."""
         with self._lock:
             poll = self._polls_by_replica.get(replica.id)
             if poll is None or poll.report is None:
@@ -130,25 +134,25 @@
             if boot_clock.now() - poll.received_at > REPORT_MAX_AGE_S:
                 return 0
             if poll.received_at - REPORT_LAG_S <= poll.preempted_at:
-                return 0  # What was cut may still be in the report.
+                return 0  # The report may still count preempted items.
             return max(0, poll.report.running + poll.report.waiting - replica.slots)
 
     def record_start(self, replica: Replica, tokens: int) -> None:
-        """Count an item that is being started, until the next report shows it."""
+        """Count an item that is being started until a report includes it."""
         with self._lock:
             poll = self._polls_by_replica.get(replica.id)
             if poll is not None:
                 poll.starts.append((boot_clock.now(), tokens))
 
     def record_preemption(self, replica: Replica) -> None:
-        """Note that items are being cut, which the next reports may still show."""
+        """Record that items are being preempted, which the next reports may still count."""
         with self._lock:
             poll = self._polls_by_replica.get(replica.id)
             if poll is not None:
                 poll.preempted_at = boot_clock.now()
 
     def _poll(self, replica: Replica) -> None:
-        """Poll one engine until its report is not wanted any more, or it is gone."""
+        """Poll one engine until its reports are no longer needed or it has departed."""
         while (
             not self._stopping.is_set()
             and replica.id in self._wanted
@@ -183,12 +187,12 @@
 
 
 def reserved_slots(replica: Replica, share: float) -> int:
-    """Return the slots that batch items leave free for online requests."""
+    """Return how many slots batch items leave free for online requests."""
     return max(MIN_RESERVE, round(replica.slots * share))
 
 
 def _is_from_listed_start(report: EngineReport, replica: Replica) -> bool:
-    """Return whether a report is of the start that is listed, as far as both say."""
+    """Return whether a report is from the listed process of a replica, if both name its start."""
     born_ms = replica.entry.born_ms
     return not report.born_ms or not born_ms or report.born_ms == born_ms
 
--- a/src/quaymill/process/jobs/engine_pool.py
+++ b/src/quaymill/process/jobs/engine_pool.py
@@ -1,4 +1,4 @@
-"""Pools of engines: the parts of a service whose free slots one gateway shares out."""
+"""Engine pools: the parts of a service, each with the slot allocator of one gateway."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from quaymill.process.replica_set.table import ReplicaTable
 
 MAX_POOL_REPLICAS = 48
-"""Above this a service is split: one gateway could not poll thousands of engines."""
+"""A service with more replicas is split, because one gateway cannot poll thousands of engines."""
 
 
 @attrs.frozen
@@ -17,8 +17,10 @@
 
     Attributes
     ----------
-    index, pools
-        Which part, and of how many.
+    index
+        Number of this part, from 0.
+    pools
+        Number of parts of the service.
     """
 
     service: str
@@ -26,13 +28,13 @@
     pools: int = 1
 
     def holds(self, replica: Replica) -> bool:
-        """Return whether a replica belongs to this part."""
+        """Return whether a replica belongs to this pool."""
         if replica.entry.service != self.service:
             return False
         return replica.id_hash % self.pools == self.index
 
     def members(self, table: ReplicaTable) -> list[Replica]:
-        """Return the replicas of this part that may get work."""
+        """Return the replicas of this pool, without those that are leaving."""
         listed = [replica for replica in table.of_service(self.service) if not replica.leaving]
         if self.pools == 1:
             return listed
@@ -40,17 +42,17 @@
 
 
 def pools_of(service: str, table: ReplicaTable) -> list[EnginePool]:
-    """Return the parts of a service by the number of its replicas now.
+    """Return the pools of a service for its current number of replicas.
 
-    Gateways that count differently for a moment share the same slots twice: engines then refuse
-    what is too much, and it waits again.
+    While gateways disagree on this number, the same slots may be granted twice. Engines then refuse
+    the excess, which waits again.
     """
     pools = _number_of_pools(service, table)
     return [EnginePool(service, index, pools) for index in range(pools)]
 
 
 def pool_of(replica: Replica, table: ReplicaTable) -> EnginePool:
-    """Return the part of its service that a replica belongs to."""
+    """Return the pool that a replica belongs to."""
     service = replica.entry.service
     pools = _number_of_pools(service, table)
     return EnginePool(service, replica.id_hash % pools, pools)
--- a/src/quaymill/process/jobs/item_dispatcher.py
+++ b/src/quaymill/process/jobs/item_dispatcher.py
@@ -1,6 +1,6 @@
-"""Runs the items of jobs: claims room for them, starts them, and settles what comes of it.
+"""Runs the items of jobs: claims slots, starts items in granted slots and records the outcomes.
 
-Threads: one that claims for all jobs, and one for each running item.
+One thread claims slots for all jobs; each running item has a thread of its own.
 """
 
 from __future__ import annotations
@@ -40,28 +40,28 @@
 
 DISPATCH_INTERVAL_S = 0.2
 CLAIM_PAUSE_S = 0.05
-"""Least time between two claims: items that end close together share one."""
+"""Minimum time between two claims, so that items that end close together share one."""
 RETRY_PAUSE_S = 0.3
 MAX_RUNNING_ITEMS = 96
 MAX_POOLS_ASKED = 3
-"""Pools of engines that are asked for room in one round, one call each."""
+"""Maximum number of engine pools in which waiting items claim slots in one round."""
 RESERVE_SHARES = ((0.3, 0.15), (0.0, 0.0))
-"""Part of a job's time left, and the part of the slots that its items then leave free. Below
-the least reserve it tells nothing: only on engines of many slots. From docs/POLICIES.md."""
+"""Pairs of the minimum share of a job's time that is left, and the share of an engine's slots that
+its items then leave free. The first matching pair applies."""
 GIVE_UP_MARGIN_S = 5.0
-"""The time since a job was sent is known only so well after its coordinator has changed."""
+"""Tolerance for the time since a job was sent, which is imprecise after a change of coordinator."""
 ROUTE_GONE_S = 6.0
-"""How long a job's route must be missing before its items are given up."""
+"""How long a job's route must be missing before its remaining items are given up."""
 
 
 @attrs.frozen
 class DispatcherParts:
-    """What a dispatcher uses.
+    """Dependencies of a dispatcher.
 
     Attributes
     ----------
     name, zone
-        Of the coordinator whose items it runs.
+        Process name and zone of the coordinator whose items it runs.
     """
 
     name: str
@@ -77,7 +77,7 @@
 
 @attrs.frozen
 class _Waiting:
-    """An item that waits, and the time until it is due."""
+    """An item that waits for a slot, and the time until it is due."""
 
     left_s: float
     job: CoordinatedJob
@@ -86,19 +86,19 @@
 
 @attrs.frozen
 class _Running:
-    """An item in service."""
+    """An item that is running."""
 
     job: CoordinatedJob
     item: RunningItem
 
 
 class ItemDispatcher:
-    """Runs items in the room that is granted; safe to use from any thread.
+    """Runs items in granted slots; safe to use from any thread.
 
     Parameters
     ----------
     open_jobs
-        Returns the jobs that are not over.
+        Returns the unfinished jobs.
     """
 
     def __init__(
@@ -114,30 +114,30 @@
         self._first_pool = xxhash.xxh3_64_intdigest(parts.name.encode())
 
     def start(self) -> None:
-        """Begin to run items."""
+        """Start claiming slots and running items."""
         threading.Thread(target=self._dispatch, name="batch-dispatch", daemon=True).start()
 
     def stop(self) -> None:
-        """Start nothing more."""
+        """Start no more items."""
         self._stopping.set()
         self._wake.set()
 
     def wake(self) -> None:
-        """Look at once whether items can be started."""
+        """Claim slots immediately."""
         self._wake.set()
 
     def give_back(self, items: tuple[ItemsAt, ...]) -> None:
-        """Cut items at once, because online requests wait at their replicas."""
+        """Preempt items immediately, because online requests need their slots."""
         running = self._running()
         for at in items:
             self._preempt(running, at)
 
     def running_items(self) -> int:
-        """Return how many items are in service."""
+        """Return the number of running items."""
         return self._running_items
 
     def route_of(self, job: Job) -> RequestRoute | None:
-        """Return the route by which a job came, by the configuration in force."""
+        """Return the route of a job in the current configuration; ``None`` if there is none."""
         return self._parts.routes().find(job.host, job.path)
 
     def _dispatch(self) -> None:
@@ -145,7 +145,7 @@
             jobs = sorted(self._open_jobs(), key=CoordinatedJob.due_at)
             try:
                 self._dispatch_once(jobs)
-            except Exception as error:  # A bug must not end all batch work of this gateway.
+            except Exception as error:  # A bug must not stop the batch work of this gateway.
                 log_message("batch:dispatch_error", error=repr(error))
             self._stopping.wait(CLAIM_PAUSE_S)
             self._wake.wait(DISPATCH_INTERVAL_S if jobs else None)
@@ -157,16 +157,16 @@
             services = self._services_of(job)
             self._give_up_late(job)
             if services and job.has_work():
-                # Items of a route that is split go to the service whose turn it is.
+                # A route with several services distributes the rounds over them by weight.
                 service = self._parts.choose_service(job.route)
                 jobs_by_service.setdefault(service, []).append(job)
         for service, claiming in jobs_by_service.items():
             self._claim(service, claiming)
 
     def _claim(self, service: str, jobs: list[CoordinatedJob]) -> None:
-        """Ask for room for the waiting items of some jobs, one pool of engines after the other.
+        """Claim slots for the waiting items of some jobs in one engine pool after the other.
 
-        Each coordinator begins with a pool of its own choice, so that all are used.
+        Coordinators begin with different pools, so that all pools are used.
         """
         pools = pools_of(service, self._parts.table)
         start = self._first_pool % len(pools)
@@ -183,7 +183,7 @@
             self._first_pool += MAX_POOLS_ASKED
 
     def _wanted_items(self, jobs: list[CoordinatedJob]) -> tuple[WantedItems, ...]:
-        """Return what waits, by the time when it is due, the first first."""
+        """Return the waiting items grouped by due time, the earliest first."""
         if self._running_items >= MAX_RUNNING_ITEMS:
             return ()
         by_due: dict[float, list[_Waiting]] = {}
@@ -192,7 +192,10 @@
         return tuple(_wanted_group(left_s, items) for left_s, items in by_due.items())
 
     def _waiting(self, jobs: list[CoordinatedJob]) -> list[_Waiting]:
-        """Return the items that wait, the most urgent first, of those alike the nearest done."""
+        """Return the waiting items, the most urgent first.
+
+        Equally urgent items are sorted by progress, the most advanced first.
+        """
         now = boot_clock.now()
         waiting = [
             _Waiting(self._time_left_s(job, item, now), job, item)
@@ -209,7 +212,7 @@
         wanted: tuple[WantedItems, ...],
         avoided: tuple[str, ...],
     ) -> None:
-        """Claim room in one pool, and do as the answer says."""
+        """Claim slots in one pool, then preempt and start items as the allocator answers."""
         granted = self._parts.claim_slots(
             ClaimSlots(
                 self._parts.name,
@@ -237,7 +240,7 @@
                 self._start_item(one.job, one.item, replica)
 
     def _time_left_s(self, job: CoordinatedJob, item: RunningItem, now: float) -> float:
-        """Return the time until an item is due, by the pace of its route."""
+        """Return the time until an item is due; ``INFEASIBLE_DUE_S`` if it cannot meet that."""
         return time_left_s(job, item, now, self._paces.of(_route_name(job)))
 
     def _running_at(self, running: list[_Running]) -> tuple[RunningAt, ...]:
@@ -251,7 +254,7 @@
         )
 
     def _avoided(self, service: str) -> tuple[str, ...]:
-        """Return the replicas that fail for this process, whatever others see of them."""
+        """Return the replicas that are failing for this process, even if not for others."""
         replicas = self._parts.table.of_service(service)
         return tuple(replica.id for replica in replicas if replica.avoided)
 
@@ -259,7 +262,7 @@
         return [one for one in self._running() if self._is_in(pool, one.item)]
 
     def _running(self) -> list[_Running]:
-        """Return the items in service, apart from those that are being cut."""
+        """Return the running items, except those that are being preempted."""
         return [
             _Running(job, item)
             for job in self._open_jobs()
@@ -272,7 +275,7 @@
         return replica is not None and pool.holds(replica)
 
     def _services_of(self, job: CoordinatedJob) -> tuple[str, ...]:
-        """Return the services that may run a job's items by the configuration in force."""
+        """Update a job's route from the current configuration, and return the route's services."""
         route = self.route_of(job.job)
         if route is None:
             return ()
@@ -287,7 +290,7 @@
                 job.finish(item, ResultState.DEAD, reason)
 
     def _reason_to_give_up(self, job: CoordinatedJob) -> str:
-        """Return why the rest of a job will never be done; empty if it may be."""
+        """Return why a job's remaining items are to be given up; empty if they are not."""
         now = boot_clock.now()
         if self._parts.routes().version and now > job.routed_at + ROUTE_GONE_S:
             return "the job's route was removed"
@@ -325,7 +328,7 @@
     def _run_unless_barred(
         self, job: CoordinatedJob, item: RunningItem, replica: Replica, content: str
     ) -> ItemOutcome:
-        """Run an item, and note what that tells of its content."""
+        """Run an item unless its content is barred, and report the result to the poison guard."""
         guard = self._parts.guard
         if (barred_s := guard.barred_for_s(content)) > 0:
             return ItemBarred(barred_s)
@@ -389,7 +392,7 @@
         return max(1, job.route.max_attempts) if job.route else 1
 
     def _preempt(self, running: list[_Running], at: ItemsAt) -> None:
-        """Cut the least urgent items at a replica, of those alike the one with least done."""
+        """Preempt the least urgent items at a replica; among equals, those with least progress."""
         now = boot_clock.now()
         here = [one for one in running if one.item.replica_id == at.replica_id]
         here.sort(
@@ -409,7 +412,7 @@
 
 
 def _wanted_group(left_s: float, waiting: list[_Waiting]) -> WantedItems:
-    """Return one group of items that are due at the same time."""
+    """Return the message part for waiting items that are due at the same time."""
     route = waiting[0].job.route
     due_s = route.due_s if route else 0.0
     left_share = min(1.0, left_s / due_s) if due_s and left_s < INFEASIBLE_DUE_S else 0.0
--- a/src/quaymill/process/jobs/item_run.py
+++ b/src/quaymill/process/jobs/item_run.py
@@ -1,4 +1,7 @@
-"""One run of a batch item at a replica; what came of a cut run is kept and gone on from."""
+"""One run of a batch item at a replica.
+
+The output of an interrupted run is kept, and the next run resumes after its last event.
+"""
 
 from __future__ import annotations
 
@@ -26,16 +29,17 @@
 RUN_TIMEOUT_S = 60.0
 METHOD = "POST"
 IMPOSSIBLE_STATUS = 422
+"""Status with which a replica rejects an item that can never succeed."""
 
 
 @attrs.frozen
 class ItemDone:
-    """The whole output has come; it is in the item's texts."""
+    """The output is complete; it is in the item's texts."""
 
 
 @attrs.frozen
 class ItemImpossible:
-    """The replica says that the item can never be done."""
+    """The replica answered that the item can never succeed."""
 
     reason: str
 
@@ -49,14 +53,14 @@
 
 @attrs.frozen
 class ItemCut:
-    """The run brought no whole answer.
+    """The run ended without a complete answer.
 
     Attributes
     ----------
     blames_replica
-        Whether it says something about the replica.
+        Whether it counts as a failure of the replica.
     connection_closed
-        Whether the replica's side closed the connection before the answer was whole.
+        Whether the replica's side closed the connection before the answer was complete.
     """
 
     reason: str
@@ -66,12 +70,12 @@
 
 @attrs.frozen
 class ItemBarred:
-    """The item was not run, since replicas crash under it.
+    """The item was not run because its content is blocked after crashing replicas.
 
     Attributes
     ----------
     left_s
-        For how long it must not be run.
+        Seconds until it may be run.
     """
 
     left_s: float
@@ -82,14 +86,14 @@
 
 @attrs.frozen
 class ItemProtocol:
-    """How items become requests to replicas."""
+    """How to build requests to replicas from items."""
 
     replica: ReplicaProtocol
     item_headers: Callable[[JobItem, str], Headers]
 
 
 def content_of_item(item: RunningItem, host: str) -> str:
-    """Return the digest of what an item asks for."""
+    """Return the content digest of an item's request."""
     return content_of(host, METHOD, item.item.path, item.item.body)
 
 
@@ -101,7 +105,7 @@
     protocol: ItemProtocol,
     tenant: str | None = None,
 ) -> ItemOutcome:
-    """Run an item once, from the event after the last one that came."""
+    """Run an item once, resuming after the last event that was received."""
     request = ForwardedRequest(
         id=item.item.id,
         method=METHOD,
@@ -123,12 +127,12 @@
     try:
         if item.giving_way:
             exchange.abandon()
-            return ItemCut("gave way before it began", blames_replica=False)
+            return ItemCut("preempted before the run began", blames_replica=False)
         outcome = _read_answer(item, request, replica, exchange, protocol.replica)
     finally:
         item.cancel = None
     if isinstance(outcome, ItemCut) and item.giving_way:
-        # The connection was closed from here, at whatever point of the answer.
+        # The preemption closed the connection, so the replica is not at fault.
         return attrs.evolve(outcome, blames_replica=False, connection_closed=False)
     return outcome
 
@@ -171,10 +175,10 @@
 
 
 def _begins_in_time(exchange: Exchange, replica: Replica, began: float) -> bool:
-    """Return whether the answer begins before the item is better off elsewhere.
+    """Wait for the answer to begin; return whether it did before the run should be given up.
 
-    An item goes on from its last event at any replica, so that a replica which took it and says
-    nothing must not use up the time until it is due.
+    An item can resume at any other replica, so it does not spend the time until it is due on a
+    replica that sends nothing.
     """
     while (waited_s := boot_clock.now() - began) < FIRST_EVENT_PATIENCE_S:
         if exchange.wait_readable(SILENCE_CHECK_S):
--- a/src/quaymill/process/jobs/item_urgency.py
+++ b/src/quaymill/process/jobs/item_urgency.py
@@ -1,7 +1,7 @@
-"""How urgent batch items are: the one that is due first goes first, a hopeless one last.
+"""Urgency of batch items: the earliest due time first, infeasible items last.
 
-An item that cannot be done any more by the time it is due earns little, whenever it is done.
-If it went before those that can still be done, each of them would become hopeless in turn.
+An item that can no longer finish by its due time has little value, whenever it finishes. If such
+items ran first under overload, the feasible items would become infeasible one after the other.
 """
 
 from __future__ import annotations
@@ -13,25 +13,21 @@
 from quaymill.process.jobs.coordinated_job import CoordinatedJob, RunningItem
 
 INFEASIBLE_DUE_S = 1e6
-"""Stands for the time left of a hopeless item: after every other one."""
+"""Time left of an infeasible item, in place of its real one: sorts it after all others."""
 SAFETY_FACTOR = 1.2
-"""By how much the time left must exceed the time that an item is expected to need yet, or it is
-hopeless. Sizes differ by a quarter among the items of a route, and runs are cut: one that would
-only just be in time mostly is not, and where more comes than engines can do every item would be
-started at that very moment. In the loads of ``tests/test_load_player.py`` with twice as much work
-as engines can do .43 of the items were in time with 0.7, .59 with 1.2 and .61 with 1.5; with a
-little too much .916, .934 and .923."""
+"""An item is infeasible if its time left is less than this many times its expected remaining run
+time. The margin covers varying item sizes and preemptions."""
 PACE_WEIGHT = 0.1
-"""Weight of the newest item in the averages: about ten items decide."""
+"""Weight of the newest item in the moving averages."""
 
 
 class RunPace:
-    """How long items of one route have run of late.
+    """Moving averages of the size and speed of one route's items.
 
     Attributes
     ----------
     events_per_item, s_per_event
-        Averages; 0 until an item was done.
+        Averages over finished items; 0 until an item has finished.
     """
 
     def __init__(self) -> None:
@@ -39,26 +35,26 @@
         self.s_per_event = 0.0
 
     def add(self, events_per_item: float, s_per_event: float, items: int) -> None:
-        """Take the means of some done items into the averages."""
+        """Add the means of some finished items to the averages."""
         weight = 1.0 - (1.0 - PACE_WEIGHT) ** items
         self.events_per_item = _averaged(self.events_per_item, events_per_item, weight)
         self.s_per_event = _averaged(self.s_per_event, s_per_event, weight)
 
     def remaining_s(self, events: int) -> float:
-        """Return how long an item with so many events is likely to run yet."""
+        """Return the expected remaining run time in seconds of an item that has some events."""
         return max(0.0, self.events_per_item - events) * self.s_per_event
 
 
 NO_PACE = RunPace()
-"""Of a route of which no item was done."""
+"""Pace of a route of which no item has finished."""
 
 
 class RoutePaces:
-    """Paces by route, shared by all coordinators; safe to use from any thread.
+    """Paces by route, shared among all coordinators; safe to use from any thread.
 
-    A coordinator tells the keeper of room what its own items took, and is told what those of all
-    did. Where there are more gateways than jobs, most coordinators have seen no item end when they
-    must tell which can still be done in time.
+    Coordinators report the paces of their own items to the slot allocator, and receive the averages
+    over all coordinators. Otherwise, with more gateways than jobs, most coordinators would not have
+    seen any item finish when they must decide which items are still feasible.
     """
 
     def __init__(self) -> None:
@@ -67,11 +63,19 @@
         self._unreported: list[RoutePace] = []
 
     def of(self, route: str) -> RunPace:
-        """Return the pace of a route's items."""
+        """Return the pace of a route."""
         return self._by_route.get(route, NO_PACE)
 
     def record(self, route: str, events: int, events_in_run: int, run_s: float) -> None:
-        """Note an item of this coordinator that is done, and its last run."""
+        """Record a finished item of this coordinator.
+
+        Parameters
+        ----------
+        events
+            Events of the whole item.
+        events_in_run, run_s
+            Events and duration of its last run.
+        """
         if events_in_run <= 0:
             return
         done = RoutePace(route, float(events), run_s / events_in_run, 1)
@@ -80,13 +84,13 @@
             self._add(done)
 
     def take_unreported(self) -> tuple[RoutePace, ...]:
-        """Return what was recorded since the last call."""
+        """Return the paces recorded since the last call."""
         with self._lock:
             unreported, self._unreported = tuple(self._unreported), []
         return unreported
 
     def add_all(self, done: Iterable[RoutePace]) -> None:
-        """Take what a coordinator tells of its items into the averages."""
+        """Add the paces that a coordinator reports to the averages."""
         with self._lock:
             for one in done:
                 self._add(one)
@@ -100,7 +104,7 @@
             )
 
     def adopt(self, paces: Iterable[RoutePace]) -> None:
-        """Take the averages over all coordinators in place of the own ones."""
+        """Replace the averages with those over all coordinators."""
         with self._lock:
             for one in paces:
                 pace = self._by_route.setdefault(one.route, RunPace())
@@ -112,7 +116,7 @@
 
 
 def time_left_s(job: CoordinatedJob, item: RunningItem, now: float, pace: RunPace) -> float:
-    """Return the time until an item is due; ``INFEASIBLE_DUE_S`` if it cannot be done by then.
+    """Return the time until an item is due; ``INFEASIBLE_DUE_S`` if it cannot finish by then.
 
     Parameters
     ----------
