--- a/tests/load_player.py
+++ b/tests/load_player.py
@@ -98,7 +98,7 @@
         return self.in_time + self.late + self.undone
 
 
-class _Play:
+class _Player:
     def __init__(self, load: Load, seed: int) -> None:
         self._load = load
         self._random = random.Random(seed)
@@ -167,4 +167,4 @@
 
 def play(load: Load, seed: int) -> Outcome:
     """Play a load; the same seed brings the same arrivals."""
-    return _Play(load, seed).run()
+    return _Player(load, seed).run()
--- a/tests/test_allocator_calls.py
+++ b/tests/test_allocator_calls.py
@@ -84,13 +84,13 @@
     def _claim(self) -> None:
         self.claimed += 1
 
-    def test_own_coordinator_is_told_at_once(self):
+    def test_the_local_coordinator_is_called_immediately(self):
         self.sender.send("own", (ItemsAt("r", 1),))
         self.sender.wake("own")
         self.assertEqual(self.preempted, [(ItemsAt("r", 1),)])
         self.assertEqual(self.claimed, 1)
 
-    def test_a_bug_in_an_order_answers_no_turn_twice(self):
+    def test_a_failed_preemption_does_not_answer_a_grant_twice(self):
         """A turn that was taken must not cost its gateway its other places in line."""
         answered: list[tuple[str, bool | None]] = []
         client = mock.Mock()
@@ -118,7 +118,7 @@
         eventually(lambda: not sender._being_called and not sender._waiting, TIMEOUT_S)
         self.assertEqual([("t", True)], answered)
 
-    def test_silent_coordinators_hold_up_neither_the_keeper_nor_others(self):
+    def test_unresponsive_coordinators_delay_neither_the_allocator_nor_others(self):
         """Each such order took the answer to a placement 0.2 s before."""
         began = time.monotonic()
         for number in range(MAX_SENDERS - 1):
@@ -128,7 +128,7 @@
         eventually(lambda: self.client.sent_to("quick"), TIMEOUT_S)
         self.assertEqual(self.client.sent_to("quick"), [PreemptItems((ItemsAt("r", 2),))])
 
-    def test_word_for_a_coordinator_that_is_being_told_goes_out_together(self):
+    def test_messages_during_a_call_are_sent_together(self):
         self.sender.send("slow", (ItemsAt("r", 1),))
         eventually(lambda: self.client.sent_to("slow"), TIMEOUT_S)
         for _ in range(5):
@@ -139,7 +139,7 @@
         self.assertEqual(self.client.sent_to("slow")[1], PreemptItems((ItemsAt("r", 5),)))
         self.assertEqual(self.client.max_under_way["slow"], 1)
 
-    def test_every_word_arrives_however_many_there_are(self):
+    def test_every_message_arrives_with_many_coordinators(self):
         names = [f"quick-{number}" for number in range(200)]
         for name in names:
             self.sender.wake(name)
--- a/tests/test_allocator_queue.py
+++ b/tests/test_allocator_queue.py
@@ -244,13 +244,13 @@
         self.first_gateway.place_at_once()
         self.second_gateway.place_at_once()
 
-    def test_a_request_that_finds_a_slot_goes_with_its_place_at_once(self) -> None:
+    def test_a_request_that_finds_a_free_slot_is_dispatched_immediately(self) -> None:
         self.first_gateway.place_at_once()
         self.send("r", self.first_gateway)
         self.wait_until_dispatched("r")
         self.assertEqual("e1", self.results["r"].id)
 
-    def test_who_waits_goes_when_a_slot_comes_free_anywhere(self) -> None:
+    def test_a_slot_released_at_any_gateway_is_granted_to_a_queued_request(self) -> None:
         self.take_all_slots()
         self.send("first", self.first_gateway)
         self.wait_until_queued(1)
@@ -263,7 +263,7 @@
         self.first_gateway.end()
         self.wait_until_dispatched("second")
 
-    def test_who_left_stands_in_the_line_no_more(self) -> None:
+    def test_a_request_whose_caller_disconnected_leaves_the_queue(self) -> None:
         self.take_all_slots()
         self.send("leaves", self.first_gateway)
         self.wait_until_queued(1)
@@ -274,7 +274,7 @@
         self.second_gateway.end()
         self.wait_until_dispatched("stays")
 
-    def test_many_turns_of_the_keepers_own_requests_that_left(self) -> None:
+    def test_many_grants_to_disconnected_callers_of_the_allocators_own_gateway(self) -> None:
         """Each is answered at once: they must not be nested in one another."""
         self.take_all_slots()
         own = self.allocator
@@ -286,7 +286,7 @@
         self.second_gateway.end()
         self.wait_until_dispatched("waits")
 
-    def test_each_tenant_has_its_turn(self) -> None:
+    def test_slots_are_shared_among_tenants(self) -> None:
         self.take_all_slots()
         for index in range(3):
             self.send(f"big-{index}", self.first_gateway, "big")
@@ -303,7 +303,7 @@
             self.wait_until_dispatched(dispatched)
         self.assertNotIn("big-2", self.results)
 
-    def test_the_turn_of_a_caller_that_left_goes_to_the_next(self) -> None:
+    def test_the_slot_of_a_disconnected_caller_is_granted_to_the_next(self) -> None:
         self.take_all_slots()
         self.send("left", self.first_gateway)
         self.wait_until_queued(1)
@@ -315,7 +315,7 @@
         self.wait_until_dispatched("next")
         self.assertNotIn("left", self.results)
 
-    def test_the_turn_of_a_gateway_that_is_gone_goes_to_the_next(self) -> None:
+    def test_the_slot_of_an_unresponsive_gateway_is_granted_to_the_next(self) -> None:
         self.take_all_slots()
         self.send("lost", self.first_gateway)
         self.wait_until_queued(1)
@@ -325,7 +325,7 @@
         self.second_gateway.end()
         self.wait_until_dispatched("next")
 
-    def test_a_turn_that_cannot_be_sent_goes_to_the_next(self) -> None:
+    def test_the_slot_of_an_unsendable_grant_is_granted_to_the_next(self) -> None:
         self.take_all_slots()
         self.send("lost", self.first_gateway)
         self.wait_until_queued(1)
@@ -335,7 +335,7 @@
         self.second_gateway.end()
         self.wait_until_dispatched("next")
 
-    def test_requests_decide_by_themselves_while_their_keeper_is_silent(self) -> None:
+    def test_requests_are_decided_locally_while_the_allocator_is_unresponsive(self) -> None:
         self.take_all_slots()
         self.send("r", self.first_gateway)
         self.wait_until_queued(1)
@@ -344,7 +344,7 @@
         self.names.remove(self.allocator.name)
         self.wait_until_dispatched("r")
 
-    def test_who_waits_is_taken_up_by_the_next_keeper(self) -> None:
+    def test_queued_requests_move_to_the_next_allocator(self) -> None:
         self.take_all_slots()
         self.send("r", self.first_gateway)
         self.wait_until_queued(1)
@@ -356,7 +356,7 @@
         self.second_gateway.end()
         self.wait_until_dispatched("r")
 
-    def test_nothing_waits_past_its_last_call(self) -> None:
+    def test_no_request_waits_past_its_dispatch_deadline(self) -> None:
         self.take_all_slots()
         began = time.monotonic()
         self.send("r", self.first_gateway, timeout_s=2.5)
@@ -364,7 +364,7 @@
         self.assertIsNone(self.results["r"])
         self.assertLess(time.monotonic() - began, 1.5)
 
-    def test_what_cannot_be_served_is_refused_at_once(self) -> None:
+    def test_an_infeasible_request_is_refused_immediately(self) -> None:
         self.take_all_slots()
         for index in range(12):
             self.send(f"r{index}", self.first_gateway)
@@ -377,20 +377,20 @@
         self.assertGreater(refusal.retry_after_s, 1.0)
         self.assertEqual(1, self.allocator.allocator.turns.refused_early)
 
-    def test_a_gateway_that_cannot_wait_is_placed_at_once(self) -> None:
+    def test_a_request_without_queue_terms_is_placed_immediately(self) -> None:
         self.take_all_slots()
         self.send("waits", self.first_gateway)
         self.wait_until_queued(1)
         self.assertEqual("e1", self.second_gateway.router.choose(SERVICE).id)
 
-    def test_a_keeper_that_keeps_no_line_is_asked_as_before(self) -> None:
+    def test_an_allocator_without_a_queue_places_requests(self) -> None:
         self.wire.old_builds.add(self.allocator.name)
         self.take_all_slots()
         self.send("fresh", self.first_gateway)
         self.wait_until_dispatched("fresh")
         self.assertIsNone(self.results["fresh"])
 
-    def test_ends_are_told_at_once_before_anybody_waits(self) -> None:
+    def test_ends_are_reported_immediately_in_a_nearly_full_pool(self) -> None:
         """Else the keeper counts slots as taken that came free, and lets the first ones wait."""
         self.first_gateway.place_at_once()
         self.assertFalse(self.first_gateway.reporter._reports_ends_at_once)
@@ -408,7 +408,7 @@
             lambda: not self.second_gateway.reporter._reports_ends_at_once, "it still tells at once"
         )
 
-    def test_of_two_keepers_turns_one_is_taken(self) -> None:
+    def test_only_one_of_two_grants_for_a_request_is_accepted(self) -> None:
         self.take_all_slots()
         self.send("r", self.first_gateway)
         self.wait_until_queued(1)
@@ -420,7 +420,7 @@
         self.assertEqual(0, self.first_gateway.reporter._placed["e1"])
         self.assertEqual(2, self.first_gateway.reporter._in_flight["e1"])
 
-    def test_a_turn_that_comes_after_its_request_went_is_not_taken(self) -> None:
+    def test_a_grant_for_a_dispatched_request_is_not_accepted(self) -> None:
         """The keeper took the request into its line, and its word of that was lost."""
         self.first_gateway.place_at_once()
         late: list[str] = []
@@ -440,7 +440,7 @@
             (), self.first_gateway.reporter.accept_grants([OnlineGrant(late[0], "e1")])
         )
 
-    def test_a_place_that_is_given_back_is_free_for_the_next(self) -> None:
+    def test_a_released_slot_is_granted_to_the_next(self) -> None:
         self.first_gateway.place_at_once()
         self.second_gateway.place_at_once()
         self.second_gateway.end()
@@ -468,13 +468,13 @@
         answer = mock.Mock(started=False)
         return forwarder.forward(self.request, ROUTE, answer, self.presence, key_change)
 
-    def test_what_cannot_be_served_was_not_run(self) -> None:
+    def test_an_infeasible_request_is_refused_with_retry_after(self) -> None:
         self.queue.wait_for_slot.return_value = CannotServeInTime("too many", 3.21)
         refusal = forwarding_refusal(self.forward())
         self.assertEqual((503, 3.2), (refusal.status, refusal.retry_after_s))
         self.router.choose.assert_not_called()
 
-    def test_the_place_of_a_caller_that_left_is_given_back(self) -> None:
+    def test_the_slot_of_a_caller_that_disconnects_is_released(self) -> None:
         place = mock.Mock()
 
         def leave(*_):
@@ -485,7 +485,7 @@
         self.assertIsInstance(self.forward(), CallerLeft)
         self.queue.give_back.assert_called_once_with(place)
 
-    def test_the_place_of_a_key_that_was_taken_away_is_given_back(self) -> None:
+    def test_the_slot_of_a_revoked_key_is_released(self) -> None:
         place = self.queue.wait_for_slot.return_value
         changes = iter((None, KeyChanged(taken_away=True)))
         self.assertIsInstance(self.forward(lambda: next(changes)), KeyChanged)
@@ -495,11 +495,11 @@
 class MixedBuildsTest(unittest.TestCase):
     """Messages of builds that know no line."""
 
-    def test_old_words_are_read(self) -> None:
+    def test_messages_of_older_builds_are_read(self) -> None:
         old_builds = b'{"kind":"PlaceOnline","gateway":"g","zone":"z","service":"s","in_flight":[]}'
         self.assertIsNone(msgspec.json.decode(old_builds, type=PlaceOnline).terms)
 
-    def test_turns_survive_the_wire(self) -> None:
+    def test_messages_survive_encoding(self) -> None:
         for message in (OnlineGrants(()), GrantsAccepted(("t",)), OnlineInFlight("g", "s", ())):
             line = msgspec.json.encode(message)
             self.assertEqual(message, msgspec.json.decode(line, type=type(message)))
--- a/tests/test_item_run.py
+++ b/tests/test_item_run.py
@@ -71,19 +71,19 @@
         return outcome
 
     @params(NO_HEAD, HEAD_ONLY, HALF_AN_EVENT)
-    def test_an_item_that_gives_way_blames_no_replica(self, answer: bytes) -> None:
+    def test_a_preempted_item_does_not_blame_the_replica(self, answer: bytes) -> None:
         thread, _ = self.run_until_answered(answer)
         self.item.giving_way = True
         self.item.cancel()
         self.assertFalse(self.outcome_of(thread).blames_replica)
 
     @params(NO_HEAD, HEAD_ONLY, HALF_AN_EVENT)
-    def test_a_replica_that_breaks_off_is_blamed(self, answer: bytes) -> None:
+    def test_a_replica_that_closes_the_connection_is_blamed(self, answer: bytes) -> None:
         thread, connection = self.run_until_answered(answer)
         connection.close()
         self.assertTrue(self.outcome_of(thread).blames_replica)
 
-    def test_an_item_leaves_a_zone_that_cannot_be_reached_at_once(self) -> None:
+    def test_an_item_in_an_unreachable_zone_is_given_up_immediately(self) -> None:
         thread, _ = self.run_until_answered(NO_HEAD)
         began = boot_clock.now()
         with mock.patch.object(Replica, "unreachable", True):
@@ -91,7 +91,7 @@
         self.assertLess(boot_clock.now() - began, SILENCE_PATIENCE_S)
 
     @params(NO_HEAD, HEAD_ONLY, HALF_AN_EVENT)
-    def test_an_item_leaves_a_replica_that_says_nothing_more(self, answer: bytes) -> None:
+    def test_an_item_at_an_unresponsive_replica_is_given_up(self, answer: bytes) -> None:
         began = boot_clock.now()
         thread, connection = self.run_until_answered(answer)
         outcome = self.outcome_of(thread)
--- a/tests/test_load_player.py
+++ b/tests/test_load_player.py
@@ -22,9 +22,9 @@
     return lambda at: round(mean * (0.383, 0.75, 1.87)[int(at / 2) % 3])
 
 
-def lost(slots: int, left: int, begin_s: float, end_s: float) -> Callable[[float], int]:
+def outage(slots: int, remaining: int, begin_s: float, end_s: float) -> Callable[[float], int]:
     """Return slots of which only ``left`` are there for a time."""
-    return lambda at: left if begin_s <= at < end_s else slots
+    return lambda at: remaining if begin_s <= at < end_s else slots
 
 
 def mean_share(load: Load, count: Callable[[Outcome], int]) -> float:
@@ -36,15 +36,15 @@
 class Row:
     """A load and the share of items that must be in time."""
 
-    what: str
+    description: str
     load: Load
     in_time: float
 
 
 ROWS = (
     Row("what engines can do easily", Load(lambda at: 320, bursts(126), 2.3), 1.0),
-    Row("a quarter of the engines lost", Load(lost(320, 240, 10, 25), bursts(126), 2.3), 1.0),
-    Row("an outage of 6 s and the backlog", Load(lost(320, 0, 20, 26), bursts(126), 2.3), 1.0),
+    Row("a quarter of the engines lost", Load(outage(320, 240, 10, 25), bursts(126), 2.3), 1.0),
+    Row("an outage of 6 s and the backlog", Load(outage(320, 0, 20, 26), bursts(126), 2.3), 1.0),
     # .916 while an item counted as sure with .7 of the time that it was expected to need.
     Row("a little too much", Load(lambda at: 320, bursts(126), 5.0), 0.93),
     # .428 then.
@@ -57,20 +57,20 @@
 
     def test_share_in_time_by_load(self):
         for row in ROWS:
-            with self.subTest(row.what):
+            with self.subTest(row.description):
                 share = mean_share(row.load, lambda outcome: outcome.in_time)
                 self.assertGreaterEqual(round(share, 3), row.in_time)
 
-    def test_overload_spends_little_on_items_that_are_late(self):
+    def test_overload_runs_few_late_items(self):
         """.186 of the items were late and .39 undone; now .053, and more are in time."""
         share = mean_share(ROWS[-1].load, lambda outcome: outcome.late)
         self.assertLess(share, 0.08)
 
-    def test_rows_go_red_without_the_margin(self):
+    def test_overload_rows_fail_without_the_margin(self):
         with mock.patch("quaymill.process.jobs.item_urgency.SAFETY_FACTOR", 0.7):
             for row in ROWS[-2:]:
                 share = mean_share(row.load, lambda outcome: outcome.in_time)
-                self.assertLess(share, row.in_time, row.what)
+                self.assertLess(share, row.in_time, row.description)
 
 
 if __name__ == "__main__":
--- a/tests/test_pool_queue.py
+++ b/tests/test_pool_queue.py
@@ -48,29 +48,29 @@
     def tag_all(self, *tenants: str) -> list[float]:
         return [self.shares.start_tag(tenant) for tenant in tenants]
 
-    def test_without_tenants_all_are_alike(self) -> None:
+    def test_without_tenants_all_tags_are_equal(self) -> None:
         self.assertEqual([0.0, 0.0], [self.shares.start_tag(None) for _ in range(2)])
 
-    def test_each_tenant_counts_for_itself(self) -> None:
+    def test_each_tenant_has_its_own_tags(self) -> None:
         self.assertEqual([0, 1, 2, 0, 3, 1], self.tag_all("a", "a", "a", "b", "a", "b"))
 
-    def test_who_was_idle_has_gained_nothing(self) -> None:
+    def test_an_idle_tenant_gains_no_advantage(self) -> None:
         for number in self.tag_all("a", "a", "a", "a"):
             self.shares.serve(number)
         self.assertEqual([3, 4, 4], self.tag_all("b", "b", "a"))
 
-    def test_what_was_used_without_anybody_waiting_is_soon_forgotten(self) -> None:
+    def test_use_without_competition_has_no_lasting_cost(self) -> None:
         for _ in range(100):
             self.shares.serve(self.shares.start_tag("a"))
         self.assertLessEqual(self.shares.start_tag("a") - self.shares.start_tag("b"), 1)
 
-    def test_what_is_not_served_costs_no_share(self) -> None:
+    def test_an_unserved_request_costs_no_share(self) -> None:
         first, second = self.tag_all("a", "a")
         self.shares.take_back("a")
         self.assertEqual(second, self.shares.start_tag("a"))
         self.assertLess(first, second)
 
-    def test_many_tenants_do_not_grow_without_bound(self) -> None:
+    def test_the_number_of_remembered_tenants_is_bounded(self) -> None:
         for index in range(3 * MAX_TENANTS):
             self.shares.serve(self.shares.start_tag("busy"))
             self.shares.start_tag(f"t{index}")
@@ -110,36 +110,36 @@
         ]
         self.assertEqual(expected, self.tickets(now + 0.01))
 
-    def test_without_tenants_the_oldest_goes_first(self) -> None:
+    def test_without_tenants_the_oldest_is_first(self) -> None:
         for ticket, waited_s in (("new", 0.0), ("old", 0.2), ("between", 0.1)):
             self.queue.join(place_message(ticket, waited_s=waited_s), 1.0)
         self.assertEqual(["old", "between", "new"], self.tickets(1.0))
 
-    def test_who_asks_again_keeps_its_place(self) -> None:
+    def test_a_request_sent_again_keeps_its_position(self) -> None:
         for ticket in ("first", "second"):
             self.queue.join(place_message(ticket, "a"), 1.0)
         self.queue.join(place_message("first", "a", waited_s=0.1), 1.1)
         self.assertEqual(["first", "second"], self.tickets(1.1))
         self.assertEqual(2, len(self.queue))
 
-    def test_past_its_last_call_a_request_is_its_gateways(self) -> None:
+    def test_a_request_past_its_dispatch_deadline_is_dropped(self) -> None:
         self.queue.join(place_message("short", dispatch_by_s=0.5), 1.0)
         self.queue.join(place_message("long"), 1.0)
         self.assertEqual(["long"], self.tickets(1.6))
 
-    def test_requests_of_a_gateway_that_is_gone_are_dropped(self) -> None:
+    def test_requests_of_a_lost_gateway_are_dropped(self) -> None:
         self.queue.join(place_message("a"), 1.0)
         self.queue.join(place_message("b", process="h#1"), 1.0)
         self.assertEqual(1, self.queue.drop_process("g#1"))
         self.assertEqual(["b"], self.tickets(1.0))
 
-    def test_requests_past_their_last_call_refuse_nobody(self) -> None:
+    def test_requests_past_their_dispatch_deadline_cause_no_refusal(self) -> None:
         for index in range(40):
             self.queue.join(place_message(f"gone-{index}", dispatch_by_s=0.1), 1.0)
         fresh = self.queue.join(place_message("fresh", left_s=2.0), 2.0)
         self.assertIsNone(self.queue.retry_after_s(fresh, 2, 2.0))
 
-    def test_what_was_never_served_costs_a_tenant_nothing(self) -> None:
+    def test_dropped_requests_cost_their_tenant_no_share(self) -> None:
         for index in range(300):
             self.queue.join(place_message(f"gone-{index}", "large", dispatch_by_s=0.1), 1.0)
         self.queue.ordered(2.0)
@@ -149,7 +149,7 @@
         self.assertEqual(["small", "large", "second small"], self.tickets(2.0))
 
     @params((4, None), (14, None), (16, 2.4))
-    def test_only_what_can_surely_not_be_served_is_refused(self, ahead, expected) -> None:
+    def test_only_clearly_infeasible_requests_are_refused(self, ahead, expected) -> None:
         """Two slots serve 2.5 requests a second; the caller waits four seconds."""
         self.assertEqual(1.5, REFUSAL_FACTOR)
         for index in range(ahead):
@@ -178,13 +178,13 @@
         (grant,) = self.queues.grant_slots(self.pool, self.counts, [self.replica], now)
         return grant
 
-    def test_without_a_replica_nobody_is_refused(self) -> None:
+    def test_without_replicas_no_request_is_refused(self) -> None:
         for index in range(40):
             queued = self.queues.join(self.pool, place_message(str(index)), 1.0)
         self.assertIsNone(self.queues.refuse_if_infeasible(self.pool, queued, [], 1.0))
 
     @params((True, False), (False, True), (False, False))
-    def test_a_second_turn_of_one_request_keeps_no_slot(self, *accepted: bool) -> None:
+    def test_a_second_grant_for_a_request_reserves_no_slot(self, *accepted: bool) -> None:
         """It asked again while its first turn was on its way."""
         grants = [self.join_and_grant("one", 1.0), self.join_and_grant("one", 2.0)]
         self.assertEqual(2, self.counts.reserved)
--- a/tests/test_slot_allocator.py
+++ b/tests/test_slot_allocator.py
@@ -115,15 +115,15 @@
 class SlotAllocatorTest(AllocatorCase):
     """Claims of coordinators."""
 
-    def test_alone_a_coordinator_gets_all_that_is_free(self) -> None:
+    def test_single_coordinator_is_granted_all_free_slots(self) -> None:
         granted = self.allocator(x1=3, y1=2).claim(claim("a", EVERY_ITEM))
         self.assertEqual({"x1": 3, "y1": 2}, items(granted.starts))
 
-    def test_no_more_is_granted_than_is_wanted(self) -> None:
+    def test_no_more_is_granted_than_wanted(self) -> None:
         granted = self.allocator(x1=3).claim(claim("a", WantedItems(0.0, 2, 10)))
         self.assertEqual({"x1": 2}, items(granted.starts))
 
-    def test_what_is_free_is_shared_among_those_that_wait(self) -> None:
+    def test_free_slots_are_shared_among_waiting_coordinators(self) -> None:
         allocator = self.allocator(x1=0)
         for name in ("a", "b", "c"):
             allocator.claim(claim(name, EVERY_ITEM))
@@ -132,7 +132,7 @@
         # A third of nine, then a third of six, then of four: no one is left without.
         self.assertEqual([3, 2, 2], [items(one.starts)["x1"] for one in granted])
 
-    def test_coordinators_that_claim_no_more_get_no_part(self) -> None:
+    def test_coordinators_that_stopped_claiming_get_no_share(self) -> None:
         allocator = self.allocator(x1=0)
         allocator.claim(claim("a", EVERY_ITEM))
         allocator.claim(claim("b", EVERY_ITEM))
@@ -140,7 +140,7 @@
         self.loads.free_by_replica["x1"] = 4
         self.assertEqual({"x1": 4}, items(allocator.claim(claim("b", EVERY_ITEM)).starts))
 
-    def test_engines_are_polled_only_while_someone_claims(self) -> None:
+    def test_engines_are_polled_only_while_there_are_claims(self) -> None:
         allocator = self.allocator(x1=0)
         allocator.claim(claim("a", EVERY_ITEM))
         allocator.claim(claim("b", EVERY_ITEM, service="other"))
@@ -149,7 +149,7 @@
         allocator.claim(claim("b", EVERY_ITEM, service="other"))
         self.assertEqual({"other"}, self.loads.wanted)
 
-    def test_excess_is_owed_by_those_with_most_items_there_and_only_once(self) -> None:
+    def test_reported_excess_is_preempted_once_per_coordinator(self) -> None:
         allocator = self.allocator(x1=0)
         allocator.claim(claim("a", running=[("x1", 5)]))
         allocator.claim(claim("b", running=[("x1", 2)]))
@@ -160,11 +160,11 @@
         self.assertEqual({"x1": 5}, items(granted.preempt))
         self.assertEqual({}, items(allocator.claim(claim("a", running=[("x1", 5)])).preempt))
 
-    def test_replicas_of_the_zone_come_first_among_those_as_free(self) -> None:
+    def test_own_zone_is_preferred_among_equally_free_replicas(self) -> None:
         granted = self.allocator(x1=2, y1=2).claim(claim("a", WantedItems(0.0, 1, 10), zone="y"))
         self.assertEqual({"y1": 1}, items(granted.starts))
 
-    def test_replica_that_fails_for_a_coordinator_is_not_granted_to_it(self) -> None:
+    def test_replica_that_fails_for_a_coordinator_is_not_granted(self) -> None:
         allocator = self.allocator(x1=5, y1=2)
         granted = allocator.claim(claim("a", EVERY_ITEM, avoided=("x1",)))
         self.assertEqual({"y1": 2}, items(granted.starts))
@@ -190,7 +190,7 @@
         in_flight_items = tuple(ItemsAt(*one) for one in in_flight.items())
         return allocator.record_online(OnlineInFlight(gateway, SERVICE, in_flight_items))
 
-    def test_excess_is_owed_by_those_with_most_items_there_and_only_once(self) -> None:
+    def test_excess_of_online_requests_is_preempted_once(self) -> None:
         allocator = self.allocator(x1=0)
         allocator.claim(claim("a", running=[("x1", 5)]))
         allocator.claim(claim("b", running=[("x1", 2)]))
@@ -199,7 +199,7 @@
         self.report(allocator, "g", x1=7)
         self.assertEqual(2, len(self.preemptions))
 
-    def test_nothing_is_placed_in_a_zone_that_is_not_reached(self) -> None:
+    def test_unreachable_zone_is_used_only_as_a_last_resort(self) -> None:
         allocator = self.allocator(x1=0, y1=0)
         self.report(allocator, "h", x1=5)
         self.assertEqual("y1", self.place(allocator, "g", in_flight=()).replica_id)
@@ -208,7 +208,7 @@
         placed = self.place(allocator, "g", in_flight=(), excluded=("x1",))
         self.assertEqual("y1", placed.replica_id)
 
-    def test_only_what_is_new_makes_items_give_way(self) -> None:
+    def test_only_additional_requests_preempt_items(self) -> None:
         allocator = self.allocator(x1=0)
         allocator.claim(claim("a", running=[("x1", 5)]))
         self.report(allocator, "g", x1=3)
@@ -217,7 +217,7 @@
         self.report(allocator, "g", x1=5)
         self.assertEqual([("a", {"x1": 1}), ("a", {"x1": 2})], self.preemptions)
 
-    def test_answer_tells_what_all_have_at_each_replica(self) -> None:
+    def test_answer_contains_the_loads_of_all_gateways(self) -> None:
         allocator = self.allocator(x1=0, y1=0)
         allocator.claim(claim("a", running=[("y1", 2)]))
         self.report(allocator, "g", x1=3)
@@ -233,7 +233,7 @@
         placed = Counter(self.place(allocator, f"g{n}", in_flight=()).replica_id for n in range(9))
         self.assertEqual({"x1": 3, "x2": 3, "x3": 3}, placed)
 
-    def test_a_placed_request_counts_until_its_gateway_tells_again(self) -> None:
+    def test_a_placed_request_counts_until_the_next_load_report(self) -> None:
         allocator = self.allocator(x1=0)
         placed = self.place(allocator, "g", in_flight=(ItemsAt("x1", 2),))
         self.assertEqual([3], [one.online for one in placed.loads])
@@ -250,23 +250,23 @@
         ("has failed", {"in_flight": (), "offsets": (LoadOffset("x1", 1.0),)}, "x2"),
         ("all tried", {"in_flight": (), "excluded": ("x1", "x2", "y1")}, ""),
     )
-    def test_where_a_request_is_placed(self, _name, fields, expected) -> None:
+    def test_placement(self, _name, fields, expected) -> None:
         placed = self.place(self.allocator(x1=0, x2=0, y1=0), "g", **fields)
         self.assertIn(placed.replica_id, expected.split() or [""])
 
-    def test_batch_items_give_way_to_a_placed_request(self) -> None:
+    def test_a_placed_request_preempts_batch_items(self) -> None:
         allocator = self.allocator(x1=0)
         allocator.claim(claim("a", running=[("x1", 7)]))
         self.place(allocator, "g", in_flight=(ItemsAt("x1", 1),))
         self.assertEqual([("a", {"x1": 1})], self.preemptions)
 
-    def test_word_of_a_gateway_that_is_gone_lapses(self) -> None:
+    def test_load_report_of_a_lost_gateway_expires(self) -> None:
         allocator = self.allocator(x1=0)
         self.report(allocator, "g", x1=3)
         self.now += ONLINE_LIFETIME_S + 0.1
         self.assertEqual([0], [one.online for one in self.report(allocator, "h").loads])
 
-    def test_online_requests_take_room_before_the_engine_tells(self) -> None:
+    def test_reported_online_requests_reduce_the_slots_for_items(self) -> None:
         allocator = self.allocator(x1=8)
         allocator.claim(claim("a"))
         self.report(allocator, "g", x1=4)
@@ -300,7 +300,7 @@
             pools_of(SERVICE, self.own_allocator._table)[0]
         ).online_of("me")
 
-    def test_requests_in_flight_are_told_and_their_end_once(self) -> None:
+    def test_requests_in_flight_and_their_ends_are_reported(self) -> None:
         replica = self.own_allocator._table.get("x1")
         self.reporter.began(replica)
         self.reporter.began(replica)
@@ -312,7 +312,7 @@
         self.assertEqual({}, self.report())
         self.assertIsNone(self.reporter._take_due())
 
-    def test_a_placed_request_is_told_with_the_next_notice_only(self) -> None:
+    def test_a_placed_request_needs_no_immediate_report(self) -> None:
         first = self.own_allocator._table.get("x1")
         chosen = self.reporter.place(first, NO_CONSTRAINTS)
         self.reporter.began(chosen)
@@ -321,25 +321,25 @@
         self.reporter.began(chosen)
         self.assertTrue(self.reporter._report_now.is_set())
 
-    def test_the_end_of_a_placed_request_is_told(self) -> None:
+    def test_the_end_of_a_placed_request_is_reported(self) -> None:
         """Else the keeper counts it until its gateway's word lapses, and keeps the slot free."""
         chosen = self.reporter.place(self.own_allocator._table.get("x1"), NO_CONSTRAINTS)
         self.reporter.began(chosen)
         self.reporter.ended(chosen)
         self.assertEqual({}, self.report())
 
-    def test_a_place_that_cannot_be_used_is_taken_back(self) -> None:
+    def test_a_placement_that_cannot_be_used_is_not_counted(self) -> None:
         with mock.patch.object(self.own_allocator._table, "get", return_value=None):
             self.assertIsNone(
                 self.reporter.place(self.own_allocator._table.replicas()[0], NO_CONSTRAINTS)
             )
         self.assertEqual({}, self.report())
 
-    def test_no_place_is_asked_for_where_there_is_no_batch_work(self) -> None:
+    def test_services_without_batch_routes_are_not_placed_by_the_allocator(self) -> None:
         self.batch_services.clear()
         self.assertIsNone(self.reporter.place(self.own_allocator._table.get("x1"), NO_CONSTRAINTS))
 
-    def test_a_keeper_that_is_silent_is_not_asked_again_at_once(self) -> None:
+    def test_an_unresponsive_allocator_is_not_asked_again_immediately(self) -> None:
         other = member("other", 2)
         self.reporter._allocator_choice = AllocatorChoice(lambda: (other,))
         self.reporter._client.call.return_value = PeerNoReply(other.peer, "silent")
@@ -352,7 +352,7 @@
         self.assertIsNone(self.reporter.place(self.own_allocator._table.get("x1"), NO_CONSTRAINTS))
         self.assertEqual(2, self.reporter._client.call.call_count)
 
-    def test_a_service_that_loses_its_batch_routes_leaves_no_count_behind(self) -> None:
+    def test_a_service_that_loses_its_batch_routes_keeps_no_count(self) -> None:
         replica = self.own_allocator._table.get("x1")
         self.reporter.began(replica)
         self.report()
@@ -382,7 +382,7 @@
     def due(due_in_s: float, count: int = 100) -> WantedItems:
         return WantedItems(0.0, count, 10, due_in_s)
 
-    def test_what_others_want_earlier_is_left_to_them(self) -> None:
+    def test_slots_are_left_for_items_due_earlier(self) -> None:
         allocator = self.allocator(x1=0)
         allocator.claim(claim("early", self.due(5.0, 4)))
         self.loads.free_by_replica["x1"] = 8
@@ -391,21 +391,21 @@
         granted = allocator.claim(claim("early", self.due(5.0, 4)))
         self.assertEqual(4, items(granted.starts)["x1"])
 
-    def test_what_is_due_alike_is_shared(self) -> None:
+    def test_items_due_at_about_the_same_time_share_slots(self) -> None:
         allocator = self.allocator(x1=0)
         allocator.claim(claim("a", self.due(5.0)))
         self.loads.free_by_replica["x1"] = 8
         granted = allocator.claim(claim("b", self.due(5.2)))
         self.assertEqual(4, items(granted.starts)["x1"])
 
-    def test_what_is_due_last_gives_way_first(self) -> None:
+    def test_items_due_last_are_preempted_first(self) -> None:
         allocator = self.allocator(x1=0)
         allocator.claim(claim("a", running=[("x1", 2, 3.0), ("x1", 1, INFEASIBLE_DUE_S)]))
         allocator.claim(claim("b", running=[("x1", 4, 9.0)]))
         allocator.record_online(OnlineInFlight("g", SERVICE, (ItemsAt("x1", 4),)))
         self.assertEqual([("a", {"x1": 1}), ("b", {"x1": 2})], sorted(self.preemptions))
 
-    def test_who_waits_longest_due_hears_of_room_when_online_requests_end(self) -> None:
+    def test_coordinator_with_the_earliest_items_is_notified_of_free_slots(self) -> None:
         allocator = self.allocator(x1=0)
         allocator.record_online(OnlineInFlight("g", SERVICE, (ItemsAt("x1", 8),)))
         allocator.claim(claim("late", self.due(15.0)))
@@ -438,25 +438,27 @@
     def left_s(self, after_s: float) -> float:
         return time_left_s(self.job, self.item, self.job.sent_at + after_s, self.pace)
 
-    def test_nothing_is_hopeless_before_it_is_due_while_no_pace_is_known(self) -> None:
+    def test_without_a_pace_items_are_feasible_until_due(self) -> None:
         self.assertAlmostEqual(0.5, self.left_s(17.5))
         self.assertEqual(INFEASIBLE_DUE_S, self.left_s(18.1))
 
     @params((11.9, 0, False), (12.1, 0, True), (13.0, 0, True), (15.5, 0, True), (15.5, 150, False))
-    def test_what_cannot_be_done_in_time_is_hopeless(self, after_s, events, expected) -> None:
+    def test_items_that_cannot_finish_in_time_are_infeasible(
+        self, after_s, events, expected
+    ) -> None:
         # Two hundred events at 25 ms: five seconds for a whole item, six with the margin.
         self.record(200, 100, 2.5)
         self.item.take_events(["x"] * events, str(events))
         self.assertEqual(expected, self.left_s(after_s) == INFEASIBLE_DUE_S)
 
-    def test_averages_follow_the_items(self) -> None:
+    def test_averages_follow_recent_items(self) -> None:
         self.record(200, 200, 5.0)
         for _ in range(60):
             self.record(100, 100, 5.0)
         self.assertAlmostEqual(100, self.pace.events_per_item, delta=1)
         self.assertAlmostEqual(0.05, self.pace.s_per_event, delta=0.001)
 
-    def test_a_coordinator_learns_the_pace_of_others_from_the_keeper(self) -> None:
+    def test_coordinators_share_their_paces_through_the_allocator(self) -> None:
         """With more gateways than jobs most have seen no item end; all seemed doable to them."""
         allocator = SlotAllocator(ReplicaTable(), FixedLoads())
         quick, other = RoutePaces(), RoutePaces()
@@ -470,12 +472,12 @@
         self.assertEqual(INFEASIBLE_DUE_S, self.left_s(17.0))
         self.assertAlmostEqual(5.0, self.pace.remaining_s(0), delta=0.1)
 
-    def test_routes_have_paces_of_their_own(self) -> None:
+    def test_each_route_has_its_own_pace(self) -> None:
         self.paces.record("others", 20, 20, 1.0)
         self.assertEqual(0.0, self.pace.remaining_s(0))
         self.assertAlmostEqual(1.0, self.paces.of("others").remaining_s(0))
 
-    def test_means_of_many_items_weigh_as_they_would_one_by_one(self) -> None:
+    def test_a_mean_of_many_items_weighs_as_much_as_the_items(self) -> None:
         self.record(200, 200, 5.0)
         self.paces.add_all([RoutePace("jobs", 100.0, 0.05, 60)])
         self.assertAlmostEqual(100, self.pace.events_per_item, delta=1)
@@ -512,7 +514,7 @@
         self.assertEqual(500, len(members))
         self.assertEqual(500, len(set(members)))
 
-    def test_keeper_grants_and_polls_its_pool_only(self) -> None:
+    def test_allocator_grants_and_polls_only_its_pool(self) -> None:
         table = self.table(100)
         loads = FixedLoads(**{replica.id: 1 for replica in table.replicas()})
         wanted = []
@@ -555,14 +557,14 @@
     def name_of(self, peer: Endpoint) -> str:
         return next(one.name for one in self.members if one.peer == peer)
 
-    def test_a_weak_gateway_keeps_no_room_for_all(self) -> None:
+    def test_a_weak_gateway_is_not_chosen_as_allocator(self) -> None:
         members = [msgspec.structs.replace(one, cores=0.5) for one in self.members]
         members[1:] = [msgspec.structs.replace(one, cores=2.0) for one in members[1:]]
         choice = AllocatorChoice(lambda: tuple(members))
         allocators = {choice.allocator_of(f"service-{n}", 0).name for n in range(50)}
         self.assertEqual({"b", "c"}, allocators)
 
-    def test_keeper_is_one_that_is_reached(self) -> None:
+    def test_a_reachable_gateway_is_preferred_as_allocator(self) -> None:
         lost: set[str] = set()
 
         def reachable(members: Iterable[Member]) -> tuple[Member, ...]:
@@ -577,7 +579,7 @@
         lost |= {one.name for one in self.members}
         self.assertEqual(first, choice.allocator_of(SERVICE, 0).name)
 
-    def test_the_others_keep_room_while_no_strong_one_answers(self) -> None:
+    def test_weak_gateways_are_chosen_while_no_strong_one_answers(self) -> None:
         members = [msgspec.structs.replace(one, cores=0.5) for one in self.members]
         members[1:] = [msgspec.structs.replace(one, cores=2.0) for one in members[1:]]
         choice = AllocatorChoice(lambda: tuple(members))
@@ -603,14 +605,14 @@
         ]
         self.assertEqual(expected, len(strongest(members)))
 
-    def test_all_gateways_claim_of_the_same_one(self) -> None:
+    def test_all_gateways_claim_from_the_same_allocator(self) -> None:
         for own_name in ("a", "b", "c"):
             self.claims(own_name).claim(claim(own_name))
         allocator = next(name for name in self.claimed_from if name != "own")
         self.assertEqual(2, self.claimed_from.count(allocator))
         self.assertEqual(1, self.claimed_from.count("own"))
 
-    def test_next_in_rank_is_asked_while_the_keeper_is_silent(self) -> None:
+    def test_claims_go_to_the_next_in_rank_while_the_allocator_is_unresponsive(self) -> None:
         claims = self.claims("elsewhere")
         claims.claim(claim("elsewhere"))
         first = self.claimed_from[-1]
@@ -623,7 +625,7 @@
         claims.claim(claim("elsewhere"))
         self.assertEqual(first, self.claimed_from[-1])
 
-    def test_without_an_answer_of_any_it_keeps_room_itself(self) -> None:
+    def test_the_local_allocator_is_used_if_no_other_answers(self) -> None:
         claims = self.claims("elsewhere")
         self.unresponsive = {"a", "b", "c"}
         for _ in range(4):
