--- a/tests/load_player.py
+++ b/tests/load_player.py
@@ -1,8 +1,8 @@
-"""Plays a load of batch items against the decisions on their order, in virtual time.
+"""Simulates a load of batch items in virtual time, to test the order in which items run.
 
-Minutes of load take about a second. Slots are shared as the keeper of room shares them: what is
-most urgent first, least urgent first out when online requests need a slot; runs that are cut go
-on from where they were. Nothing here decides who is urgent: that is the product's own function.
+Slots are assigned as the slot allocator does: the most urgent items start first, and the least
+urgent ones are preempted when online requests need slots. A preempted item resumes later. The
+urgency is computed by the real function.
 """
 
 from __future__ import annotations
@@ -16,30 +16,30 @@
 
 STEP_S = 0.1
 EVENT_S = 0.0277
-"""Time an engine takes for one event of an item."""
+"""Time that an engine needs for one event of an item."""
 MEAN_EVENTS = 169.0
 EVENTS_SPREAD = 0.25
 MAX_EVENTS = 271
 RESTART_S = 0.03
-"""Time to read prompt and output again after a cut."""
+"""Time to process prompt and output again after a preemption."""
 
 
 @attrs.frozen
 class Load:
-    """A load.
+    """A load to simulate.
 
     Attributes
     ----------
     slots
-        Of all engines, by the time in seconds: engines that are lost take theirs along.
+        Slots of all running engines at a time in seconds.
     online
-        Slots that online requests take, by the time in seconds.
+        Slots used by online requests at a time in seconds.
     jobs_per_s, items_per_job
         Means.
     due_s
-        Time after a job's arrival in which its items are worth most.
+        Time from a job's arrival until its items are due.
     length_s
-        How long jobs come.
+        Time during which jobs arrive.
     """
 
     slots: Callable[[float], int]
@@ -74,16 +74,16 @@
 
 @attrs.define
 class Outcome:
-    """What callers got.
+    """Results of a simulation.
 
     Attributes
     ----------
     in_time, late, undone
-        Items by their end; undone ones had none when jobs had stopped coming for ``due_s``.
+        Numbers of items; undone ones had not finished ``due_s`` after the last arrivals.
     cuts
-        Runs cut because online requests needed the slot.
+        Runs preempted because online requests needed the slot.
     slot_s_late
-        Slot seconds spent on items that were late.
+        Slot seconds spent on late items.
     """
 
     in_time: int = 0
@@ -94,7 +94,7 @@
 
     @property
     def total(self) -> int:
-        """All items."""
+        """Number of all items."""
         return self.in_time + self.late + self.undone
 
 
@@ -166,5 +166,5 @@
 
 
 def play(load: Load, seed: int) -> Outcome:
-    """Play a load; the same seed brings the same arrivals."""
+    """Simulate a load; the same seed gives the same arrivals."""
     return _Player(load, seed).run()
--- a/tests/test_allocator_calls.py
+++ b/tests/test_allocator_calls.py
@@ -1,4 +1,4 @@
-"""Word from who keeps room reaches coordinators, and holds nobody up on the way."""
+"""Calls of a slot allocator reach their recipients, and unresponsive ones delay nobody else."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class SlowClient:
-    """Answers when the test says so, apart from silent coordinators' calls."""
+    """Client whose calls to names that start with "slow" wait for the test and then fail."""
 
     def __init__(self) -> None:
         self.may_answer = threading.Event()
@@ -57,7 +57,7 @@
 
 
 class NoServer:
-    """Takes no calls."""
+    """Server that registers no handlers."""
 
     def register(self, message_type, handler) -> None:
         """Do nothing."""
@@ -69,7 +69,7 @@
 
 
 class AllocatorCallsTest(unittest.TestCase):
-    """Orders of one keeper."""
+    """Calls of one allocator."""
 
     def setUp(self):
         self.client = SlowClient()
@@ -91,7 +91,7 @@
         self.assertEqual(self.claimed, 1)
 
     def test_a_failed_preemption_does_not_answer_a_grant_twice(self):
-        """A turn that was taken must not cost its gateway its other places in line."""
+        """Answering an accepted grant again would drop its gateway's other queued requests."""
         answered: list[tuple[str, bool | None]] = []
         client = mock.Mock()
 
@@ -119,7 +119,7 @@
         self.assertEqual([("t", True)], answered)
 
     def test_unresponsive_coordinators_delay_neither_the_allocator_nor_others(self):
-        """Each such order took the answer to a placement 0.2 s before."""
+        """A call to an unresponsive coordinator must not block the answers of the allocator."""
         began = time.monotonic()
         for number in range(MAX_SENDERS - 1):
             self.sender.send(f"slow-{number}", (ItemsAt("r", 1),))
--- a/tests/test_allocator_queue.py
+++ b/tests/test_allocator_queue.py
@@ -1,7 +1,7 @@
-"""One line for all gateways: keeper, gateways and what becomes of requests when either fails.
+"""One queue for all gateways: the allocator, its gateways, and requests when either of them fails.
 
-The parts are the product's own; messages go through JSON by a wire of the test's, on which each
-side may be silent or of an older build.
+Uses the real components. Messages are encoded as JSON by a test connection, on which each side can
+be unresponsive or an older build.
 """
 
 from __future__ import annotations
@@ -52,7 +52,7 @@
 
 
 class NoLoads:
-    """Engines without reports."""
+    """Engine loads without reports."""
 
     def poll_only(self, replicas) -> None:
         """Do nothing."""
@@ -65,7 +65,7 @@
 
 
 class Wire:
-    """Carries messages between gateways; each may be silent, or of an older build."""
+    """Connects gateways; each can be unresponsive, an older build, or fail on sending."""
 
     def __init__(self) -> None:
         self.handlers_by_name: dict[str, dict[type, object]] = {}
@@ -100,13 +100,13 @@
 
 
 def without(line: bytes, *names: str) -> bytes:
-    """Return a message as a build writes or reads it that does not know some of its fields."""
+    """Return an encoded message without some fields, as a build that does not know them has it."""
     fields = msgspec.json.decode(line)
     return msgspec.json.encode({name: value for name, value in fields.items() if name not in names})
 
 
 class Gateway:
-    """The parts of one gateway that have to do with turns."""
+    """The components of one gateway that take part in queueing."""
 
     def __init__(self, name: str, wire: Wire, members) -> None:
         self.name = name
@@ -164,12 +164,12 @@
         self.reporter.ended(replica)
 
     def place_at_once(self) -> None:
-        """Send a request as builds without a line do."""
+        """Send a request without queueing, as older builds do."""
         self.begin(self.router.choose(SERVICE))
 
 
 class AllocatorQueueTest(unittest.TestCase):
-    """Two gateways beside the one that keeps room for an engine of two slots."""
+    """Two gateways and a third one that allocates the two slots of an engine."""
 
     def setUp(self) -> None:
         self.wire = Wire()
@@ -206,7 +206,7 @@
         tenant: str | None = None,
         timeout_s: float = TIMEOUT_S,
     ) -> None:
-        """Send a request that begins at its engine as soon as it may, and does not end."""
+        """Send a request that starts at its engine once it is dispatched, and does not end."""
         request = ForwardedRequest(
             name, "POST", "/x", (), b"", Deadline.after(timeout_s), tenant=tenant
         )
@@ -229,18 +229,18 @@
     def wait_for(self, condition, what: str) -> None:
         deadline = time.monotonic() + WAIT_S
         while not condition():
-            self.assertLess(time.monotonic(), deadline, f"{what}; gone: {self.results}")
+            self.assertLess(time.monotonic(), deadline, f"{what}; dispatched: {self.results}")
             time.sleep(0.002)
 
     def wait_until_dispatched(self, *names: str) -> None:
-        self.wait_for(lambda: set(names) <= set(self.results), f"{names} did not go")
+        self.wait_for(lambda: set(names) <= set(self.results), f"{names} not dispatched")
 
     def wait_until_queued(self, length: int) -> None:
         queues = self.allocator.allocator.turns
         self.wait_for(lambda: sum(queues.lengths().values()) == length, f"{queues.lengths()} wait")
 
     def take_all_slots(self) -> None:
-        """Take all slots, by each gateway at least one: so all know of the keeper's line."""
+        """Use one slot from each gateway, so that both know that the allocator has a queue."""
         self.first_gateway.place_at_once()
         self.second_gateway.place_at_once()
 
@@ -275,7 +275,7 @@
         self.wait_until_dispatched("stays")
 
     def test_many_grants_to_disconnected_callers_of_the_allocators_own_gateway(self) -> None:
-        """Each is answered at once: they must not be nested in one another."""
+        """Each grant is answered immediately; the answers must not recurse."""
         self.take_all_slots()
         own = self.allocator
         for index in range(300):
@@ -351,7 +351,7 @@
         self.wire.silent.add(self.allocator.name)
         self.names.remove(self.allocator.name)
         self.allocator = self.gateways[AllocatorChoice(self.members).allocator_of(SERVICE, 0).name]
-        # Both tell the new keeper what they have, and so learn that it keeps a line.
+        # Both report to the new allocator, and so learn that it has a queue.
         self.wait_until_queued(1)
         self.second_gateway.end()
         self.wait_until_dispatched("r")
@@ -369,7 +369,7 @@
         for index in range(12):
             self.send(f"r{index}", self.first_gateway)
             self.wait_until_queued(index + 1)
-        # Twelve before it at two slots of 0.8 s each take more than 1.5 times its patience.
+        # Twelve requests of 0.8 s at two slots take more than 1.5 times its remaining time.
         self.send("hopeless", self.second_gateway, timeout_s=2.7)
         self.wait_until_dispatched("hopeless")
         refusal = self.results["hopeless"]
@@ -391,21 +391,23 @@
         self.assertIsNone(self.results["fresh"])
 
     def test_ends_are_reported_immediately_in_a_nearly_full_pool(self) -> None:
-        """Else the keeper counts slots as taken that came free, and lets the first ones wait."""
+        """Otherwise the allocator counts released slots as used, and queues requests needlessly."""
         self.first_gateway.place_at_once()
         self.assertFalse(self.first_gateway.reporter._reports_ends_at_once)
         self.second_gateway.place_at_once()
         self.wait_for(
             lambda: self.second_gateway.reporter._reports_ends_at_once,
-            "the second knows of free slots",
+            "the second gateway reports ends with a delay",
         )
         self.wait_for(
-            lambda: self.first_gateway.reporter._reports_ends_at_once, "the first heard nothing"
+            lambda: self.first_gateway.reporter._reports_ends_at_once,
+            "the first gateway reports ends with a delay",
         )
         self.second_gateway.end()
         self.first_gateway.end()
         self.wait_for(
-            lambda: not self.second_gateway.reporter._reports_ends_at_once, "it still tells at once"
+            lambda: not self.second_gateway.reporter._reports_ends_at_once,
+            "it still reports ends immediately",
         )
 
     def test_only_one_of_two_grants_for_a_request_is_accepted(self) -> None:
@@ -421,7 +423,7 @@
         self.assertEqual(2, self.first_gateway.reporter._in_flight["e1"])
 
     def test_a_grant_for_a_dispatched_request_is_not_accepted(self) -> None:
-        """The keeper took the request into its line, and its word of that was lost."""
+        """The allocator queued the request, but its answer was lost."""
         self.first_gateway.place_at_once()
         late: list[str] = []
         ask = self.first_gateway.queue._ask
@@ -453,7 +455,7 @@
 
 
 class ForwardingTest(unittest.TestCase):
-    """What becomes of a request whose turn did not lead to an attempt."""
+    """Requests that were granted a slot or refused, but are not sent to a replica."""
 
     def setUp(self) -> None:
         self.queue = mock.Mock()
@@ -493,7 +495,7 @@
 
 
 class MixedBuildsTest(unittest.TestCase):
-    """Messages of builds that know no line."""
+    """Compatibility with builds without a queue."""
 
     def test_messages_of_older_builds_are_read(self) -> None:
         old_builds = b'{"kind":"PlaceOnline","gateway":"g","zone":"z","service":"s","in_flight":[]}'
--- a/tests/test_item_run.py
+++ b/tests/test_item_run.py
@@ -1,4 +1,4 @@
-"""One run of a batch item: who is to blame when no whole answer comes."""
+"""One run of a batch item: whether an incomplete answer counts as a failure of the replica."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
 HALF_AN_EVENT = HEAD_ONLY + b"8\r\nid: 1\nda\r\n"
 JOIN_TIMEOUT_S = 10.0
 MAX_SILENCE_S = 18.0 / 6
-"""A sixth of the 18 s in which a job is due: an item of five seconds that meets two such$
-replicas is still in time."""
+"""A sixth of the 18 s in which a job is due, so that an item of five seconds can lose this time at
+two replicas and still finish in time."""
 
 
 class ItemRunTest(unittest.TestCase):
-    """A replica that says only so much, and then nothing or the end of the connection."""
+    """A replica that sends part of an answer, then nothing more or the end of the connection."""
 
     def setUp(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
@@ -49,14 +49,14 @@
         self.outcomes: list[object] = []
 
     def run_until_answered(self, answer: bytes) -> tuple[threading.Thread, socket.socket]:
-        """Start the run, and return once the replica has the request and has said its part."""
+        """Start a run, and return after the replica has received the request and sent a part."""
         thread = threading.Thread(target=self._run, daemon=True)
         thread.start()
         connection, _ = self.listener.accept()
         self.addCleanup(connection.close)
         connection.recv(4096)
         connection.sendall(answer)
-        wait_until(lambda: self.item.cancel is not None, "the item can be cut")
+        wait_until(lambda: self.item.cancel is not None, "the item can be cancelled")
         return thread, connection
 
     def _run(self) -> None:
@@ -97,4 +97,4 @@
         outcome = self.outcome_of(thread)
         self.assertLess(boot_clock.now() - began, MAX_SILENCE_S)
         self.assertTrue(outcome.blames_replica)
-        self.assertEqual(b"", connection.recv(1), "the replica sees that the item has left")
+        self.assertEqual(b"", connection.recv(1), "the connection to the replica was not closed")
--- a/tests/test_load_player.py
+++ b/tests/test_load_player.py
@@ -1,7 +1,6 @@
-"""What callers get from the decisions on batch items, by load.
+"""Share of batch items that finish in time under simulated loads, with three seeds each.
 
-Each load is played with three seeds. A row states the share of items that must be in time and
-what it was before the decision that it answers.
+Guards against changes to the urgency of items that make more of them late.
 """
 
 from __future__ import annotations
@@ -18,12 +17,12 @@
 
 
 def bursts(mean: float) -> Callable[[float], int]:
-    """Return online slots that swing between .38 and 1.87 of a mean, three states of 2 s each."""
+    """Return online slots that vary between 0.383 and 1.87 times a mean, in steps of 2 s."""
     return lambda at: round(mean * (0.383, 0.75, 1.87)[int(at / 2) % 3])
 
 
 def outage(slots: int, remaining: int, begin_s: float, end_s: float) -> Callable[[float], int]:
-    """Return slots of which only ``left`` are there for a time."""
+    """Return slots of which only ``remaining`` are available during an outage."""
     return lambda at: remaining if begin_s <= at < end_s else slots
 
 
@@ -34,7 +33,7 @@
 
 @attrs.frozen
 class Row:
-    """A load and the share of items that must be in time."""
+    """A load and the minimum share of items that must finish in time."""
 
     description: str
     load: Load
@@ -45,15 +44,13 @@
     Row("what engines can do easily", Load(lambda at: 320, bursts(126), 2.3), 1.0),
     Row("a quarter of the engines lost", Load(outage(320, 240, 10, 25), bursts(126), 2.3), 1.0),
     Row("an outage of 6 s and the backlog", Load(outage(320, 0, 20, 26), bursts(126), 2.3), 1.0),
-    # .916 while an item counted as sure with .7 of the time that it was expected to need.
     Row("a little too much", Load(lambda at: 320, bursts(126), 5.0), 0.93),
-    # .428 then.
     Row("twice as much as engines can do", Load(lambda at: 40, bursts(12), 1.2), 0.58),
 )
 
 
 class ItemOrderTest(unittest.TestCase):
-    """The order of items: due first, but hopeless ones last."""
+    """Items that are due first run first, infeasible items last."""
 
     def test_share_in_time_by_load(self):
         for row in ROWS:
@@ -62,7 +59,7 @@
                 self.assertGreaterEqual(round(share, 3), row.in_time)
 
     def test_overload_runs_few_late_items(self):
-        """.186 of the items were late and .39 undone; now .053, and more are in time."""
+        """Late items must not take the slots of items that can still finish in time."""
         share = mean_share(ROWS[-1].load, lambda outcome: outcome.late)
         self.assertLess(share, 0.08)
 
--- a/tests/test_pool_queue.py
+++ b/tests/test_pool_queue.py
@@ -1,4 +1,4 @@
-"""The keeper's line: its order, shares of tenants, last calls and what cannot be served."""
+"""Pool queues: order, shares of tenants, dispatch deadlines and infeasible requests."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 def place_message(
     ticket: str, tenant: str | None = None, process: str = "g#1", **fields
 ) -> PlaceOnline:
-    """Return how a gateway asks for a request that may wait."""
+    """Return a placement message of a request that may be queued."""
     fields_of_terms = {
         "rank": 0,
         "waited_s": 0.0,
@@ -40,7 +40,7 @@
 
 
 class FairSharesTest(unittest.TestCase):
-    """Start tags of requests."""
+    """Start tags of fair queueing."""
 
     def setUp(self) -> None:
         self.shares = FairShares()
@@ -78,7 +78,7 @@
 
 
 class PoolQueueTest(unittest.TestCase):
-    """One line."""
+    """The queue of one pool."""
 
     def setUp(self) -> None:
         self.queue = PoolQueue()
@@ -163,7 +163,7 @@
 
 
 class PoolQueuesTest(unittest.TestCase):
-    """Turns, and what the counts of a pool hold of them."""
+    """Slot grants, and how a pool's counts include them."""
 
     def setUp(self) -> None:
         self.pool = EnginePool(SERVICE)
@@ -185,7 +185,7 @@
 
     @params((True, False), (False, True), (False, False))
     def test_a_second_grant_for_a_request_reserves_no_slot(self, *accepted: bool) -> None:
-        """It asked again while its first turn was on its way."""
+        """The request was sent again while its first grant was being delivered."""
         grants = [self.join_and_grant("one", 1.0), self.join_and_grant("one", 2.0)]
         self.assertEqual(2, self.counts.reserved)
         for grant, was_accepted in zip(grants, accepted, strict=True):
--- a/tests/test_slot_allocator.py
+++ b/tests/test_slot_allocator.py
@@ -1,4 +1,4 @@
-"""Room for batch items: how one gateway shares the engines' slots among coordinators."""
+"""Slot allocation for batch items and the placement of online requests by one gateway."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
 
 
 class FixedLoads:
-    """Engines with as many free slots as a test says, less what was started."""
+    """Engine loads with free slots set by a test, reduced by each started item."""
 
     def __init__(self, **free_by_replica: int) -> None:
         self.free_by_replica = Counter(free_by_replica)
@@ -89,7 +89,7 @@
 
 
 class AllocatorCase(unittest.TestCase):
-    """Time is the test's own; slots are enough for every count, unless a test says otherwise."""
+    """Base of tests with a simulated clock; engines have many slots unless a subclass sets fewer."""
 
     slots = 64
 
@@ -129,7 +129,7 @@
             allocator.claim(claim(name, EVERY_ITEM))
         self.loads.free_by_replica["x1"] = 9
         granted = [allocator.claim(claim(name, EVERY_ITEM)) for name in ("a", "b", "c")]
-        # A third of nine, then a third of six, then of four: no one is left without.
+        # A third of nine, of six and of four free slots, rounded up.
         self.assertEqual([3, 2, 2], [items(one.starts)["x1"] for one in granted])
 
     def test_coordinators_that_stopped_claiming_get_no_share(self) -> None:
@@ -173,7 +173,7 @@
 
 
 class OnlineLoadTest(AllocatorCase):
-    """Online requests that gateways tell of before the engines do."""
+    """Online requests that gateways report, and preemptions for them."""
 
     slots = 8
 
@@ -270,12 +270,12 @@
         allocator = self.allocator(x1=8)
         allocator.claim(claim("a"))
         self.report(allocator, "g", x1=4)
-        # Eight slots, four of them taken, and one that is left to online requests.
+        # Of eight slots, four are in use and one is reserved for online requests.
         self.assertEqual({"x1": 3}, items(allocator.claim(claim("a", EVERY_ITEM)).starts))
 
 
 class OnlineReporterTest(AllocatorCase):
-    """What a gateway tells of its own requests; it keeps room itself here."""
+    """Load reports of a gateway that is also the allocator."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -322,7 +322,7 @@
         self.assertTrue(self.reporter._report_now.is_set())
 
     def test_the_end_of_a_placed_request_is_reported(self) -> None:
-        """Else the keeper counts it until its gateway's word lapses, and keeps the slot free."""
+        """Otherwise the allocator counts it until the gateway's load report expires."""
         chosen = self.reporter.place(self.own_allocator._table.get("x1"), NO_CONSTRAINTS)
         self.reporter.began(chosen)
         self.reporter.ended(chosen)
@@ -363,7 +363,7 @@
 
 
 class UrgencyTest(AllocatorCase):
-    """What is due first goes first, whoever coordinates it."""
+    """Items are ordered by due time across coordinators."""
 
     slots = 8
 
@@ -417,7 +417,7 @@
 
 
 class PaceTest(unittest.TestCase):
-    """Which items are taken for hopeless."""
+    """Item paces, and which items are infeasible."""
 
     def setUp(self) -> None:
         route = RequestRoute(
@@ -446,7 +446,7 @@
     def test_items_that_cannot_finish_in_time_are_infeasible(
         self, after_s, events, expected
     ) -> None:
-        # Two hundred events at 25 ms: five seconds for a whole item, six with the margin.
+        # Two hundred events at 25 ms: five seconds for a complete item, six with the margin.
         self.record(200, 100, 2.5)
         self.item.take_events(["x"] * events, str(events))
         self.assertEqual(expected, self.left_s(after_s) == INFEASIBLE_DUE_S)
@@ -459,7 +459,7 @@
         self.assertAlmostEqual(0.05, self.pace.s_per_event, delta=0.001)
 
     def test_coordinators_share_their_paces_through_the_allocator(self) -> None:
-        """With more gateways than jobs most have seen no item end; all seemed doable to them."""
+        """With more gateways than jobs, most coordinators have not seen any item finish."""
         allocator = SlotAllocator(ReplicaTable(), FixedLoads())
         quick, other = RoutePaces(), RoutePaces()
         for _ in range(30):
@@ -489,7 +489,7 @@
 
 
 class EnginePoolTest(unittest.TestCase):
-    """Services with many replicas are split among several keepers."""
+    """Services with many replicas are split into several pools."""
 
     def table(self, replicas: int) -> ReplicaTable:
         table = ReplicaTable()
@@ -528,7 +528,7 @@
 
 
 class SlotClaimsTest(unittest.TestCase):
-    """To whom a claim goes, while keepers come and go."""
+    """Which allocator a claim is sent to while gateways fail and recover."""
 
     def setUp(self) -> None:
         self.now = 1000.0
