--- a/tests/test_allocator_calls.py
+++ b/tests/test_allocator_calls.py
@@ -52,7 +52,7 @@
             return PeerNoReply(endpoint, "silent")
         return ItemsPreempted() if isinstance(message, PreemptItems) else SlotsFreedAcknowledged()
 
-    def sent_to(self, name: str) -> list[object]:
+    def messages_to(self, name: str) -> list[object]:
         return [message for to, message in self.calls if to == name]
 
 
@@ -125,18 +125,18 @@
             self.sender.send(f"slow-{number}", (ItemsAt("r", 1),))
         self.sender.send("quick", (ItemsAt("r", 2),))
         self.assertLess(time.monotonic() - began, 1.0)
-        eventually(lambda: self.client.sent_to("quick"), TIMEOUT_S)
-        self.assertEqual(self.client.sent_to("quick"), [PreemptItems((ItemsAt("r", 2),))])
+        eventually(lambda: self.client.messages_to("quick"), TIMEOUT_S)
+        self.assertEqual(self.client.messages_to("quick"), [PreemptItems((ItemsAt("r", 2),))])
 
     def test_messages_during_a_call_are_sent_together(self):
         self.sender.send("slow", (ItemsAt("r", 1),))
-        eventually(lambda: self.client.sent_to("slow"), TIMEOUT_S)
+        eventually(lambda: self.client.messages_to("slow"), TIMEOUT_S)
         for _ in range(5):
             self.sender.send("slow", (ItemsAt("r", 1),))
             self.sender.wake("slow")
         self.client.may_answer.set()
-        eventually(lambda: len(self.client.sent_to("slow")) == 2, TIMEOUT_S)
-        self.assertEqual(self.client.sent_to("slow")[1], PreemptItems((ItemsAt("r", 5),)))
+        eventually(lambda: len(self.client.messages_to("slow")) == 2, TIMEOUT_S)
+        self.assertEqual(self.client.messages_to("slow")[1], PreemptItems((ItemsAt("r", 5),)))
         self.assertEqual(self.client.max_under_way["slow"], 1)
 
     def test_every_message_arrives_with_many_coordinators(self):
--- a/tests/test_allocator_queue.py
+++ b/tests/test_allocator_queue.py
@@ -69,7 +69,7 @@
 
     def __init__(self) -> None:
         self.handlers_by_name: dict[str, dict[type, object]] = {}
-        self.silent: set[str] = set()
+        self.unresponsive: set[str] = set()
         self.old_builds: set[str] = set()
         self.unsendable: set[str] = set()
 
@@ -88,20 +88,20 @@
         handler = self.handlers_by_name.get(name, {}).get(type(message))
         if name in self.unsendable:
             raise ValueError("cannot be sent")
-        if name in self.silent or handler is None:
+        if name in self.unresponsive or handler is None:
             return PeerNoReply(endpoint, "silent")
-        line = msgspec.json.encode(message)
+        encoded = msgspec.json.encode(message)
         if name in self.old_builds:
-            line = without(line, "terms")
-        reply = msgspec.json.encode(handler(msgspec.json.decode(line, type=type(message))))
+            encoded = without(encoded, "terms")
+        reply = msgspec.json.encode(handler(msgspec.json.decode(encoded, type=type(message))))
         if name in self.old_builds:
             reply = without(reply, "line", "waits", "retry_after_s")
         return msgspec.json.decode(reply, type=reply_type)
 
 
-def without(line: bytes, *names: str) -> bytes:
+def without(encoded: bytes, *names: str) -> bytes:
     """Return an encoded message without some fields, as a build that does not know them has it."""
-    fields = msgspec.json.decode(line)
+    fields = msgspec.json.decode(encoded)
     return msgspec.json.encode({name: value for name, value in fields.items() if name not in names})
 
 
@@ -321,7 +321,7 @@
         self.wait_until_queued(1)
         self.send("next", self.second_gateway)
         self.wait_until_queued(2)
-        self.wire.silent.add(self.first_gateway.name)
+        self.wire.unresponsive.add(self.first_gateway.name)
         self.second_gateway.end()
         self.wait_until_dispatched("next")
 
@@ -339,8 +339,8 @@
         self.take_all_slots()
         self.send("r", self.first_gateway)
         self.wait_until_queued(1)
-        self.wire.silent.add(self.allocator.name)
-        self.wire.silent.add(self.second_gateway.name)
+        self.wire.unresponsive.add(self.allocator.name)
+        self.wire.unresponsive.add(self.second_gateway.name)
         self.names.remove(self.allocator.name)
         self.wait_until_dispatched("r")
 
@@ -348,7 +348,7 @@
         self.take_all_slots()
         self.send("r", self.first_gateway)
         self.wait_until_queued(1)
-        self.wire.silent.add(self.allocator.name)
+        self.wire.unresponsive.add(self.allocator.name)
         self.names.remove(self.allocator.name)
         self.allocator = self.gateways[AllocatorChoice(self.members).allocator_of(SERVICE, 0).name]
         # Both report to the new allocator, and so learn that it has a queue.
@@ -503,8 +503,8 @@
 
     def test_messages_survive_encoding(self) -> None:
         for message in (OnlineGrants(()), GrantsAccepted(("t",)), OnlineInFlight("g", "s", ())):
-            line = msgspec.json.encode(message)
-            self.assertEqual(message, msgspec.json.decode(line, type=type(message)))
+            encoded = msgspec.json.encode(message)
+            self.assertEqual(message, msgspec.json.decode(encoded, type=type(message)))
 
 
 if __name__ == "__main__":
