--- a/tests/test_allocator_calls.py
+++ b/tests/test_allocator_calls.py
@@ -49,7 +49,7 @@
         with self._lock:
             self.under_way[name] -= 1
         if name.startswith("slow"):
-            return PeerNoReply(endpoint, "silent")
+            return PeerNoReply(endpoint, "unresponsive")
         return ItemsPreempted() if isinstance(message, PreemptItems) else SlotsFreedAcknowledged()
 
     def messages_to(self, name: str) -> list[object]:
--- a/tests/test_allocator_queue.py
+++ b/tests/test_allocator_queue.py
@@ -89,7 +89,7 @@
         if name in self.unsendable:
             raise ValueError("cannot be sent")
         if name in self.unresponsive or handler is None:
-            return PeerNoReply(endpoint, "silent")
+            return PeerNoReply(endpoint, "unresponsive")
         encoded = msgspec.json.encode(message)
         if name in self.old_builds:
             encoded = without(encoded, "terms")
@@ -370,9 +370,9 @@
             self.send(f"r{index}", self.first_gateway)
             self.wait_until_queued(index + 1)
         # Twelve requests of 0.8 s at two slots take more than 1.5 times its remaining time.
-        self.send("hopeless", self.second_gateway, timeout_s=2.7)
-        self.wait_until_dispatched("hopeless")
-        refusal = self.results["hopeless"]
+        self.send("infeasible", self.second_gateway, timeout_s=2.7)
+        self.wait_until_dispatched("infeasible")
+        refusal = self.results["infeasible"]
         self.assertIsInstance(refusal, CannotServeInTime)
         self.assertGreater(refusal.retry_after_s, 1.0)
         self.assertEqual(1, self.allocator.allocator.turns.refused_early)
@@ -397,17 +397,17 @@
         self.second_gateway.place_at_once()
         self.wait_for(
             lambda: self.second_gateway.reporter._reports_ends_at_once,
-            "the second gateway reports ends with a delay",
+            "the second gateway still delays ends",
         )
         self.wait_for(
             lambda: self.first_gateway.reporter._reports_ends_at_once,
-            "the first gateway reports ends with a delay",
+            "the first gateway still delays ends",
         )
         self.second_gateway.end()
         self.first_gateway.end()
         self.wait_for(
             lambda: not self.second_gateway.reporter._reports_ends_at_once,
-            "it still reports ends immediately",
+            "ends are still reported at once",
         )
 
     def test_only_one_of_two_grants_for_a_request_is_accepted(self) -> None:
--- a/tests/test_pool_queue.py
+++ b/tests/test_pool_queue.py
@@ -90,7 +90,7 @@
         now = 10.0
         fields_of_terms = [
             place_message("late", "c", target_in_s=-1.0),
-            place_message("too near its aim", "d", target_in_s=0.05 + GRANT_LATENCY_S),
+            place_message("too near its target", "d", target_in_s=0.05 + GRANT_LATENCY_S),
             place_message("first of a", "a"),
             place_message("second of a", "a"),
             place_message("third of a", "a"),
@@ -106,7 +106,7 @@
             "second of a",
             "third of a",
             "late",
-            "too near its aim",
+            "too near its target",
         ]
         self.assertEqual(expected, self.tickets(now + 0.01))
 
--- a/tests/test_slot_allocator.py
+++ b/tests/test_slot_allocator.py
@@ -89,7 +89,7 @@
 
 
 class AllocatorCase(unittest.TestCase):
-    """Base of tests with a simulated clock; engines have many slots unless a subclass sets fewer."""
+    """Base of tests with a simulated clock and engines with many slots."""
 
     slots = 64
 
@@ -342,7 +342,7 @@
     def test_an_unresponsive_allocator_is_not_asked_again_immediately(self) -> None:
         other = member("other", 2)
         self.reporter._allocator_choice = AllocatorChoice(lambda: (other,))
-        self.reporter._client.call.return_value = PeerNoReply(other.peer, "silent")
+        self.reporter._client.call.return_value = PeerNoReply(other.peer, "unresponsive")
         for _ in range(2):
             self.assertIsNone(
                 self.reporter.place(self.own_allocator._table.get("x1"), NO_CONSTRAINTS)
@@ -544,7 +544,7 @@
     def answer(self, name: str) -> SlotsGranted | PeerNoReply:
         self.claimed_from.append(name)
         return (
-            PeerNoReply(self.members[0].peer, "silent")
+            PeerNoReply(self.members[0].peer, "unresponsive")
             if name in self.unresponsive
             else SlotsGranted()
         )
@@ -589,7 +589,7 @@
 
     @params(
         ("all alike", [1.0, 1.0, 1.0], 3),
-        ("none told", [0.0, 0.0, 0.0], 3),
+        ("cores unknown", [0.0, 0.0, 0.0], 3),
         ("one weak", [0.5, 2.0, 2.0], 2),
         ("one strong", [0.5, 0.5, 2.0], 3),
         ("each different", [0.5, 1.0, 2.0], 2),
