--- a/src/quaymill/process/jobs/pool_counts.py
+++ b/src/quaymill/process/jobs/pool_counts.py
@@ -102,14 +102,14 @@
     def __init__(self) -> None:
         self.online: Counter[str] = Counter()
         self.batch: Counter[str] = Counter()
-        self.reserved = 0
+        self.unanswered_grants = 0
         self.claims: dict[str, Claim] = {}
         self._online_by_gateway: dict[str, OnlineCounts] = {}
 
     @property
     def is_empty(self) -> bool:
         """Whether there is no claim, load report or unanswered grant for the pool."""
-        return not self.claims and not self._online_by_gateway and not self.reserved
+        return not self.claims and not self._online_by_gateway and not self.unanswered_grants
 
     def online_of(self, gateway: str) -> Counter[str]:
         """Return a gateway's online requests by replica."""
@@ -129,14 +129,14 @@
             known.counts[replica_id] += 1
             self.online[replica_id] += 1
 
-    def reserve(self, replica_id: str) -> None:
+    def add_grant(self, replica_id: str) -> None:
         """Count a slot grant at a replica until it is answered."""
-        self.reserved += 1
+        self.unanswered_grants += 1
         self.online[replica_id] += 1
 
-    def end_reservation(self, replica_id: str) -> None:
+    def end_grant(self, replica_id: str) -> None:
         """Stop counting a slot grant, after its answer or after no answer arrived in time."""
-        self.reserved -= 1
+        self.unanswered_grants -= 1
         self.online[replica_id] -= 1
 
     def set_claim(self, coordinator: str, claim: Claim) -> None:
--- a/src/quaymill/process/jobs/slot_grants.py
+++ b/src/quaymill/process/jobs/slot_grants.py
@@ -131,7 +131,7 @@
         offsets = {offset.replica_id: offset.requests for offset in message.offsets}
         chosen = least_costly(usable, counts.online_load, message.zone, offsets, self._random)
         queue.serve(queued)
-        counts.reserve(chosen.id)
+        counts.add_grant(chosen.id)
         grant = SlotGrant(pool, message.gateway, queued.process, queued.ticket, chosen)
         self._unanswered.add(grant)
         return grant
@@ -144,7 +144,7 @@
         if grant not in self._unanswered:
             return
         self._unanswered.discard(grant)
-        counts.end_reservation(grant.replica.id)
+        counts.end_grant(grant.replica.id)
         if accepted:
             counts.add_online(grant.gateway, grant.replica.id)
 
--- a/tests/test_pool_queue.py
+++ b/tests/test_pool_queue.py
@@ -187,11 +187,11 @@
     def test_a_second_grant_for_a_request_reserves_no_slot(self, *accepted: bool) -> None:
         """The request was sent again while its first grant was being delivered."""
         grants = [self.join_and_grant("one", 1.0), self.join_and_grant("one", 2.0)]
-        self.assertEqual(2, self.counts.reserved)
+        self.assertEqual(2, self.counts.unanswered_grants)
         for grant, was_accepted in zip(grants, accepted, strict=True):
             self.queues.record_answer(grant, self.counts, accepted=was_accepted)
             self.queues.record_answer(grant, self.counts, accepted=was_accepted)
-        self.assertEqual(0, self.counts.reserved)
+        self.assertEqual(0, self.counts.unanswered_grants)
         self.assertEqual(sum(accepted), self.counts.online[self.replica.id])
 
 
