--- a/src/quaymill/process/jobs/allocator_calls.py
+++ b/src/quaymill/process/jobs/allocator_calls.py
@@ -197,7 +197,7 @@
         accepted: tuple[str, ...] | None = ()
         try:
             accepted = None if member is None else self._offer_grants(member, grants)
-        except Exception as error:  # An unanswered grant would reserve its slot forever.
+        except Exception as error:  # A grant without an answer would occupy its slot forever.
             log_message("line:turn_error", gateway=grants[0].gateway, error=repr(error))
         for grant in grants:
             self._grant_answered(grant, None if accepted is None else grant.ticket in accepted)
--- a/src/quaymill/process/jobs/pool_counts.py
+++ b/src/quaymill/process/jobs/pool_counts.py
@@ -93,7 +93,7 @@
     ----------
     online, batch
         Requests by replica, including slot grants that have not been answered yet.
-    reserved
+    unanswered_grants
         Number of slot grants that have not been answered yet.
     claims
         Last claim of each coordinator, by its name.
--- a/src/quaymill/process/jobs/slot_allocator.py
+++ b/src/quaymill/process/jobs/slot_allocator.py
@@ -152,8 +152,9 @@
     def place_online(self, message: PlaceOnline) -> OnlinePlaced:
         """Choose the replica of an online request, and preempt batch items there if necessary.
 
-        The request is counted immediately, so that the next one is placed with it in view. Gateways
-        that chose for themselves would all send to the replica that was least busy a moment ago.
+        The request is counted immediately, so that the next placement takes it into account.
+        Gateways that chose a replica themselves would all choose the one that was least busy in the
+        last load report.
         """
         self._record_slowness(message.slowness_reports)
         pool = EnginePool(message.service, message.pool, message.pools)
@@ -295,7 +296,11 @@
                 del self._counts_by_pool[pool]
 
     def _first_to_wake(self, counts: PoolCounts, replicas: list[Replica]) -> str:
-        """Return the coordinator whose items are due first; empty if no slot is free."""
+        """Return the coordinator to notify of free slots: the one whose items are due first.
+
+        Empty if no slot is free, or if all with waiting items have claimed or been notified within
+        ``WAKE_INTERVAL_S``.
+        """
         now = boot_clock.now()
         claims = counts.claims
         first = min(
