--- a/tests/test_allocator_calls.py
+++ b/tests/test_allocator_calls.py
@@ -34,20 +34,20 @@
     def __init__(self) -> None:
         self.may_answer = threading.Event()
         self.calls: list[tuple[str, object]] = []
-        self.under_way: Counter[str] = Counter()
-        self.max_under_way: Counter[str] = Counter()
+        self.in_progress: Counter[str] = Counter()
+        self.max_in_progress: Counter[str] = Counter()
         self._lock = threading.Lock()
 
     def call(self, endpoint, message, reply_type, timeout_s):
         name = endpoint.host
         with self._lock:
             self.calls.append((name, message))
-            self.under_way[name] += 1
-            self.max_under_way |= self.under_way
+            self.in_progress[name] += 1
+            self.max_in_progress |= self.in_progress
         if name.startswith("slow"):
             self.may_answer.wait(TIMEOUT_S)
         with self._lock:
-            self.under_way[name] -= 1
+            self.in_progress[name] -= 1
         if name.startswith("slow"):
             return PeerNoReply(endpoint, "unresponsive")
         return ItemsPreempted() if isinstance(message, PreemptItems) else SlotsFreedAcknowledged()
@@ -137,7 +137,7 @@
         self.client.may_answer.set()
         eventually(lambda: len(self.client.messages_to("slow")) == 2, TIMEOUT_S)
         self.assertEqual(self.client.messages_to("slow")[1], PreemptItems((ItemsAt("r", 5),)))
-        self.assertEqual(self.client.max_under_way["slow"], 1)
+        self.assertEqual(self.client.max_in_progress["slow"], 1)
 
     def test_every_message_arrives_with_many_coordinators(self):
         names = [f"quick-{number}" for number in range(200)]
--- a/tests/test_allocator_queue.py
+++ b/tests/test_allocator_queue.py
@@ -64,7 +64,7 @@
         """Do nothing."""
 
 
-class Wire:
+class FakeConnections:
     """Connects gateways; each can be unresponsive, an older build, or fail on sending."""
 
     def __init__(self) -> None:
@@ -108,7 +108,7 @@
 class Gateway:
     """The components of one gateway that take part in queueing."""
 
-    def __init__(self, name: str, wire: Wire, members) -> None:
+    def __init__(self, name: str, connections: FakeConnections, members) -> None:
         self.name = name
         self.process = f"{name}#1"
         self.table = ReplicaTable()
@@ -116,7 +116,7 @@
         self.table.replace_all([entry], 1)
         self.queue = OnlineQueue(
             self.table,
-            self.ask,
+            self.request_slot,
             self.process,
             lambda replica: self.reporter.give_back(replica),
             lambda service, ticket: self.reporter.depart(service, ticket),
@@ -125,21 +125,21 @@
             self.process,
             lambda items: None,
             lambda: None,
-            wire,
-            wire.register_for(name),
+            connections,
+            connections.register_for(name),
             lambda process: next((one for one in members() if process == f"{one.name}#1"), None),
             lambda grants: self.reporter.accept_grants(grants),
-            lambda grant, taken: self.allocator.grant_answered(grant, taken),
+            lambda grant, accepted: self.allocator.grant_answered(grant, accepted),
         )
         self.allocator = SlotAllocator(
-            self.table, NoLoads(), wire.register_for(name), send_grant=self.calls.send_grant
+            self.table, NoLoads(), connections.register_for(name), send_grant=self.calls.send_grant
         )
         self.reporter = OnlineReporter(
             name,
             "z",
             self.table,
             self.allocator,
-            wire,
+            connections,
             members,
             lambda: {SERVICE},
             self.queue.recheck,
@@ -150,7 +150,7 @@
         self.queue.record(SERVICE, 0.8, 0.05)
         self.reporter.start()
 
-    def ask(self, service, request, terms):
+    def request_slot(self, service, request, terms):
         found = self.router.constraints_of(service, request.prompt)
         return None if found is None else self.reporter.request_slot(*found, terms)
 
@@ -172,9 +172,9 @@
     """Two gateways and a third one that allocates the two slots of an engine."""
 
     def setUp(self) -> None:
-        self.wire = Wire()
+        self.connections = FakeConnections()
         self.names = ["a", "b", "c"]
-        self.gateways = {name: Gateway(name, self.wire, self.members) for name in self.names}
+        self.gateways = {name: Gateway(name, self.connections, self.members) for name in self.names}
         allocator = AllocatorChoice(self.members).allocator_of(SERVICE, 0).name
         self.allocator = self.gateways[allocator]
         self.first_gateway, self.second_gateway = (
@@ -321,7 +321,7 @@
         self.wait_until_queued(1)
         self.send("next", self.second_gateway)
         self.wait_until_queued(2)
-        self.wire.unresponsive.add(self.first_gateway.name)
+        self.connections.unresponsive.add(self.first_gateway.name)
         self.second_gateway.end()
         self.wait_until_dispatched("next")
 
@@ -331,7 +331,7 @@
         self.wait_until_queued(1)
         self.send("next", self.second_gateway)
         self.wait_until_queued(2)
-        self.wire.unsendable.add(self.first_gateway.name)
+        self.connections.unsendable.add(self.first_gateway.name)
         self.second_gateway.end()
         self.wait_until_dispatched("next")
 
@@ -339,8 +339,8 @@
         self.take_all_slots()
         self.send("r", self.first_gateway)
         self.wait_until_queued(1)
-        self.wire.unresponsive.add(self.allocator.name)
-        self.wire.unresponsive.add(self.second_gateway.name)
+        self.connections.unresponsive.add(self.allocator.name)
+        self.connections.unresponsive.add(self.second_gateway.name)
         self.names.remove(self.allocator.name)
         self.wait_until_dispatched("r")
 
@@ -348,7 +348,7 @@
         self.take_all_slots()
         self.send("r", self.first_gateway)
         self.wait_until_queued(1)
-        self.wire.unresponsive.add(self.allocator.name)
+        self.connections.unresponsive.add(self.allocator.name)
         self.names.remove(self.allocator.name)
         self.allocator = self.gateways[AllocatorChoice(self.members).allocator_of(SERVICE, 0).name]
         # Both report to the new allocator, and so learn that it has a queue.
@@ -384,7 +384,7 @@
         self.assertEqual("e1", self.second_gateway.router.choose(SERVICE).id)
 
     def test_an_allocator_without_a_queue_places_requests(self) -> None:
-        self.wire.old_builds.add(self.allocator.name)
+        self.connections.old_builds.add(self.allocator.name)
         self.take_all_slots()
         self.send("fresh", self.first_gateway)
         self.wait_until_dispatched("fresh")
@@ -426,10 +426,10 @@
         """The allocator queued the request, but its answer was lost."""
         self.first_gateway.place_at_once()
         late: list[str] = []
-        ask = self.first_gateway.queue._ask
+        request_slot = self.first_gateway.queue._ask
 
         def lose_answer(service, request, terms):
-            ask(service, request, terms)
+            request_slot(service, request, terms)
             late.append(terms.ticket)
 
         self.second_gateway.place_at_once()
