--- a/src/quaymill/process/jobs/item_dispatcher.py
+++ b/src/quaymill/process/jobs/item_dispatcher.py
@@ -157,7 +157,7 @@
             services = self._services_of(job)
             self._give_up_late(job)
             if services and job.has_work():
-                # A route with several services distributes the rounds over them by weight.
+                # With several services, a job's items go to the one furthest behind its weight.
                 service = self._parts.choose_service(job.route)
                 jobs_by_service.setdefault(service, []).append(job)
         for service, claiming in jobs_by_service.items():
--- a/tests/test_allocator_queue.py
+++ b/tests/test_allocator_queue.py
@@ -1,6 +1,6 @@
 """One queue for all gateways: the allocator, its gateways, and requests when either of them fails.
 
-Uses the real components. Messages are encoded as JSON by a test connection, on which each side can
+Uses the real components. Messages are encoded as JSON on fake connections, on which each side can
 be unresponsive or an older build.
 """
 
