--- a/tests/test_allocator_queue.py
+++ b/tests/test_allocator_queue.py
@@ -116,7 +116,7 @@
         self.table.replace_all([entry], 1)
         self.queue = OnlineQueue(
             self.table,
-            self.request_slot,
+            self.ask_allocator,
             self.process,
             lambda replica: self.reporter.give_back(replica),
             lambda service, ticket: self.reporter.depart(service, ticket),
@@ -150,7 +150,7 @@
         self.queue.record(SERVICE, 0.8, 0.05)
         self.reporter.start()
 
-    def request_slot(self, service, request, terms):
+    def ask_allocator(self, service, request, terms):
         found = self.router.constraints_of(service, request.prompt)
         return None if found is None else self.reporter.request_slot(*found, terms)
 
