--- a/src/quaymill/process/jobs/online_reporter.py
+++ b/src/quaymill/process/jobs/online_reporter.py
@@ -126,7 +126,7 @@
         self._in_flight: Counter[str] = Counter()
         self._placed: Counter[str] = Counter()
         self._slowness_by_replica: dict[str, SlownessReading] = {}
-        self._place_again_after = 0.0
+        self._place_again_at = 0.0
         self._changed = False
         self._reported_at = 0.0
         self._reported_by_pool: dict[EnginePool, dict[str, int]] = {}
@@ -164,7 +164,7 @@
         self, first: Replica, constraints: PlacementConstraints, terms: QueueTerms | None
     ) -> Replica | Queued | CannotServeInTime | None:
         now = boot_clock.now()
-        if now < self._place_again_after or first.entry.service not in self._batch_services():
+        if now < self._place_again_at or first.entry.service not in self._batch_services():
             return None
         pool = pool_of(first, self._table)
         allocator = self._allocator_choice.allocator_of(pool.service, pool.index)
@@ -178,7 +178,7 @@
                 self._reported_at = now
         placed = self._call_place_online(allocator, pool, counts, constraints, terms)
         if placed is None:
-            self._place_again_after = now + PLACE_PAUSE_S
+            self._place_again_at = now + PLACE_PAUSE_S
             with self._lock:
                 self._changed = True
             self._allocator_lost()
