--- a/src/quaymill/process/jobs/item_dispatcher.py
+++ b/src/quaymill/process/jobs/item_dispatcher.py
@@ -28,7 +28,7 @@
     ItemImpossible,
     ItemOutcome,
     ItemProtocol,
-    content_of_item,
+    content_digest_of_item,
     run_item,
 )
 from quaymill.process.jobs.item_urgency import INFEASIBLE_DUE_S, RoutePaces, time_left_s
@@ -313,7 +313,7 @@
         ).start()
 
     def _run_item(self, job: CoordinatedJob, item: RunningItem, replica: Replica) -> None:
-        content = content_of_item(item, job.job.host)
+        content = content_digest_of_item(item, job.job.host)
         replica.begin_item()
         outcome: ItemOutcome = ItemCut("the run failed")
         try:
--- a/src/quaymill/process/jobs/item_run.py
+++ b/src/quaymill/process/jobs/item_run.py
@@ -92,7 +92,7 @@
     item_headers: Callable[[JobItem, str], Headers]
 
 
-def content_of_item(item: RunningItem, host: str) -> str:
+def content_digest_of_item(item: RunningItem, host: str) -> str:
     """Return the content digest of an item's request."""
     return content_of(host, METHOD, item.item.path, item.item.body)
 
