--- a/src/quaymill/process/jobs/pool_queue.py
+++ b/src/quaymill/process/jobs/pool_queue.py
@@ -34,7 +34,7 @@
     ----------
     message
         The gateway's request for a placement, including its queue terms.
-    came_at, target_at, dispatch_by, timeout_at
+    arrived_at, target_at, dispatch_by, timeout_at
         Monotonic times: arrival, when its first event is late, when its gateway dispatches it in
         any case, and when its caller gives up.
     start_tag
