--- a/src/quaymill/process/jobs/pool_queue.py
+++ b/src/quaymill/process/jobs/pool_queue.py
@@ -1,9 +1,11 @@
-"""The line of online requests that wait for a slot of one pool of engines, at its keeper.
+"""The queue of online requests for a slot of one engine pool, held by the pool's slot allocator.
 
-The load it answers: bursts above what the engines serve. The keeper alone knows when a slot comes
-free, so whoever waits does so here, in one order for all gateways, until one is free: a request
-that queues at an engine stands before everybody who comes later, however urgent. State and
-decisions only; time is a parameter. Guarded by the keeper's lock.
+It absorbs bursts that exceed the engines' capacity. Only the allocator knows when a slot becomes
+free, so the requests of all gateways wait here, in one order. A request that waited at an engine
+instead would be served before any later request, however urgent.
+
+This module holds state and decisions only; the current time is a parameter. The allocator's lock
+guards it.
 """
 
 from __future__ import annotations
@@ -16,149 +18,151 @@
 from quaymill.request.dispatch_order import dispatch_order
 from quaymill.request.fair_shares import FairShares
 
-TURN_WAY_S = 0.02
-"""From a slot's end to the next request's start there, beyond what an engine takes: three messages
-among peers. Whoever has less time left is late already."""
-SURE_FACTOR = 1.5
-"""A request counts as impossible to serve once its wait, by the usual pace, is so many times what
-its caller waits yet: the pace is an average."""
+GRANT_LATENCY_S = 0.02
+"""Time from the release of a slot to the start of the next request: three messages between peers.
+A request with less time left is already late."""
+REFUSAL_FACTOR = 1.5
+"""A request is refused once its expected wait is this many times its caller's remaining time. The
+margin is needed because the expected wait is computed from averages."""
 
 
 @attrs.frozen(eq=False)
 class QueuedRequest:
-    """A request that waits in the line.
+    """A request in the queue.
 
     Attributes
     ----------
-    asked
-        What its gateway asked with, its terms included.
-    came_at, target_at, dispatch_by, gone_at
-        Monotonic times: when it came, when its first event is late, when its gateway lets it go
-        in any case, and when its caller's patience ends.
+    message
+        The gateway's request for a placement, including its queue terms.
+    arrived_at, target_at, dispatch_by, timeout_at
+        Monotonic times: arrival, when its first event is late, when its gateway dispatches it in
+        any case, and when its caller gives up.
     start_tag
-        By fair queueing over tenants (``FairShares``): the lowest goes first within a rank.
+        Start tag of fair queueing over tenants (``FairShares``): within a rank, the request with
+        the lowest tag is served first.
     """
 
-    asked: PlaceOnline
+    message: PlaceOnline
     came_at: float
     target_at: float
     dispatch_by: float
-    gone_at: float
+    timeout_at: float
     start_tag: float
 
     @property
     def ticket(self) -> str:
-        """Names the request."""
-        return self.asked.terms.ticket
+        """Identifies the request."""
+        return self.message.terms.ticket
 
     @property
     def process(self) -> str:
-        """Name of its gateway's process; a gateway that starts again has another."""
-        return self.asked.terms.process
+        """Name of its gateway's process; a restarted gateway has a different one."""
+        return self.message.terms.process
 
 
 class PoolQueue:
-    """Who waits for one pool."""
+    """The queued requests of one pool."""
 
     def __init__(self) -> None:
         self._shares = FairShares()
-        self._waiter_by_ticket: dict[str, QueuedRequest] = {}
+        self._queued_by_ticket: dict[str, QueuedRequest] = {}
 
     def __len__(self) -> int:
-        return len(self._waiter_by_ticket)
+        return len(self._queued_by_ticket)
 
     @property
     def tenants(self) -> int:
-        """Tenants that have requests in the line."""
-        return len({one.asked.terms.tenant for one in self.waiters()})
-
-    def join(self, asked: PlaceOnline, now: float) -> QueuedRequest:
-        """Put a request into the line; one that asks again keeps its number."""
-        terms = asked.terms
-        before = self._waiter_by_ticket.get(terms.ticket)
-        tag = before.start_tag if before else self._shares.start_tag(terms.tenant)
-        waiter = QueuedRequest(
-            asked,
+        """Number of tenants with queued requests."""
+        return len({one.message.terms.tenant for one in self.waiters()})
+
+    def join(self, message: PlaceOnline, now: float) -> QueuedRequest:
+        """Add a request to the queue; a request that is sent again keeps its start tag."""
+        terms = message.terms
+        earlier = self._queued_by_ticket.get(terms.ticket)
+        tag = earlier.start_tag if earlier else self._shares.start_tag(terms.tenant)
+        queued = QueuedRequest(
+            message,
             now - terms.waited_s,
             now + terms.target_in_s,
             now + terms.dispatch_by_s,
             now + terms.left_s,
             tag,
         )
-        self._waiter_by_ticket[terms.ticket] = waiter
-        return waiter
+        self._queued_by_ticket[terms.ticket] = queued
+        return queued
 
-    def pass_by(self, tenant: str | None) -> None:
-        """Count a tenant's request that goes without waiting."""
+    def record_immediate(self, tenant: str | None) -> None:
+        """Count a request that is served without waiting toward its tenant's share."""
         self._shares.serve(self._shares.start_tag(tenant))
 
     def waiters(self) -> tuple[QueuedRequest, ...]:
-        """Return who waits, in no order."""
-        return tuple(self._waiter_by_ticket.values())
+        """Return the queued requests in no particular order."""
+        return tuple(self._queued_by_ticket.values())
 
     def ordered(self, now: float) -> list[QueuedRequest]:
-        """Return who waits, whose turn is next first; those past their last call are dropped.
+        """Return the queued requests, next to be served first.
 
-        Their gateways let them go by themselves.
+        Requests past their dispatch deadline are dropped: their gateways dispatch them locally.
         """
-        self._forget_past(now)
-        return sorted(self._waiter_by_ticket.values(), key=lambda one: _order(one, now))
+        self._drop_expired(now)
+        return sorted(self._queued_by_ticket.values(), key=lambda one: _sort_key(one, now))
 
-    def _forget_past(self, now: float) -> None:
-        for waiter in self.waiters():
-            if waiter.dispatch_by < now:
-                self.leave(waiter)
+    def _drop_expired(self, now: float) -> None:
+        for queued in self.waiters():
+            if queued.dispatch_by < now:
+                self.leave(queued)
 
-    def serve(self, waiter: QueuedRequest) -> None:
-        """Take a request out whose turn has come."""
-        self._waiter_by_ticket.pop(waiter.ticket, None)
-        self._shares.serve(waiter.start_tag)
+    def serve(self, queued: QueuedRequest) -> None:
+        """Remove a request that is granted a slot."""
+        self._queued_by_ticket.pop(queued.ticket, None)
+        self._shares.serve(queued.start_tag)
 
-    def leave(self, waiter: QueuedRequest) -> None:
-        """Take a request out that will not be served from here."""
-        self._waiter_by_ticket.pop(waiter.ticket, None)
-        self._shares.take_back(waiter.asked.terms.tenant)
+    def leave(self, queued: QueuedRequest) -> None:
+        """Remove a request that will not be served from this queue."""
+        self._queued_by_ticket.pop(queued.ticket, None)
+        self._shares.take_back(queued.message.terms.tenant)
 
     def depart(self, tickets: Iterable[str]) -> None:
-        """Take out requests that wait no more."""
+        """Remove requests that no longer wait, by their tickets."""
         for ticket in tickets:
-            waiter = self._waiter_by_ticket.get(ticket)
-            if waiter is not None:
-                self.leave(waiter)
+            queued = self._queued_by_ticket.get(ticket)
+            if queued is not None:
+                self.leave(queued)
 
     def drop_process(self, process: str) -> int:
-        """Take out what a gateway holds that does not answer; return how much that was."""
-        dropped = [one for one in self._waiter_by_ticket.values() if one.process == process]
-        for waiter in dropped:
-            self.leave(waiter)
+        """Remove the requests of a gateway's process; return how many there were."""
+        dropped = [one for one in self._queued_by_ticket.values() if one.process == process]
+        for queued in dropped:
+            self.leave(queued)
         return len(dropped)
 
-    def wait_s(self, waiter: QueuedRequest, slots: int, now: float) -> float:
-        """Return how long a request waits at least, at the pace of ``slots`` slots."""
-        service_s = waiter.asked.terms.service_s
-        mine = _order(waiter, now)
-        ahead = sum(_order(one, now) < mine for one in self._waiter_by_ticket.values())
+    def wait_s(self, queued: QueuedRequest, slots: int, now: float) -> float:
+        """Return the expected wait of a request in seconds, if ``slots`` slots serve the queue."""
+        service_s = queued.message.terms.service_s
+        own_key = _sort_key(queued, now)
+        ahead = sum(_sort_key(one, now) < own_key for one in self._queued_by_ticket.values())
         return ahead * service_s / max(1, slots)
 
-    def retry_after_s(self, waiter: QueuedRequest, slots: int, now: float) -> float | None:
-        """Return after how many seconds a request may come again; ``None`` if it may be served.
+    def retry_after_s(self, queued: QueuedRequest, slots: int, now: float) -> float | None:
+        """Return the seconds after which a request may be retried; ``None`` if it is feasible.
 
-        It cannot be if its expected wait is ``SURE_FACTOR`` times what its caller waits yet; once
-        the excess is over, the line is short enough for a caller that waits as long.
+        A request is infeasible if its expected wait exceeds ``REFUSAL_FACTOR`` times its caller's
+        remaining time. After the returned time the queue is expected to be short enough for a
+        caller with the same timeout.
         """
-        self._forget_past(now)
-        # The whole line bounds the wait, which mostly spares a look at who is ahead.
-        left_s = waiter.gone_at - now
-        most_s = len(self) * waiter.asked.terms.service_s / max(1, slots)
-        if most_s <= SURE_FACTOR * left_s:
+        self._drop_expired(now)
+        # The length of the queue bounds the wait, so the exact position is rarely needed.
+        left_s = queued.timeout_at - now
+        longest_wait_s = len(self) * queued.message.terms.service_s / max(1, slots)
+        if longest_wait_s <= REFUSAL_FACTOR * left_s:
             return None
-        wait_s = self.wait_s(waiter, slots, now)
-        return None if wait_s <= SURE_FACTOR * left_s else wait_s - left_s
+        wait_s = self.wait_s(queued, slots, now)
+        return None if wait_s <= REFUSAL_FACTOR * left_s else wait_s - left_s
 
 
-def _order(waiter: QueuedRequest, now: float) -> tuple[bool, int, float, float]:
-    terms = waiter.asked.terms
-    needs_s = terms.first_byte_s + TURN_WAY_S
+def _sort_key(queued: QueuedRequest, now: float) -> tuple[bool, int, float, float]:
+    terms = queued.message.terms
+    needs_s = terms.first_byte_s + GRANT_LATENCY_S
     return dispatch_order(
-        waiter.target_at, terms.rank, waiter.came_at, needs_s, now, waiter.start_tag
+        queued.target_at, terms.rank, queued.came_at, needs_s, now, queued.start_tag
     )
--- a/src/quaymill/process/jobs/slot_grants.py
+++ b/src/quaymill/process/jobs/slot_grants.py
@@ -1,6 +1,7 @@
-"""Gives the free slots of engines to the requests that wait, for the gateway that keeps room.
+"""Grants the free slots of engines to queued online requests, for the slot allocator.
 
-Decisions and state only, guarded by the keeper's lock; who sends the turns is told them.
+This module holds state and decisions only, guarded by the allocator's lock; sending the grants is
+up to the caller.
 """
 
 from __future__ import annotations
@@ -20,12 +21,14 @@
 
 @attrs.frozen(eq=False)
 class SlotGrant:
-    """A turn that its gateway is told; a request that asks again may be given a second one.
+    """A slot granted to a queued request, to be accepted by the request's gateway.
+
+    A request that its gateway sends again may be granted a second slot.
 
     Attributes
     ----------
     process
-        Name of its gateway's process; a gateway that starts again has another.
+        Name of its gateway's process; a restarted gateway has a different one.
     """
 
     pool: EnginePool
@@ -36,122 +39,136 @@
 
     @property
     def message(self) -> OnlineGrant:
-        """What the gateway is told."""
+        """The message for the gateway."""
         return OnlineGrant(self.ticket, self.replica.id)
 
 
 class PoolQueues:
-    """The lines of all pools that one gateway keeps room for."""
+    """The queues of all pools whose slots one gateway allocates.
+
+    Attributes
+    ----------
+    refused_early
+        Requests refused as infeasible since the start.
+    """
 
     def __init__(self, rng: random.Random) -> None:
         self._random = rng
-        self._line_by_pool: dict[EnginePool, PoolQueue] = {}
+        self._queue_by_pool: dict[EnginePool, PoolQueue] = {}
         self._unanswered: set[SlotGrant] = set()
         self.refused_early = 0
 
     def length(self, pool: EnginePool) -> int:
-        """Return how many requests wait for a pool."""
-        line = self._line_by_pool.get(pool)
-        return 0 if line is None else len(line)
+        """Return the number of queued requests of a pool."""
+        queue = self._queue_by_pool.get(pool)
+        return 0 if queue is None else len(queue)
 
     def lengths(self) -> dict[EnginePool, int]:
-        """Return how many requests wait, by pool; safe without the lock."""
-        return {pool: len(line) for pool, line in list(self._line_by_pool.items())}
+        """Return the number of queued requests by pool; safe without the lock."""
+        return {pool: len(queue) for pool, queue in list(self._queue_by_pool.items())}
 
     @property
     def tenants(self) -> int:
-        """Tenants with requests that wait, counted by line; safe without the lock."""
-        return sum(line.tenants for line in list(self._line_by_pool.values()))
+        """Tenants with queued requests, summed over the queues; safe without the lock."""
+        return sum(queue.tenants for queue in list(self._queue_by_pool.values()))
 
-    def pass_by(self, pool: EnginePool, tenant: str | None) -> None:
-        """Count a request that found nobody waiting and a slot free."""
-        self._line_by_pool.setdefault(pool, PoolQueue()).pass_by(tenant)
+    def record_immediate(self, pool: EnginePool, tenant: str | None) -> None:
+        """Count a request that was served without waiting toward its tenant's share."""
+        self._queue_by_pool.setdefault(pool, PoolQueue()).record_immediate(tenant)
 
-    def join(self, pool: EnginePool, asked: PlaceOnline, now: float) -> QueuedRequest:
-        """Put a request into the line of its pool."""
-        return self._line_by_pool.setdefault(pool, PoolQueue()).join(asked, now)
+    def join(self, pool: EnginePool, message: PlaceOnline, now: float) -> QueuedRequest:
+        """Add a request to the queue of its pool."""
+        return self._queue_by_pool.setdefault(pool, PoolQueue()).join(message, now)
 
-    def refuse(
-        self, pool: EnginePool, waiter: QueuedRequest, replicas: list[Replica], now: float
+    def refuse_if_infeasible(
+        self, pool: EnginePool, queued: QueuedRequest, replicas: list[Replica], now: float
     ) -> float | None:
-        """Take a request out that cannot be served; return when it may come again."""
-        line = self._line_by_pool[pool]
+        """Remove a request that cannot be served in time.
+
+        Returns the seconds after which it may be retried, ``None`` if it stays in the queue.
+        """
+        queue = self._queue_by_pool[pool]
         slots = sum(one.slots for one in replicas)
         if not slots:
             return None
-        retry_after_s = line.retry_after_s(waiter, slots, now)
+        retry_after_s = queue.retry_after_s(queued, slots, now)
         if retry_after_s is None:
             return None
-        line.leave(waiter)
+        queue.leave(queued)
         self.refused_early += 1
-        # Those refused meanwhile would else all come at once.
+        # Spreads the retries of requests that are refused at about the same time.
         return retry_after_s * (1.0 + self._random.random())
 
-    def give(
+    def grant_slots(
         self, pool: EnginePool, counts: PoolCounts, replicas: list[Replica], now: float
     ) -> list[SlotGrant]:
-        """Give the free slots of a pool, as far as there are any, in the order of the line."""
-        line = self._line_by_pool.get(pool)
-        if line is None or not len(line):
+        """Grant the free slots of a pool to its queued requests, in the order of the queue."""
+        queue = self._queue_by_pool.get(pool)
+        if queue is None or not len(queue):
             return []
         free = [one for one in replicas if counts.online_load(one) < one.slots]
-        given: list[SlotGrant] = []
-        for waiter in line.ordered(now) if free else []:
-            able = _able(waiter.asked, free, replicas)
-            if able:
-                turn = self._give_one(pool, counts, line, waiter, able)
-                given.append(turn)
-                if counts.online_load(turn.replica) >= turn.replica.slots:
-                    free.remove(turn.replica)
+        grants: list[SlotGrant] = []
+        for queued in queue.ordered(now) if free else []:
+            usable = _usable_replicas(queued.message, free, replicas)
+            if usable:
+                grant = self._grant_slot(pool, counts, queue, queued, usable)
+                grants.append(grant)
+                if counts.online_load(grant.replica) >= grant.replica.slots:
+                    free.remove(grant.replica)
             if not free:
                 break
-        return given
+        return grants
 
-    def _give_one(
+    def _grant_slot(
         self,
         pool: EnginePool,
         counts: PoolCounts,
-        line: PoolQueue,
-        waiter: QueuedRequest,
-        able: list[Replica],
+        queue: PoolQueue,
+        queued: QueuedRequest,
+        usable: list[Replica],
     ) -> SlotGrant:
-        asked = waiter.asked
-        offsets = {offset.replica_id: offset.requests for offset in asked.offsets}
-        chosen = least_costly(able, counts.online_load, asked.zone, offsets, self._random)
-        line.serve(waiter)
-        counts.promise(chosen.id)
-        turn = SlotGrant(pool, asked.gateway, waiter.process, waiter.ticket, chosen)
-        self._unanswered.add(turn)
-        return turn
-
-    def answered(self, turn: SlotGrant, counts: PoolCounts, *, taken: bool) -> None:
-        """Count a turn that was taken as its gateway's request; else its slot is free again."""
-        if turn not in self._unanswered:
+        message = queued.message
+        offsets = {offset.replica_id: offset.requests for offset in message.offsets}
+        chosen = least_costly(usable, counts.online_load, message.zone, offsets, self._random)
+        queue.serve(queued)
+        counts.add_grant(chosen.id)
+        grant = SlotGrant(pool, message.gateway, queued.process, queued.ticket, chosen)
+        self._unanswered.add(grant)
+        return grant
+
+    def record_answer(self, grant: SlotGrant, counts: PoolCounts, *, accepted: bool) -> None:
+        """Stop counting a grant, or count an accepted one as a request of its gateway.
+
+        Does nothing for a grant that has been answered before.
+        """
+        if grant not in self._unanswered:
             return
-        self._unanswered.discard(turn)
-        counts.end_promise(turn.replica.id)
-        if taken:
-            counts.place_at(turn.gateway, turn.replica.id)
+        self._unanswered.discard(grant)
+        counts.end_grant(grant.replica.id)
+        if accepted:
+            counts.add_online(grant.gateway, grant.replica.id)
 
     def depart(self, pool: EnginePool, tickets: Iterable[str]) -> None:
-        """Take out requests that wait no more, by the word of their gateway."""
-        line = self._line_by_pool.get(pool)
-        if line is not None:
-            line.depart(tickets)
+        """Remove requests that no longer wait according to their gateway, by their tickets."""
+        queue = self._queue_by_pool.get(pool)
+        if queue is not None:
+            queue.depart(tickets)
 
     def drop_process(self, process: str) -> int:
-        """Take out what a gateway holds that does not answer; return how much that was."""
-        return sum(line.drop_process(process) for line in self._line_by_pool.values())
+        """Remove the requests of a gateway's process; return how many there were."""
+        return sum(queue.drop_process(process) for queue in self._queue_by_pool.values())
 
 
-def _able(asked: PlaceOnline, free: list[Replica], replicas: list[Replica]) -> list[Replica]:
-    """Return the free replicas that a request may go to.
+def _usable_replicas(
+    message: PlaceOnline, free: list[Replica], replicas: list[Replica]
+) -> list[Replica]:
+    """Return the free replicas that a request may be sent to.
 
-    One that fails is taken only if all that the request may go to do.
+    Failing replicas are used only if all replicas that the request may be sent to are failing.
     """
-    allowed = [one for one in free if one.id not in asked.excluded]
-    sound = [one for one in allowed if not one.avoided]
-    if sound or not allowed:
-        return sound
-    others = (one for one in replicas if one.id not in asked.excluded)
+    allowed = [one for one in free if one.id not in message.excluded]
+    healthy = [one for one in allowed if not one.avoided]
+    if healthy or not allowed:
+        return healthy
+    others = (one for one in replicas if one.id not in message.excluded)
     return [] if any(not one.avoided for one in others) else best_group(allowed)
--- a/tests/load_player.py
+++ b/tests/load_player.py
@@ -1,8 +1,8 @@
-"""Plays a load of batch items against the decisions on their order, in virtual time.
+"""Simulates a load of batch items in virtual time, to test the order in which items run.
 
-Minutes of load take about a second. Slots are shared as the keeper of room shares them: what is
-most urgent first, least urgent first out when online requests need a slot; runs that are cut go
-on from where they were. Nothing here decides who is urgent: that is the product's own function.
+Slots are assigned as the slot allocator does: the most urgent items start first, and the least
+urgent ones are preempted when online requests need slots. A preempted item resumes later. The
+urgency is computed by the real function.
 """
 
 from __future__ import annotations
@@ -16,30 +16,30 @@
 
 STEP_S = 0.1
 EVENT_S = 0.0277
-"""Time an engine takes for one event of an item."""
+"""Time that an engine needs for one event of an item."""
 MEAN_EVENTS = 169.0
 EVENTS_SPREAD = 0.25
 MAX_EVENTS = 271
 RESTART_S = 0.03
-"""Time to read prompt and output again after a cut."""
+"""Time to process prompt and output again after a preemption."""
 
 
 @attrs.frozen
 class Load:
-    """A load.
+    """A load to simulate.
 
     Attributes
     ----------
     slots
-        Of all engines, by the time in seconds: engines that are lost take theirs along.
+        Slots of all running engines at a time in seconds.
     online
-        Slots that online requests take, by the time in seconds.
+        Slots used by online requests at a time in seconds.
     jobs_per_s, items_per_job
         Means.
     due_s
-        Time after a job's arrival in which its items are worth most.
+        Time from a job's arrival until its items are due.
     length_s
-        How long jobs come.
+        Time during which jobs arrive.
     """
 
     slots: Callable[[float], int]
@@ -74,16 +74,16 @@
 
 @attrs.define
 class Outcome:
-    """What callers got.
+    """Results of a simulation.
 
     Attributes
     ----------
     in_time, late, undone
-        Items by their end; undone ones had none when jobs had stopped coming for ``due_s``.
+        Numbers of items; undone ones had not finished ``due_s`` after the last arrivals.
     cuts
-        Runs cut because online requests needed the slot.
+        Runs preempted because online requests needed the slot.
     slot_s_late
-        Slot seconds spent on items that were late.
+        Slot seconds spent on late items.
     """
 
     in_time: int = 0
@@ -93,12 +93,12 @@
     slot_s_late: float = 0.0
 
     @property
-    def asked(self) -> int:
-        """All items."""
+    def total(self) -> int:
+        """Number of all items."""
         return self.in_time + self.late + self.undone
 
 
-class _Play:
+class _Player:
     def __init__(self, load: Load, seed: int) -> None:
         self._load = load
         self._random = random.Random(seed)
@@ -114,7 +114,7 @@
             if now < self._load.length_s:
                 self._arrive(now)
             self._serve(now)
-            self._share_out(now + STEP_S)
+            self._assign_slots(now + STEP_S)
         self.outcome.undone = len(self._waiting) + len(self._running)
         return self.outcome
 
@@ -132,9 +132,9 @@
             item.done += STEP_S / EVENT_S
             if item.done >= item.events:
                 self._running.remove(item)
-                self._note_done(item, now + STEP_S)
+                self._record_done(item, now + STEP_S)
 
-    def _note_done(self, item: _Item, now: float) -> None:
+    def _record_done(self, item: _Item, now: float) -> None:
         events_in_run = int(item.events - item.events_at_start)
         if events_in_run > 0:
             self._pace.add(item.events, (now - item.started_at) / events_in_run, 1)
@@ -144,7 +144,7 @@
             self.outcome.late += 1
             self.outcome.slot_s_late += item.events * EVENT_S
 
-    def _share_out(self, now: float) -> None:
+    def _assign_slots(self, now: float) -> None:
         free = self._load.slots(now) - self._load.online(now) - len(self._running)
         if free > 0:
             for item in self._by_urgency(self._waiting, now)[:free]:
@@ -166,5 +166,5 @@
 
 
 def play(load: Load, seed: int) -> Outcome:
-    """Play a load; the same seed brings the same arrivals."""
-    return _Play(load, seed).run()
+    """Simulate a load; the same seed gives the same arrivals."""
+    return _Player(load, seed).run()
--- a/tests/test_allocator_queue.py
+++ b/tests/test_allocator_queue.py
@@ -1,7 +1,7 @@
-"""One line for all gateways: keeper, gateways and what becomes of requests when either fails.
+"""One queue for all gateways: the allocator, its gateways, and requests when either of them fails.
 
-The parts are the product's own; messages go through JSON by a wire of the test's, on which each
-side may be silent or of an older build.
+Uses the real components. Messages are encoded as JSON on fake connections, on which each side can
+be unresponsive or an older build.
 """
 
 from __future__ import annotations
@@ -48,30 +48,30 @@
 ROUTE = RequestRoute(
     "online", "h", "/", RouteKind.STREAMING, (WeightedService(SERVICE, 1.0),), 8.0, 0.4
 )
-PATIENCE_S = 8.0
+TIMEOUT_S = 8.0
 
 
 class NoLoads:
-    """Engines without reports."""
+    """Engine loads without reports."""
 
-    def want(self, replicas) -> None:
+    def poll_only(self, replicas) -> None:
         """Do nothing."""
 
     def excess(self, replica) -> int:
         return 0
 
-    def gave_way(self, replica) -> None:
+    def record_preemption(self, replica) -> None:
         """Do nothing."""
 
 
-class Wire:
-    """Carries messages between gateways; each may be silent, or of an older build."""
+class FakeConnections:
+    """Connects gateways; each can be unresponsive, an older build, or fail on sending."""
 
     def __init__(self) -> None:
         self.handlers_by_name: dict[str, dict[type, object]] = {}
-        self.silent: set[str] = set()
-        self.old: set[str] = set()
-        self.broken: set[str] = set()
+        self.unresponsive: set[str] = set()
+        self.old_builds: set[str] = set()
+        self.unsendable: set[str] = set()
 
     def register_for(self, name: str):
         handlers = self.handlers_by_name.setdefault(name, {})
@@ -86,29 +86,29 @@
     def call(self, endpoint, message, reply_type, timeout_s):
         name = endpoint.host
         handler = self.handlers_by_name.get(name, {}).get(type(message))
-        if name in self.broken:
+        if name in self.unsendable:
             raise ValueError("cannot be sent")
-        if name in self.silent or handler is None:
-            return PeerNoReply(endpoint, "silent")
-        line = msgspec.json.encode(message)
-        if name in self.old:
-            line = without(line, "terms")
-        reply = msgspec.json.encode(handler(msgspec.json.decode(line, type=type(message))))
-        if name in self.old:
+        if name in self.unresponsive or handler is None:
+            return PeerNoReply(endpoint, "unresponsive")
+        encoded = msgspec.json.encode(message)
+        if name in self.old_builds:
+            encoded = without(encoded, "terms")
+        reply = msgspec.json.encode(handler(msgspec.json.decode(encoded, type=type(message))))
+        if name in self.old_builds:
             reply = without(reply, "line", "waits", "retry_after_s")
         return msgspec.json.decode(reply, type=reply_type)
 
 
-def without(line: bytes, *names: str) -> bytes:
-    """Return a message as a build writes or reads it that does not know some of its fields."""
-    fields = msgspec.json.decode(line)
+def without(encoded: bytes, *names: str) -> bytes:
+    """Return an encoded message without some fields, as a build that does not know them has it."""
+    fields = msgspec.json.decode(encoded)
     return msgspec.json.encode({name: value for name, value in fields.items() if name not in names})
 
 
 class Gateway:
-    """The parts of one gateway that have to do with turns."""
+    """The components of one gateway that take part in queueing."""
 
-    def __init__(self, name: str, wire: Wire, members) -> None:
+    def __init__(self, name: str, connections: FakeConnections, members) -> None:
         self.name = name
         self.process = f"{name}#1"
         self.table = ReplicaTable()
@@ -116,68 +116,70 @@
         self.table.replace_all([entry], 1)
         self.queue = OnlineQueue(
             self.table,
-            self.ask,
+            self.ask_allocator,
             self.process,
-            lambda replica: self.notices.give_back(replica),
-            lambda service, ticket: self.notices.depart(service, ticket),
+            lambda replica: self.reporter.give_back(replica),
+            lambda service, ticket: self.reporter.depart(service, ticket),
         )
-        self.orders = AllocatorCalls(
+        self.calls = AllocatorCalls(
             self.process,
             lambda items: None,
             lambda: None,
-            wire,
-            wire.register_for(name),
+            connections,
+            connections.register_for(name),
             lambda process: next((one for one in members() if process == f"{one.name}#1"), None),
-            lambda turns: self.notices.accept_grants(turns),
-            lambda turn, taken: self.keeper.grant_answered(turn, taken),
+            lambda grants: self.reporter.accept_grants(grants),
+            lambda grant, accepted: self.allocator.grant_answered(grant, accepted),
         )
-        self.keeper = SlotAllocator(
-            self.table, NoLoads(), wire.register_for(name), send_grant=self.orders.send_grant
+        self.allocator = SlotAllocator(
+            self.table, NoLoads(), connections.register_for(name), send_grant=self.calls.send_grant
         )
-        self.notices = OnlineReporter(
+        self.reporter = OnlineReporter(
             name,
             "z",
             self.table,
-            self.keeper,
-            wire,
+            self.allocator,
+            connections,
             members,
             lambda: {SERVICE},
             self.queue.recheck,
             allocator_lost=self.queue.leave_allocator_queue,
             release=self.queue.accept_grant,
         )
-        self.router = Router(self.table, "z", name, self.notices.place)
+        self.router = Router(self.table, "z", name, self.reporter.place)
         self.queue.record(SERVICE, 0.8, 0.05)
-        self.notices.start()
+        self.reporter.start()
 
-    def ask(self, service, request, terms):
+    def ask_allocator(self, service, request, terms):
         found = self.router.constraints_of(service, request.prompt)
-        return None if found is None else self.notices.request_slot(*found, terms)
+        return None if found is None else self.reporter.request_slot(*found, terms)
 
     def begin(self, replica) -> None:
         replica.begin()
-        self.notices.began(replica)
+        self.reporter.began(replica)
 
     def end(self) -> None:
         replica = self.table.get("e1")
         replica.end()
-        self.notices.ended(replica)
+        self.reporter.ended(replica)
 
-    def place_alone(self) -> None:
-        """Send a request as builds without a line do."""
+    def place_at_once(self) -> None:
+        """Send a request without queueing, as older builds do."""
         self.begin(self.router.choose(SERVICE))
 
 
-class OnlineLineTest(unittest.TestCase):
-    """Two gateways beside the one that keeps room for an engine of two slots."""
+class AllocatorQueueTest(unittest.TestCase):
+    """Two gateways and a third one that allocates the two slots of an engine."""
 
     def setUp(self) -> None:
-        self.wire = Wire()
+        self.connections = FakeConnections()
         self.names = ["a", "b", "c"]
-        self.gateways = {name: Gateway(name, self.wire, self.members) for name in self.names}
-        keeper = AllocatorChoice(self.members).allocator_of(SERVICE, 0).name
-        self.keeper = self.gateways[keeper]
-        self.one, self.two = (one for one in self.gateways.values() if one.name != keeper)
+        self.gateways = {name: Gateway(name, self.connections, self.members) for name in self.names}
+        allocator = AllocatorChoice(self.members).allocator_of(SERVICE, 0).name
+        self.allocator = self.gateways[allocator]
+        self.first_gateway, self.second_gateway = (
+            one for one in self.gateways.values() if one.name != allocator
+        )
         self.results: dict[str, object] = {}
         self.presences: dict[str, CallerPresence] = {}
         self.threads: list[threading.Thread] = []
@@ -189,8 +191,8 @@
         for thread in self.threads:
             thread.join()
         for gateway in self.gateways.values():
-            gateway.notices.stop()
-            gateway.orders.stop()
+            gateway.reporter.stop()
+            gateway.calls.stop()
 
     def members(self) -> tuple[Member, ...]:
         return tuple(
@@ -202,23 +204,23 @@
         name: str,
         gateway: Gateway,
         tenant: str | None = None,
-        patience_s: float = PATIENCE_S,
+        timeout_s: float = TIMEOUT_S,
     ) -> None:
-        """Send a request that begins at its engine as soon as it may, and does not end."""
+        """Send a request that starts at its engine once it is dispatched, and does not end."""
         request = ForwardedRequest(
-            name, "POST", "/x", (), b"", Deadline.after(patience_s), tenant=tenant
+            name, "POST", "/x", (), b"", Deadline.after(timeout_s), tenant=tenant
         )
         presence = self.presences[name] = CallerPresence()
 
         def run() -> None:
-            turn = gateway.queue.wait_for_slot(SERVICE, ROUTE, request, presence)
+            grant = gateway.queue.wait_for_slot(SERVICE, ROUTE, request, presence)
             if presence.gone:
-                if turn is not None:
-                    gateway.queue.give_back(turn)
+                if grant is not None:
+                    gateway.queue.give_back(grant)
                 return
-            if not isinstance(turn, CannotServeInTime):
-                gateway.begin(turn or gateway.router.choose(SERVICE))
-            self.results[name] = turn
+            if not isinstance(grant, CannotServeInTime):
+                gateway.begin(grant or gateway.router.choose(SERVICE))
+            self.results[name] = grant
 
         thread = threading.Thread(target=run)
         self.threads.append(thread)
@@ -227,267 +229,282 @@
     def wait_for(self, condition, what: str) -> None:
         deadline = time.monotonic() + WAIT_S
         while not condition():
-            self.assertLess(time.monotonic(), deadline, f"{what}; gone: {self.results}")
+            self.assertLess(time.monotonic(), deadline, f"{what}; dispatched: {self.results}")
             time.sleep(0.002)
 
-    def wait_gone(self, *names: str) -> None:
-        self.wait_for(lambda: set(names) <= set(self.results), f"{names} did not go")
+    def wait_until_dispatched(self, *names: str) -> None:
+        self.wait_for(lambda: set(names) <= set(self.results), f"{names} not dispatched")
 
-    def wait_line(self, length: int) -> None:
-        turns = self.keeper.keeper.turns
-        self.wait_for(lambda: sum(turns.lengths().values()) == length, f"{turns.lengths()} wait")
+    def wait_until_queued(self, length: int) -> None:
+        queues = self.allocator.allocator.turns
+        self.wait_for(lambda: sum(queues.lengths().values()) == length, f"{queues.lengths()} wait")
 
-    def fill(self) -> None:
-        """Take all slots, by each gateway at least one: so all know of the keeper's line."""
-        self.one.place_alone()
-        self.two.place_alone()
+    def take_all_slots(self) -> None:
+        """Use one slot from each gateway, so that both know that the allocator has a queue."""
+        self.first_gateway.place_at_once()
+        self.second_gateway.place_at_once()
 
-    def test_a_request_that_finds_a_slot_goes_with_its_place_at_once(self) -> None:
-        self.one.place_alone()
-        self.send("r", self.one)
-        self.wait_gone("r")
+    def test_a_request_that_finds_a_free_slot_is_dispatched_immediately(self) -> None:
+        self.first_gateway.place_at_once()
+        self.send("r", self.first_gateway)
+        self.wait_until_dispatched("r")
         self.assertEqual("e1", self.results["r"].id)
 
-    def test_who_waits_goes_when_a_slot_comes_free_anywhere(self) -> None:
-        self.fill()
-        self.send("first", self.one)
-        self.wait_line(1)
-        self.send("second", self.two)
-        self.wait_line(2)
-        self.two.end()
-        self.wait_gone("first")
+    def test_a_slot_released_at_any_gateway_is_granted_to_a_queued_request(self) -> None:
+        self.take_all_slots()
+        self.send("first", self.first_gateway)
+        self.wait_until_queued(1)
+        self.send("second", self.second_gateway)
+        self.wait_until_queued(2)
+        self.second_gateway.end()
+        self.wait_until_dispatched("first")
         self.assertEqual("e1", self.results["first"].id)
         self.assertNotIn("second", self.results)
-        self.one.end()
-        self.wait_gone("second")
-
-    def test_who_left_stands_in_the_line_no_more(self) -> None:
-        self.fill()
-        self.send("leaves", self.one)
-        self.wait_line(1)
-        self.send("stays", self.two)
-        self.wait_line(2)
+        self.first_gateway.end()
+        self.wait_until_dispatched("second")
+
+    def test_a_request_whose_caller_disconnected_leaves_the_queue(self) -> None:
+        self.take_all_slots()
+        self.send("leaves", self.first_gateway)
+        self.wait_until_queued(1)
+        self.send("stays", self.second_gateway)
+        self.wait_until_queued(2)
         self.presences["leaves"].leave()
-        self.wait_line(1)
-        self.two.end()
-        self.wait_gone("stays")
-
-    def test_many_turns_of_the_keepers_own_requests_that_left(self) -> None:
-        """Each is answered at once: they must not be nested in one another."""
-        self.fill()
-        own = self.keeper
+        self.wait_until_queued(1)
+        self.second_gateway.end()
+        self.wait_until_dispatched("stays")
+
+    def test_many_grants_to_disconnected_callers_of_the_allocators_own_gateway(self) -> None:
+        """Each grant is answered immediately; the answers must not recurse."""
+        self.take_all_slots()
+        own = self.allocator
         for index in range(300):
             terms = QueueTerms(f"gone-{index}", own.process, None, 0, 0.5, 0.3, 30, 60, 0.001, 0.05)
-            own.keeper.place_online(PlaceOnline(own.name, "z", SERVICE, (), terms=terms))
-        self.send("waits", self.two, patience_s=1000.0)
-        self.wait_line(301)
-        self.two.end()
-        self.wait_gone("waits")
-
-    def test_each_tenant_has_its_turn(self) -> None:
-        self.fill()
+            own.allocator.place_online(PlaceOnline(own.name, "z", SERVICE, (), terms=terms))
+        self.send("waits", self.second_gateway, timeout_s=1000.0)
+        self.wait_until_queued(301)
+        self.second_gateway.end()
+        self.wait_until_dispatched("waits")
+
+    def test_slots_are_shared_among_tenants(self) -> None:
+        self.take_all_slots()
         for index in range(3):
-            self.send(f"big-{index}", self.one, "big")
-            self.wait_line(index + 1)
-        self.send("small", self.two, "small")
-        self.wait_line(4)
-        ends = ((self.one, "big-0"), (self.one, "small"), (self.two, "big-1"))
-        for gateway, went in ends:
+            self.send(f"big-{index}", self.first_gateway, "big")
+            self.wait_until_queued(index + 1)
+        self.send("small", self.second_gateway, "small")
+        self.wait_until_queued(4)
+        ends = (
+            (self.first_gateway, "big-0"),
+            (self.first_gateway, "small"),
+            (self.second_gateway, "big-1"),
+        )
+        for gateway, dispatched in ends:
             gateway.end()
-            self.wait_gone(went)
+            self.wait_until_dispatched(dispatched)
         self.assertNotIn("big-2", self.results)
 
-    def test_the_turn_of_a_caller_that_left_goes_to_the_next(self) -> None:
-        self.fill()
-        self.send("left", self.one)
-        self.wait_line(1)
-        self.send("next", self.two)
-        self.wait_line(2)
+    def test_the_slot_of_a_disconnected_caller_is_granted_to_the_next(self) -> None:
+        self.take_all_slots()
+        self.send("left", self.first_gateway)
+        self.wait_until_queued(1)
+        self.send("next", self.second_gateway)
+        self.wait_until_queued(2)
         self.presences["left"].leave()
         self.threads[0].join()
-        self.two.end()
-        self.wait_gone("next")
+        self.second_gateway.end()
+        self.wait_until_dispatched("next")
         self.assertNotIn("left", self.results)
 
-    def test_the_turn_of_a_gateway_that_is_gone_goes_to_the_next(self) -> None:
-        self.fill()
-        self.send("lost", self.one)
-        self.wait_line(1)
-        self.send("next", self.two)
-        self.wait_line(2)
-        self.wire.silent.add(self.one.name)
-        self.two.end()
-        self.wait_gone("next")
-
-    def test_a_turn_that_cannot_be_sent_goes_to_the_next(self) -> None:
-        self.fill()
-        self.send("lost", self.one)
-        self.wait_line(1)
-        self.send("next", self.two)
-        self.wait_line(2)
-        self.wire.broken.add(self.one.name)
-        self.two.end()
-        self.wait_gone("next")
-
-    def test_requests_decide_by_themselves_while_their_keeper_is_silent(self) -> None:
-        self.fill()
-        self.send("r", self.one)
-        self.wait_line(1)
-        self.wire.silent.add(self.keeper.name)
-        self.wire.silent.add(self.two.name)
-        self.names.remove(self.keeper.name)
-        self.wait_gone("r")
-
-    def test_who_waits_is_taken_up_by_the_next_keeper(self) -> None:
-        self.fill()
-        self.send("r", self.one)
-        self.wait_line(1)
-        self.wire.silent.add(self.keeper.name)
-        self.names.remove(self.keeper.name)
-        self.keeper = self.gateways[AllocatorChoice(self.members).allocator_of(SERVICE, 0).name]
-        # Both tell the new keeper what they have, and so learn that it keeps a line.
-        self.wait_line(1)
-        self.two.end()
-        self.wait_gone("r")
-
-    def test_nothing_waits_past_its_last_call(self) -> None:
-        self.fill()
+    def test_the_slot_of_an_unresponsive_gateway_is_granted_to_the_next(self) -> None:
+        self.take_all_slots()
+        self.send("lost", self.first_gateway)
+        self.wait_until_queued(1)
+        self.send("next", self.second_gateway)
+        self.wait_until_queued(2)
+        self.connections.unresponsive.add(self.first_gateway.name)
+        self.second_gateway.end()
+        self.wait_until_dispatched("next")
+
+    def test_the_slot_of_an_unsendable_grant_is_granted_to_the_next(self) -> None:
+        self.take_all_slots()
+        self.send("lost", self.first_gateway)
+        self.wait_until_queued(1)
+        self.send("next", self.second_gateway)
+        self.wait_until_queued(2)
+        self.connections.unsendable.add(self.first_gateway.name)
+        self.second_gateway.end()
+        self.wait_until_dispatched("next")
+
+    def test_requests_are_decided_locally_while_the_allocator_is_unresponsive(self) -> None:
+        self.take_all_slots()
+        self.send("r", self.first_gateway)
+        self.wait_until_queued(1)
+        self.connections.unresponsive.add(self.allocator.name)
+        self.connections.unresponsive.add(self.second_gateway.name)
+        self.names.remove(self.allocator.name)
+        self.wait_until_dispatched("r")
+
+    def test_queued_requests_move_to_the_next_allocator(self) -> None:
+        self.take_all_slots()
+        self.send("r", self.first_gateway)
+        self.wait_until_queued(1)
+        self.connections.unresponsive.add(self.allocator.name)
+        self.names.remove(self.allocator.name)
+        self.allocator = self.gateways[AllocatorChoice(self.members).allocator_of(SERVICE, 0).name]
+        # Both report to the new allocator, and so learn that it has a queue.
+        self.wait_until_queued(1)
+        self.second_gateway.end()
+        self.wait_until_dispatched("r")
+
+    def test_no_request_waits_past_its_dispatch_deadline(self) -> None:
+        self.take_all_slots()
         began = time.monotonic()
-        self.send("r", self.one, patience_s=2.5)
-        self.wait_gone("r")
+        self.send("r", self.first_gateway, timeout_s=2.5)
+        self.wait_until_dispatched("r")
         self.assertIsNone(self.results["r"])
         self.assertLess(time.monotonic() - began, 1.5)
 
-    def test_what_cannot_be_served_is_refused_at_once(self) -> None:
-        self.fill()
+    def test_an_infeasible_request_is_refused_immediately(self) -> None:
+        self.take_all_slots()
         for index in range(12):
-            self.send(f"r{index}", self.one)
-            self.wait_line(index + 1)
-        # Twelve before it at two slots of 0.8 s each take more than 1.5 times its patience.
-        self.send("hopeless", self.two, patience_s=2.7)
-        self.wait_gone("hopeless")
-        refusal = self.results["hopeless"]
+            self.send(f"r{index}", self.first_gateway)
+            self.wait_until_queued(index + 1)
+        # Twelve requests of 0.8 s at two slots take more than 1.5 times its remaining time.
+        self.send("infeasible", self.second_gateway, timeout_s=2.7)
+        self.wait_until_dispatched("infeasible")
+        refusal = self.results["infeasible"]
         self.assertIsInstance(refusal, CannotServeInTime)
         self.assertGreater(refusal.retry_after_s, 1.0)
-        self.assertEqual(1, self.keeper.keeper.turns.refused_early)
-
-    def test_a_gateway_that_cannot_wait_is_placed_at_once(self) -> None:
-        self.fill()
-        self.send("waits", self.one)
-        self.wait_line(1)
-        self.assertEqual("e1", self.two.router.choose(SERVICE).id)
-
-    def test_a_keeper_that_keeps_no_line_is_asked_as_before(self) -> None:
-        self.wire.old.add(self.keeper.name)
-        self.fill()
-        self.send("fresh", self.one)
-        self.wait_gone("fresh")
+        self.assertEqual(1, self.allocator.allocator.turns.refused_early)
+
+    def test_a_request_without_queue_terms_is_placed_immediately(self) -> None:
+        self.take_all_slots()
+        self.send("waits", self.first_gateway)
+        self.wait_until_queued(1)
+        self.assertEqual("e1", self.second_gateway.router.choose(SERVICE).id)
+
+    def test_an_allocator_without_a_queue_places_requests(self) -> None:
+        self.connections.old_builds.add(self.allocator.name)
+        self.take_all_slots()
+        self.send("fresh", self.first_gateway)
+        self.wait_until_dispatched("fresh")
         self.assertIsNone(self.results["fresh"])
 
-    def test_ends_are_told_at_once_before_anybody_waits(self) -> None:
-        """Else the keeper counts slots as taken that came free, and lets the first ones wait."""
-        self.one.place_alone()
-        self.assertFalse(self.one.notices._ends_matter)
-        self.two.place_alone()
-        self.wait_for(lambda: self.two.notices._ends_matter, "the second knows of free slots")
-        self.wait_for(lambda: self.one.notices._ends_matter, "the first heard nothing")
-        self.two.end()
-        self.one.end()
-        self.wait_for(lambda: not self.two.notices._ends_matter, "it still tells at once")
-
-    def test_of_two_keepers_turns_one_is_taken(self) -> None:
-        self.fill()
-        self.send("r", self.one)
-        self.wait_line(1)
-        (ticket,) = self.one.queue._held_by_ticket
-        turn = OnlineGrant(ticket, "e1")
-        self.assertEqual((ticket,), self.one.notices.accept_grants([turn]))
-        self.assertEqual((), self.one.notices.accept_grants([turn]))
-        self.wait_gone("r")
-        self.assertEqual(0, self.one.notices._placed["e1"])
-        self.assertEqual(2, self.one.notices._in_flight["e1"])
-
-    def test_a_turn_that_comes_after_its_request_went_is_not_taken(self) -> None:
-        """The keeper took the request into its line, and its word of that was lost."""
-        self.one.place_alone()
+    def test_ends_are_reported_immediately_in_a_nearly_full_pool(self) -> None:
+        """Otherwise the allocator counts released slots as used, and queues requests needlessly."""
+        self.first_gateway.place_at_once()
+        self.assertFalse(self.first_gateway.reporter._reports_ends_at_once)
+        self.second_gateway.place_at_once()
+        self.wait_for(
+            lambda: self.second_gateway.reporter._reports_ends_at_once,
+            "the second gateway still delays ends",
+        )
+        self.wait_for(
+            lambda: self.first_gateway.reporter._reports_ends_at_once,
+            "the first gateway still delays ends",
+        )
+        self.second_gateway.end()
+        self.first_gateway.end()
+        self.wait_for(
+            lambda: not self.second_gateway.reporter._reports_ends_at_once,
+            "ends are still reported at once",
+        )
+
+    def test_only_one_of_two_grants_for_a_request_is_accepted(self) -> None:
+        self.take_all_slots()
+        self.send("r", self.first_gateway)
+        self.wait_until_queued(1)
+        (ticket,) = self.first_gateway.queue._held_by_ticket
+        grant = OnlineGrant(ticket, "e1")
+        self.assertEqual((ticket,), self.first_gateway.reporter.accept_grants([grant]))
+        self.assertEqual((), self.first_gateway.reporter.accept_grants([grant]))
+        self.wait_until_dispatched("r")
+        self.assertEqual(0, self.first_gateway.reporter._placed["e1"])
+        self.assertEqual(2, self.first_gateway.reporter._in_flight["e1"])
+
+    def test_a_grant_for_a_dispatched_request_is_not_accepted(self) -> None:
+        """The allocator queued the request, but its answer was lost."""
+        self.first_gateway.place_at_once()
         late: list[str] = []
-        ask = self.one.queue._ask
+        request_slot = self.first_gateway.queue._ask
 
         def lose_answer(service, request, terms):
-            ask(service, request, terms)
+            request_slot(service, request, terms)
             late.append(terms.ticket)
 
-        self.two.place_alone()
-        with mock.patch.object(self.one.queue, "_ask", lose_answer):
-            self.one.queue._may_go = lambda *_: True
-            self.send("r", self.one)
-            self.wait_gone("r")
+        self.second_gateway.place_at_once()
+        with mock.patch.object(self.first_gateway.queue, "_ask", lose_answer):
+            self.first_gateway.queue._may_go = lambda *_: True
+            self.send("r", self.first_gateway)
+            self.wait_until_dispatched("r")
         self.assertIsNone(self.results["r"])
-        self.assertEqual((), self.one.notices.accept_grants([OnlineGrant(late[0], "e1")]))
+        self.assertEqual(
+            (), self.first_gateway.reporter.accept_grants([OnlineGrant(late[0], "e1")])
+        )
 
-    def test_a_place_that_is_given_back_is_free_for_the_next(self) -> None:
-        self.one.place_alone()
-        self.two.place_alone()
-        self.two.end()
-        self.send("r", self.one)
-        self.wait_gone("r")
-        self.send("waits", self.two)
-        self.wait_line(1)
-        self.one.end()
-        self.wait_gone("waits")
+    def test_a_released_slot_is_granted_to_the_next(self) -> None:
+        self.first_gateway.place_at_once()
+        self.second_gateway.place_at_once()
+        self.second_gateway.end()
+        self.send("r", self.first_gateway)
+        self.wait_until_dispatched("r")
+        self.send("waits", self.second_gateway)
+        self.wait_until_queued(1)
+        self.first_gateway.end()
+        self.wait_until_dispatched("waits")
 
 
 class ForwardingTest(unittest.TestCase):
-    """What becomes of a request whose turn did not lead to an attempt."""
+    """Requests that were granted a slot or refused, but are not sent to a replica."""
 
     def setUp(self) -> None:
-        self.turns = mock.Mock()
+        self.queue = mock.Mock()
         self.router = mock.Mock()
         self.presence = CallerPresence()
-        self.request = ForwardedRequest("r", "POST", "/x", (), b"", Deadline.after(PATIENCE_S))
+        self.request = ForwardedRequest("r", "POST", "/x", (), b"", Deadline.after(TIMEOUT_S))
 
     def forward(self, key_change=lambda: None):
         forwarder = Forwarder(
-            self.router, mock.Mock(), mock.Mock(), mock.Mock(), self.turns, NoGuard()
+            self.router, mock.Mock(), mock.Mock(), mock.Mock(), self.queue, NoGuard()
         )
         answer = mock.Mock(started=False)
         return forwarder.forward(self.request, ROUTE, answer, self.presence, key_change)
 
-    def test_what_cannot_be_served_was_not_run(self) -> None:
-        self.turns.wait_for_slot.return_value = CannotServeInTime("too many", 3.21)
+    def test_an_infeasible_request_is_refused_with_retry_after(self) -> None:
+        self.queue.wait_for_slot.return_value = CannotServeInTime("too many", 3.21)
         refusal = forwarding_refusal(self.forward())
         self.assertEqual((503, 3.2), (refusal.status, refusal.retry_after_s))
         self.router.choose.assert_not_called()
 
-    def test_the_place_of_a_caller_that_left_is_given_back(self) -> None:
+    def test_the_slot_of_a_caller_that_disconnects_is_released(self) -> None:
         place = mock.Mock()
 
         def leave(*_):
             self.presence.leave()
             return place
 
-        self.turns.wait_for_slot.side_effect = leave
+        self.queue.wait_for_slot.side_effect = leave
         self.assertIsInstance(self.forward(), CallerLeft)
-        self.turns.give_back.assert_called_once_with(place)
+        self.queue.give_back.assert_called_once_with(place)
 
-    def test_the_place_of_a_key_that_was_taken_away_is_given_back(self) -> None:
-        place = self.turns.wait_for_slot.return_value
+    def test_the_slot_of_a_revoked_key_is_released(self) -> None:
+        place = self.queue.wait_for_slot.return_value
         changes = iter((None, KeyChanged(taken_away=True)))
         self.assertIsInstance(self.forward(lambda: next(changes)), KeyChanged)
-        self.turns.give_back.assert_called_once_with(place)
+        self.queue.give_back.assert_called_once_with(place)
 
 
 class MixedBuildsTest(unittest.TestCase):
-    """Messages of builds that know no line."""
+    """Compatibility with builds without a queue."""
 
-    def test_old_words_are_read(self) -> None:
-        old = b'{"kind":"PlaceOnline","gateway":"g","zone":"z","service":"s","in_flight":[]}'
-        self.assertIsNone(msgspec.json.decode(old, type=PlaceOnline).terms)
+    def test_messages_of_older_builds_are_read(self) -> None:
+        old_builds = b'{"kind":"PlaceOnline","gateway":"g","zone":"z","service":"s","in_flight":[]}'
+        self.assertIsNone(msgspec.json.decode(old_builds, type=PlaceOnline).terms)
 
-    def test_turns_survive_the_wire(self) -> None:
+    def test_messages_survive_encoding(self) -> None:
         for message in (OnlineGrants(()), GrantsAccepted(("t",)), OnlineInFlight("g", "s", ())):
-            line = msgspec.json.encode(message)
-            self.assertEqual(message, msgspec.json.decode(line, type=type(message)))
+            encoded = msgspec.json.encode(message)
+            self.assertEqual(message, msgspec.json.decode(encoded, type=type(message)))
 
 
 if __name__ == "__main__":
--- a/tests/test_item_run.py
+++ b/tests/test_item_run.py
@@ -1,4 +1,4 @@
-"""One run of a batch item: who is to blame when no whole answer comes."""
+"""One run of a batch item: whether an incomplete answer counts as a failure of the replica."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
 )
 HALF_AN_EVENT = HEAD_ONLY + b"8\r\nid: 1\nda\r\n"
 JOIN_TIMEOUT_S = 10.0
-LONGEST_SILENCE_S = 18.0 / 6
-"""A sixth of the 18 s in which a job is due: an item of five seconds that meets two such$
-replicas is still in time."""
+MAX_SILENCE_S = 18.0 / 6
+"""A sixth of the 18 s in which a job is due, so that an item of five seconds can lose this time at
+two replicas and still finish in time."""
 
 
 class ItemRunTest(unittest.TestCase):
-    """A replica that says only so much, and then nothing or the end of the connection."""
+    """A replica that sends part of an answer, then nothing more or the end of the connection."""
 
     def setUp(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
@@ -49,14 +49,14 @@
         self.outcomes: list[object] = []
 
     def run_until_answered(self, answer: bytes) -> tuple[threading.Thread, socket.socket]:
-        """Start the run, and return once the replica has the request and has said its part."""
+        """Start a run, and return after the replica has received the request and sent a part."""
         thread = threading.Thread(target=self._run, daemon=True)
         thread.start()
         connection, _ = self.listener.accept()
         self.addCleanup(connection.close)
         connection.recv(4096)
         connection.sendall(answer)
-        wait_until(lambda: self.item.cancel is not None, "the item can be cut")
+        wait_until(lambda: self.item.cancel is not None, "the item can be cancelled")
         return thread, connection
 
     def _run(self) -> None:
@@ -71,19 +71,19 @@
         return outcome
 
     @params(NO_HEAD, HEAD_ONLY, HALF_AN_EVENT)
-    def test_an_item_that_gives_way_blames_no_replica(self, answer: bytes) -> None:
+    def test_a_preempted_item_does_not_blame_the_replica(self, answer: bytes) -> None:
         thread, _ = self.run_until_answered(answer)
         self.item.giving_way = True
         self.item.cancel()
         self.assertFalse(self.outcome_of(thread).blames_replica)
 
     @params(NO_HEAD, HEAD_ONLY, HALF_AN_EVENT)
-    def test_a_replica_that_breaks_off_is_blamed(self, answer: bytes) -> None:
+    def test_a_replica_that_closes_the_connection_is_blamed(self, answer: bytes) -> None:
         thread, connection = self.run_until_answered(answer)
         connection.close()
         self.assertTrue(self.outcome_of(thread).blames_replica)
 
-    def test_an_item_leaves_a_zone_that_cannot_be_reached_at_once(self) -> None:
+    def test_an_item_in_an_unreachable_zone_is_given_up_immediately(self) -> None:
         thread, _ = self.run_until_answered(NO_HEAD)
         began = boot_clock.now()
         with mock.patch.object(Replica, "unreachable", True):
@@ -91,10 +91,10 @@
         self.assertLess(boot_clock.now() - began, SILENCE_PATIENCE_S)
 
     @params(NO_HEAD, HEAD_ONLY, HALF_AN_EVENT)
-    def test_an_item_leaves_a_replica_that_says_nothing_more(self, answer: bytes) -> None:
+    def test_an_item_at_an_unresponsive_replica_is_given_up(self, answer: bytes) -> None:
         began = boot_clock.now()
         thread, connection = self.run_until_answered(answer)
         outcome = self.outcome_of(thread)
-        self.assertLess(boot_clock.now() - began, LONGEST_SILENCE_S)
+        self.assertLess(boot_clock.now() - began, MAX_SILENCE_S)
         self.assertTrue(outcome.blames_replica)
-        self.assertEqual(b"", connection.recv(1), "the replica sees that the item has left")
+        self.assertEqual(b"", connection.recv(1), "the connection to the replica was not closed")
--- a/tests/test_slot_allocator.py
+++ b/tests/test_slot_allocator.py
@@ -1,4 +1,4 @@
-"""Room for batch items: how one gateway shares the engines' slots among coordinators."""
+"""Slot allocation for batch items and the placement of online requests by one gateway."""
 
 from __future__ import annotations
 
@@ -44,38 +44,38 @@
     WAKE_INTERVAL_S,
     SlotAllocator,
 )
-from quaymill.process.jobs.slot_claims import AVOID_KEEPER_S, AllocatorChoice, SlotClaims
+from quaymill.process.jobs.slot_claims import AVOID_ALLOCATOR_S, AllocatorChoice, SlotClaims
 from quaymill.process.membership.ranking import strongest
 from quaymill.process.replica_set.router import PlacementConstraints
 from quaymill.process.replica_set.table import ReplicaTable
 from quaymill.version.request_routes import RequestRoute, RouteKind, WeightedService
 
 SERVICE = "engine"
-NO_WISHES = PlacementConstraints(frozenset(), {})
+NO_CONSTRAINTS = PlacementConstraints(frozenset(), {})
 EVERY_ITEM = WantedItems(reserve_share=0.0, items=100, tokens=10)
 
 
 class FixedLoads:
-    """Engines with as many free slots as a test says, less what was started."""
+    """Engine loads with free slots set by a test, reduced by each started item."""
 
     def __init__(self, **free_by_replica: int) -> None:
         self.free_by_replica = Counter(free_by_replica)
         self.excess_by_replica: Counter[str] = Counter()
         self.wanted: frozenset[str] = frozenset()
 
-    def want(self, replicas):
+    def poll_only(self, replicas):
         self.wanted = frozenset(replica.entry.service for replica in replicas)
 
-    def room(self, replica, tokens):
+    def startable_items(self, replica, tokens):
         return max(0, self.free_by_replica[replica.id])
 
     def excess(self, replica):
         return self.excess_by_replica[replica.id]
 
-    def started(self, replica, tokens):
+    def record_start(self, replica, tokens):
         self.free_by_replica[replica.id] -= 1
 
-    def gave_way(self, replica):
+    def record_preemption(self, replica):
         self.excess_by_replica[replica.id] = 0
 
 
@@ -88,8 +88,8 @@
     return {at.replica_id: at.items for at in granted_at}
 
 
-class KeeperCase(unittest.TestCase):
-    """Time is the test's own; slots are enough for every count, unless a test says otherwise."""
+class AllocatorCase(unittest.TestCase):
+    """Base of tests with a simulated clock and engines with many slots."""
 
     slots = 64
 
@@ -99,7 +99,7 @@
         patch.start()
         self.addCleanup(patch.stop)
 
-    def keeper(self, **free_by_replica: int) -> SlotAllocator:
+    def allocator(self, **free_by_replica: int) -> SlotAllocator:
         self.lost_zones: set[str] = set()
         table = ReplicaTable(is_unreachable=self.lost_zones.__contains__)
         entries = [
@@ -112,133 +112,133 @@
         return SlotAllocator(table, self.loads)
 
 
-class RoomKeeperTest(KeeperCase):
+class SlotAllocatorTest(AllocatorCase):
     """Claims of coordinators."""
 
-    def test_alone_a_coordinator_gets_all_that_is_free(self) -> None:
-        granted = self.keeper(x1=3, y1=2).claim(claim("a", EVERY_ITEM))
+    def test_single_coordinator_is_granted_all_free_slots(self) -> None:
+        granted = self.allocator(x1=3, y1=2).claim(claim("a", EVERY_ITEM))
         self.assertEqual({"x1": 3, "y1": 2}, items(granted.starts))
 
-    def test_no_more_is_granted_than_is_wanted(self) -> None:
-        granted = self.keeper(x1=3).claim(claim("a", WantedItems(0.0, 2, 10)))
+    def test_no_more_is_granted_than_wanted(self) -> None:
+        granted = self.allocator(x1=3).claim(claim("a", WantedItems(0.0, 2, 10)))
         self.assertEqual({"x1": 2}, items(granted.starts))
 
-    def test_what_is_free_is_shared_among_those_that_wait(self) -> None:
-        keeper = self.keeper(x1=0)
+    def test_free_slots_are_shared_among_waiting_coordinators(self) -> None:
+        allocator = self.allocator(x1=0)
         for name in ("a", "b", "c"):
-            keeper.claim(claim(name, EVERY_ITEM))
+            allocator.claim(claim(name, EVERY_ITEM))
         self.loads.free_by_replica["x1"] = 9
-        granted = [keeper.claim(claim(name, EVERY_ITEM)) for name in ("a", "b", "c")]
-        # A third of nine, then a third of six, then of four: no one is left without.
+        granted = [allocator.claim(claim(name, EVERY_ITEM)) for name in ("a", "b", "c")]
+        # A third of nine, of six and of four free slots, rounded up.
         self.assertEqual([3, 2, 2], [items(one.starts)["x1"] for one in granted])
 
-    def test_coordinators_that_claim_no_more_get_no_part(self) -> None:
-        keeper = self.keeper(x1=0)
-        keeper.claim(claim("a", EVERY_ITEM))
-        keeper.claim(claim("b", EVERY_ITEM))
+    def test_coordinators_that_stopped_claiming_get_no_share(self) -> None:
+        allocator = self.allocator(x1=0)
+        allocator.claim(claim("a", EVERY_ITEM))
+        allocator.claim(claim("b", EVERY_ITEM))
         self.now += CLAIM_LIFETIME_S
         self.loads.free_by_replica["x1"] = 4
-        self.assertEqual({"x1": 4}, items(keeper.claim(claim("b", EVERY_ITEM)).starts))
+        self.assertEqual({"x1": 4}, items(allocator.claim(claim("b", EVERY_ITEM)).starts))
 
-    def test_engines_are_polled_only_while_someone_claims(self) -> None:
-        keeper = self.keeper(x1=0)
-        keeper.claim(claim("a", EVERY_ITEM))
-        keeper.claim(claim("b", EVERY_ITEM, service="other"))
+    def test_engines_are_polled_only_while_there_are_claims(self) -> None:
+        allocator = self.allocator(x1=0)
+        allocator.claim(claim("a", EVERY_ITEM))
+        allocator.claim(claim("b", EVERY_ITEM, service="other"))
         self.assertEqual({SERVICE, "other"}, self.loads.wanted)
         self.now += CLAIM_LIFETIME_S
-        keeper.claim(claim("b", EVERY_ITEM, service="other"))
+        allocator.claim(claim("b", EVERY_ITEM, service="other"))
         self.assertEqual({"other"}, self.loads.wanted)
 
-    def test_excess_is_owed_by_those_with_most_items_there_and_only_once(self) -> None:
-        keeper = self.keeper(x1=0)
-        keeper.claim(claim("a", running=[("x1", 5)]))
-        keeper.claim(claim("b", running=[("x1", 2)]))
+    def test_reported_excess_is_preempted_once_per_coordinator(self) -> None:
+        allocator = self.allocator(x1=0)
+        allocator.claim(claim("a", running=[("x1", 5)]))
+        allocator.claim(claim("b", running=[("x1", 2)]))
         self.loads.excess_by_replica["x1"] = 6
-        granted = keeper.claim(claim("b", running=[("x1", 2)]))
+        granted = allocator.claim(claim("b", running=[("x1", 2)]))
         self.assertEqual({"x1": 1}, items(granted.preempt))
-        granted = keeper.claim(claim("a", running=[("x1", 5)]))
+        granted = allocator.claim(claim("a", running=[("x1", 5)]))
         self.assertEqual({"x1": 5}, items(granted.preempt))
-        self.assertEqual({}, items(keeper.claim(claim("a", running=[("x1", 5)])).preempt))
+        self.assertEqual({}, items(allocator.claim(claim("a", running=[("x1", 5)])).preempt))
 
-    def test_replicas_of_the_zone_come_first_among_those_as_free(self) -> None:
-        granted = self.keeper(x1=2, y1=2).claim(claim("a", WantedItems(0.0, 1, 10), zone="y"))
+    def test_own_zone_is_preferred_among_equally_free_replicas(self) -> None:
+        granted = self.allocator(x1=2, y1=2).claim(claim("a", WantedItems(0.0, 1, 10), zone="y"))
         self.assertEqual({"y1": 1}, items(granted.starts))
 
-    def test_replica_that_fails_for_a_coordinator_is_not_granted_to_it(self) -> None:
-        keeper = self.keeper(x1=5, y1=2)
-        granted = keeper.claim(claim("a", EVERY_ITEM, avoided=("x1",)))
+    def test_replica_that_fails_for_a_coordinator_is_not_granted(self) -> None:
+        allocator = self.allocator(x1=5, y1=2)
+        granted = allocator.claim(claim("a", EVERY_ITEM, avoided=("x1",)))
         self.assertEqual({"y1": 2}, items(granted.starts))
-        granted = keeper.claim(claim("a", EVERY_ITEM))
+        granted = allocator.claim(claim("a", EVERY_ITEM))
         self.assertEqual({"x1": 5}, items(granted.starts))
 
 
-class OnlineTest(KeeperCase):
-    """Online requests that gateways tell of before the engines do."""
+class OnlineLoadTest(AllocatorCase):
+    """Online requests that gateways report, and preemptions for them."""
 
     slots = 8
 
     def setUp(self) -> None:
         super().setUp()
-        self.orders: list[tuple[str, dict[str, int]]] = []
-
-    def keeper(self, **free_by_replica: int) -> SlotAllocator:
-        keeper = super().keeper(**free_by_replica)
-        keeper._order_back = lambda name, at: self.orders.append((name, items(at)))
-        return keeper
-
-    def tell(self, keeper: SlotAllocator, gateway: str, **in_flight: int) -> PoolLoads:
-        told = tuple(ItemsAt(*one) for one in in_flight.items())
-        return keeper.record_online(OnlineInFlight(gateway, SERVICE, told))
-
-    def test_excess_is_owed_by_those_with_most_items_there_and_only_once(self) -> None:
-        keeper = self.keeper(x1=0)
-        keeper.claim(claim("a", running=[("x1", 5)]))
-        keeper.claim(claim("b", running=[("x1", 2)]))
-        self.tell(keeper, "g", x1=7)
-        self.assertEqual([("a", {"x1": 5}), ("b", {"x1": 1})], self.orders)
-        self.tell(keeper, "g", x1=7)
-        self.assertEqual(2, len(self.orders))
-
-    def test_nothing_is_placed_in_a_zone_that_is_not_reached(self) -> None:
-        keeper = self.keeper(x1=0, y1=0)
-        self.tell(keeper, "h", x1=5)
-        self.assertEqual("y1", self.place(keeper, "g", in_flight=()).replica_id)
+        self.preemptions: list[tuple[str, dict[str, int]]] = []
+
+    def allocator(self, **free_by_replica: int) -> SlotAllocator:
+        allocator = super().allocator(**free_by_replica)
+        allocator._preempt_items = lambda name, at: self.preemptions.append((name, items(at)))
+        return allocator
+
+    def report(self, allocator: SlotAllocator, gateway: str, **in_flight: int) -> PoolLoads:
+        in_flight_items = tuple(ItemsAt(*one) for one in in_flight.items())
+        return allocator.record_online(OnlineInFlight(gateway, SERVICE, in_flight_items))
+
+    def test_excess_of_online_requests_is_preempted_once(self) -> None:
+        allocator = self.allocator(x1=0)
+        allocator.claim(claim("a", running=[("x1", 5)]))
+        allocator.claim(claim("b", running=[("x1", 2)]))
+        self.report(allocator, "g", x1=7)
+        self.assertEqual([("a", {"x1": 5}), ("b", {"x1": 1})], self.preemptions)
+        self.report(allocator, "g", x1=7)
+        self.assertEqual(2, len(self.preemptions))
+
+    def test_unreachable_zone_is_used_only_as_a_last_resort(self) -> None:
+        allocator = self.allocator(x1=0, y1=0)
+        self.report(allocator, "h", x1=5)
+        self.assertEqual("y1", self.place(allocator, "g", in_flight=()).replica_id)
         self.lost_zones.add("y")
-        self.assertEqual("x1", self.place(keeper, "g", in_flight=()).replica_id)
-        placed = self.place(keeper, "g", in_flight=(), excluded=("x1",))
+        self.assertEqual("x1", self.place(allocator, "g", in_flight=()).replica_id)
+        placed = self.place(allocator, "g", in_flight=(), excluded=("x1",))
         self.assertEqual("y1", placed.replica_id)
 
-    def test_only_what_is_new_makes_items_give_way(self) -> None:
-        keeper = self.keeper(x1=0)
-        keeper.claim(claim("a", running=[("x1", 5)]))
-        self.tell(keeper, "g", x1=3)
-        self.assertEqual([], self.orders)
-        self.tell(keeper, "h", x1=1)
-        self.tell(keeper, "g", x1=5)
-        self.assertEqual([("a", {"x1": 1}), ("a", {"x1": 2})], self.orders)
-
-    def test_answer_tells_what_all_have_at_each_replica(self) -> None:
-        keeper = self.keeper(x1=0, y1=0)
-        keeper.claim(claim("a", running=[("y1", 2)]))
-        self.tell(keeper, "g", x1=3)
-        loads = {one.replica_id: one for one in self.tell(keeper, "h", x1=1).loads}
+    def test_only_additional_requests_preempt_items(self) -> None:
+        allocator = self.allocator(x1=0)
+        allocator.claim(claim("a", running=[("x1", 5)]))
+        self.report(allocator, "g", x1=3)
+        self.assertEqual([], self.preemptions)
+        self.report(allocator, "h", x1=1)
+        self.report(allocator, "g", x1=5)
+        self.assertEqual([("a", {"x1": 1}), ("a", {"x1": 2})], self.preemptions)
+
+    def test_answer_contains_the_loads_of_all_gateways(self) -> None:
+        allocator = self.allocator(x1=0, y1=0)
+        allocator.claim(claim("a", running=[("y1", 2)]))
+        self.report(allocator, "g", x1=3)
+        loads = {one.replica_id: one for one in self.report(allocator, "h", x1=1).loads}
         self.assertEqual((4, 0), (loads["x1"].online, loads["x1"].batch))
         self.assertEqual((0, 2), (loads["y1"].online, loads["y1"].batch))
 
-    def place(self, keeper: SlotAllocator, gateway: str, **fields) -> OnlinePlaced:
-        return keeper.place_online(PlaceOnline(gateway, "x", SERVICE, **fields))
+    def place(self, allocator: SlotAllocator, gateway: str, **fields) -> OnlinePlaced:
+        return allocator.place_online(PlaceOnline(gateway, "x", SERVICE, **fields))
 
     def test_requests_of_many_gateways_are_placed_evenly(self) -> None:
-        keeper = self.keeper(x1=0, x2=0, x3=0)
-        placed = Counter(self.place(keeper, f"g{n}", in_flight=()).replica_id for n in range(9))
+        allocator = self.allocator(x1=0, x2=0, x3=0)
+        placed = Counter(self.place(allocator, f"g{n}", in_flight=()).replica_id for n in range(9))
         self.assertEqual({"x1": 3, "x2": 3, "x3": 3}, placed)
 
-    def test_a_placed_request_counts_until_its_gateway_tells_again(self) -> None:
-        keeper = self.keeper(x1=0)
-        placed = self.place(keeper, "g", in_flight=(ItemsAt("x1", 2),))
+    def test_a_placed_request_counts_until_the_next_load_report(self) -> None:
+        allocator = self.allocator(x1=0)
+        placed = self.place(allocator, "g", in_flight=(ItemsAt("x1", 2),))
         self.assertEqual([3], [one.online for one in placed.loads])
-        self.assertEqual([3], [one.online for one in self.tell(keeper, "h").loads])
-        self.assertEqual([1], [one.online for one in self.tell(keeper, "g", x1=1).loads])
+        self.assertEqual([3], [one.online for one in self.report(allocator, "h").loads])
+        self.assertEqual([1], [one.online for one in self.report(allocator, "g", x1=1).loads])
 
     @params(
         ("less busy", {"in_flight": (ItemsAt("x1", 1),)}, "x2"),
@@ -250,168 +250,174 @@
         ("has failed", {"in_flight": (), "offsets": (LoadOffset("x1", 1.0),)}, "x2"),
         ("all tried", {"in_flight": (), "excluded": ("x1", "x2", "y1")}, ""),
     )
-    def test_where_a_request_is_placed(self, _name, fields, expected) -> None:
-        placed = self.place(self.keeper(x1=0, x2=0, y1=0), "g", **fields)
+    def test_placement(self, _name, fields, expected) -> None:
+        placed = self.place(self.allocator(x1=0, x2=0, y1=0), "g", **fields)
         self.assertIn(placed.replica_id, expected.split() or [""])
 
-    def test_batch_items_give_way_to_a_placed_request(self) -> None:
-        keeper = self.keeper(x1=0)
-        keeper.claim(claim("a", running=[("x1", 7)]))
-        self.place(keeper, "g", in_flight=(ItemsAt("x1", 1),))
-        self.assertEqual([("a", {"x1": 1})], self.orders)
+    def test_a_placed_request_preempts_batch_items(self) -> None:
+        allocator = self.allocator(x1=0)
+        allocator.claim(claim("a", running=[("x1", 7)]))
+        self.place(allocator, "g", in_flight=(ItemsAt("x1", 1),))
+        self.assertEqual([("a", {"x1": 1})], self.preemptions)
 
-    def test_word_of_a_gateway_that_is_gone_lapses(self) -> None:
-        keeper = self.keeper(x1=0)
-        self.tell(keeper, "g", x1=3)
+    def test_load_report_of_a_lost_gateway_expires(self) -> None:
+        allocator = self.allocator(x1=0)
+        self.report(allocator, "g", x1=3)
         self.now += ONLINE_LIFETIME_S + 0.1
-        self.assertEqual([0], [one.online for one in self.tell(keeper, "h").loads])
+        self.assertEqual([0], [one.online for one in self.report(allocator, "h").loads])
 
-    def test_online_requests_take_room_before_the_engine_tells(self) -> None:
-        keeper = self.keeper(x1=8)
-        keeper.claim(claim("a"))
-        self.tell(keeper, "g", x1=4)
-        # Eight slots, four of them taken, and one that is left to online requests.
-        self.assertEqual({"x1": 3}, items(keeper.claim(claim("a", EVERY_ITEM)).starts))
+    def test_reported_online_requests_reduce_the_slots_for_items(self) -> None:
+        allocator = self.allocator(x1=8)
+        allocator.claim(claim("a"))
+        self.report(allocator, "g", x1=4)
+        # Of eight slots, four are in use and one is reserved for online requests.
+        self.assertEqual({"x1": 3}, items(allocator.claim(claim("a", EVERY_ITEM)).starts))
 
 
-class NoticesTest(KeeperCase):
-    """What a gateway tells of its own requests; it keeps room itself here."""
+class OnlineReporterTest(AllocatorCase):
+    """Load reports of a gateway that is also the allocator."""
 
     def setUp(self) -> None:
         super().setUp()
-        self.room = self.keeper(x1=0, y1=0)
+        self.own_allocator = self.allocator(x1=0, y1=0)
         self.batch_services = {SERVICE}
         own = member("me", 1)
-        self.notices = OnlineReporter(
+        self.reporter = OnlineReporter(
             "me",
             "x",
-            self.room._table,
-            self.room,
+            self.own_allocator._table,
+            self.own_allocator,
             mock.Mock(),
             lambda: (own,),
             lambda: self.batch_services,
         )
 
-    def tell(self) -> dict[str, int]:
-        due = self.notices._due()
+    def report(self) -> dict[str, int]:
+        due = self.reporter._take_due()
         if due is not None:
-            self.notices._tell(due)
-        return self.room._counts(pools_of(SERVICE, self.room._table)[0]).online_of("me")
-
-    def test_requests_in_flight_are_told_and_their_end_once(self) -> None:
-        replica = self.room._table.get("x1")
-        self.notices.began(replica)
-        self.notices.began(replica)
-        self.assertEqual({"x1": 2}, self.tell())
+            self.reporter._report(due)
+        return self.own_allocator._counts(
+            pools_of(SERVICE, self.own_allocator._table)[0]
+        ).online_of("me")
+
+    def test_requests_in_flight_and_their_ends_are_reported(self) -> None:
+        replica = self.own_allocator._table.get("x1")
+        self.reporter.began(replica)
+        self.reporter.began(replica)
+        self.assertEqual({"x1": 2}, self.report())
         self.assertTrue(replica.has_pool_view)
-        self.notices.ended(replica)
-        self.assertEqual({"x1": 1}, self.tell())
-        self.notices.ended(replica)
-        self.assertEqual({}, self.tell())
-        self.assertIsNone(self.notices._due())
-
-    def test_a_placed_request_is_told_with_the_next_notice_only(self) -> None:
-        first = self.room._table.get("x1")
-        chosen = self.notices.place(first, NO_WISHES)
-        self.notices.began(chosen)
-        self.assertFalse(self.notices._news.is_set())
-        self.assertEqual({chosen.id: 1}, self.tell())
-        self.notices.began(chosen)
-        self.assertTrue(self.notices._news.is_set())
-
-    def test_the_end_of_a_placed_request_is_told(self) -> None:
-        """Else the keeper counts it until its gateway's word lapses, and keeps the slot free."""
-        chosen = self.notices.place(self.room._table.get("x1"), NO_WISHES)
-        self.notices.began(chosen)
-        self.notices.ended(chosen)
-        self.assertEqual({}, self.tell())
-
-    def test_a_place_that_cannot_be_used_is_taken_back(self) -> None:
-        with mock.patch.object(self.room._table, "get", return_value=None):
-            self.assertIsNone(self.notices.place(self.room._table.replicas()[0], NO_WISHES))
-        self.assertEqual({}, self.tell())
-
-    def test_no_place_is_asked_for_where_there_is_no_batch_work(self) -> None:
+        self.reporter.ended(replica)
+        self.assertEqual({"x1": 1}, self.report())
+        self.reporter.ended(replica)
+        self.assertEqual({}, self.report())
+        self.assertIsNone(self.reporter._take_due())
+
+    def test_a_placed_request_needs_no_immediate_report(self) -> None:
+        first = self.own_allocator._table.get("x1")
+        chosen = self.reporter.place(first, NO_CONSTRAINTS)
+        self.reporter.began(chosen)
+        self.assertFalse(self.reporter._report_now.is_set())
+        self.assertEqual({chosen.id: 1}, self.report())
+        self.reporter.began(chosen)
+        self.assertTrue(self.reporter._report_now.is_set())
+
+    def test_the_end_of_a_placed_request_is_reported(self) -> None:
+        """Otherwise the allocator counts it until the gateway's load report expires."""
+        chosen = self.reporter.place(self.own_allocator._table.get("x1"), NO_CONSTRAINTS)
+        self.reporter.began(chosen)
+        self.reporter.ended(chosen)
+        self.assertEqual({}, self.report())
+
+    def test_a_placement_that_cannot_be_used_is_not_counted(self) -> None:
+        with mock.patch.object(self.own_allocator._table, "get", return_value=None):
+            self.assertIsNone(
+                self.reporter.place(self.own_allocator._table.replicas()[0], NO_CONSTRAINTS)
+            )
+        self.assertEqual({}, self.report())
+
+    def test_services_without_batch_routes_are_not_placed_by_the_allocator(self) -> None:
         self.batch_services.clear()
-        self.assertIsNone(self.notices.place(self.room._table.get("x1"), NO_WISHES))
+        self.assertIsNone(self.reporter.place(self.own_allocator._table.get("x1"), NO_CONSTRAINTS))
 
-    def test_a_keeper_that_is_silent_is_not_asked_again_at_once(self) -> None:
+    def test_an_unresponsive_allocator_is_not_asked_again_immediately(self) -> None:
         other = member("other", 2)
-        self.notices._keepers = AllocatorChoice(lambda: (other,))
-        self.notices._client.call.return_value = PeerNoReply(other.peer, "silent")
+        self.reporter._allocator_choice = AllocatorChoice(lambda: (other,))
+        self.reporter._client.call.return_value = PeerNoReply(other.peer, "unresponsive")
         for _ in range(2):
-            self.assertIsNone(self.notices.place(self.room._table.get("x1"), NO_WISHES))
-        self.assertEqual(1, self.notices._client.call.call_count)
+            self.assertIsNone(
+                self.reporter.place(self.own_allocator._table.get("x1"), NO_CONSTRAINTS)
+            )
+        self.assertEqual(1, self.reporter._client.call.call_count)
         self.now += PLACE_PAUSE_S
-        self.assertIsNone(self.notices.place(self.room._table.get("x1"), NO_WISHES))
-        self.assertEqual(2, self.notices._client.call.call_count)
+        self.assertIsNone(self.reporter.place(self.own_allocator._table.get("x1"), NO_CONSTRAINTS))
+        self.assertEqual(2, self.reporter._client.call.call_count)
 
-    def test_a_service_that_loses_its_batch_routes_leaves_no_count_behind(self) -> None:
-        replica = self.room._table.get("x1")
-        self.notices.began(replica)
-        self.tell()
+    def test_a_service_that_loses_its_batch_routes_keeps_no_count(self) -> None:
+        replica = self.own_allocator._table.get("x1")
+        self.reporter.began(replica)
+        self.report()
         self.batch_services.clear()
-        self.notices.ended(replica)
+        self.reporter.ended(replica)
         self.batch_services.add(SERVICE)
-        self.assertEqual({}, self.tell())
+        self.assertEqual({}, self.report())
 
 
-class UrgencyTest(KeeperCase):
-    """What is due first goes first, whoever coordinates it."""
+class UrgencyTest(AllocatorCase):
+    """Items are ordered by due time across coordinators."""
 
     slots = 8
 
     def setUp(self) -> None:
         super().setUp()
-        self.woken: list[str] = []
-        self.orders: list[tuple[str, dict[str, int]]] = []
+        self.notified: list[str] = []
+        self.preemptions: list[tuple[str, dict[str, int]]] = []
 
-    def keeper(self, **free_by_replica: int) -> SlotAllocator:
-        keeper = super().keeper(**free_by_replica)
-        keeper._wake = self.woken.append
-        keeper._order_back = lambda name, at: self.orders.append((name, items(at)))
-        return keeper
+    def allocator(self, **free_by_replica: int) -> SlotAllocator:
+        allocator = super().allocator(**free_by_replica)
+        allocator._wake = self.notified.append
+        allocator._preempt_items = lambda name, at: self.preemptions.append((name, items(at)))
+        return allocator
 
     @staticmethod
     def due(due_in_s: float, count: int = 100) -> WantedItems:
         return WantedItems(0.0, count, 10, due_in_s)
 
-    def test_what_others_want_earlier_is_left_to_them(self) -> None:
-        keeper = self.keeper(x1=0)
-        keeper.claim(claim("early", self.due(5.0, 4)))
+    def test_slots_are_left_for_items_due_earlier(self) -> None:
+        allocator = self.allocator(x1=0)
+        allocator.claim(claim("early", self.due(5.0, 4)))
         self.loads.free_by_replica["x1"] = 8
-        granted = keeper.claim(claim("late", self.due(15.0)))
+        granted = allocator.claim(claim("late", self.due(15.0)))
         self.assertEqual(3, items(granted.starts)["x1"])
-        granted = keeper.claim(claim("early", self.due(5.0, 4)))
+        granted = allocator.claim(claim("early", self.due(5.0, 4)))
         self.assertEqual(4, items(granted.starts)["x1"])
 
-    def test_what_is_due_alike_is_shared(self) -> None:
-        keeper = self.keeper(x1=0)
-        keeper.claim(claim("a", self.due(5.0)))
+    def test_items_due_at_about_the_same_time_share_slots(self) -> None:
+        allocator = self.allocator(x1=0)
+        allocator.claim(claim("a", self.due(5.0)))
         self.loads.free_by_replica["x1"] = 8
-        granted = keeper.claim(claim("b", self.due(5.2)))
+        granted = allocator.claim(claim("b", self.due(5.2)))
         self.assertEqual(4, items(granted.starts)["x1"])
 
-    def test_what_is_due_last_gives_way_first(self) -> None:
-        keeper = self.keeper(x1=0)
-        keeper.claim(claim("a", running=[("x1", 2, 3.0), ("x1", 1, INFEASIBLE_DUE_S)]))
-        keeper.claim(claim("b", running=[("x1", 4, 9.0)]))
-        keeper.record_online(OnlineInFlight("g", SERVICE, (ItemsAt("x1", 4),)))
-        self.assertEqual([("a", {"x1": 1}), ("b", {"x1": 2})], sorted(self.orders))
-
-    def test_who_waits_longest_due_hears_of_room_when_online_requests_end(self) -> None:
-        keeper = self.keeper(x1=0)
-        keeper.record_online(OnlineInFlight("g", SERVICE, (ItemsAt("x1", 8),)))
-        keeper.claim(claim("late", self.due(15.0)))
-        keeper.claim(claim("early", self.due(5.0)))
+    def test_items_due_last_are_preempted_first(self) -> None:
+        allocator = self.allocator(x1=0)
+        allocator.claim(claim("a", running=[("x1", 2, 3.0), ("x1", 1, INFEASIBLE_DUE_S)]))
+        allocator.claim(claim("b", running=[("x1", 4, 9.0)]))
+        allocator.record_online(OnlineInFlight("g", SERVICE, (ItemsAt("x1", 4),)))
+        self.assertEqual([("a", {"x1": 1}), ("b", {"x1": 2})], sorted(self.preemptions))
+
+    def test_coordinator_with_the_earliest_items_is_notified_of_free_slots(self) -> None:
+        allocator = self.allocator(x1=0)
+        allocator.record_online(OnlineInFlight("g", SERVICE, (ItemsAt("x1", 8),)))
+        allocator.claim(claim("late", self.due(15.0)))
+        allocator.claim(claim("early", self.due(5.0)))
         self.now += 2 * WAKE_INTERVAL_S
-        self.assertEqual([], self.woken)
-        keeper.record_online(OnlineInFlight("g", SERVICE, (ItemsAt("x1", 5),)))
-        self.assertEqual(["early"], self.woken)
+        self.assertEqual([], self.notified)
+        allocator.record_online(OnlineInFlight("g", SERVICE, (ItemsAt("x1", 5),)))
+        self.assertEqual(["early"], self.notified)
 
 
 class PaceTest(unittest.TestCase):
-    """Which items are taken for hopeless."""
+    """Item paces, and which items are infeasible."""
 
     def setUp(self) -> None:
         route = RequestRoute(
@@ -432,44 +438,46 @@
     def left_s(self, after_s: float) -> float:
         return time_left_s(self.job, self.item, self.job.sent_at + after_s, self.pace)
 
-    def test_nothing_is_hopeless_before_it_is_due_while_no_pace_is_known(self) -> None:
+    def test_without_a_pace_items_are_feasible_until_due(self) -> None:
         self.assertAlmostEqual(0.5, self.left_s(17.5))
         self.assertEqual(INFEASIBLE_DUE_S, self.left_s(18.1))
 
     @params((11.9, 0, False), (12.1, 0, True), (13.0, 0, True), (15.5, 0, True), (15.5, 150, False))
-    def test_what_cannot_be_done_in_time_is_hopeless(self, after_s, events, expected) -> None:
-        # Two hundred events at 25 ms: five seconds for a whole item, six with the margin.
+    def test_items_that_cannot_finish_in_time_are_infeasible(
+        self, after_s, events, expected
+    ) -> None:
+        # Two hundred events at 25 ms: five seconds for a complete item, six with the margin.
         self.record(200, 100, 2.5)
         self.item.take_events(["x"] * events, str(events))
         self.assertEqual(expected, self.left_s(after_s) == INFEASIBLE_DUE_S)
 
-    def test_averages_follow_the_items(self) -> None:
+    def test_averages_follow_recent_items(self) -> None:
         self.record(200, 200, 5.0)
         for _ in range(60):
             self.record(100, 100, 5.0)
         self.assertAlmostEqual(100, self.pace.events_per_item, delta=1)
         self.assertAlmostEqual(0.05, self.pace.s_per_event, delta=0.001)
 
-    def test_a_coordinator_learns_the_pace_of_others_from_the_keeper(self) -> None:
-        """With more gateways than jobs most have seen no item end; all seemed doable to them."""
-        keeper = SlotAllocator(ReplicaTable(), FixedLoads())
+    def test_coordinators_share_their_paces_through_the_allocator(self) -> None:
+        """With more gateways than jobs, most coordinators have not seen any item finish."""
+        allocator = SlotAllocator(ReplicaTable(), FixedLoads())
         quick, other = RoutePaces(), RoutePaces()
         for _ in range(30):
             quick.record("jobs", 200, 200, 5.0)
-        keeper.claim(msgspec.structs.replace(claim("a"), done=quick.take_unreported()))
+        allocator.claim(msgspec.structs.replace(claim("a"), done=quick.take_unreported()))
         self.assertEqual((), quick.take_unreported())
         self.assertEqual(1.0, self.left_s(17.0))
-        other.adopt(keeper.claim(claim("b")).paces)
+        other.adopt(allocator.claim(claim("b")).paces)
         self.paces = other
         self.assertEqual(INFEASIBLE_DUE_S, self.left_s(17.0))
         self.assertAlmostEqual(5.0, self.pace.remaining_s(0), delta=0.1)
 
-    def test_routes_have_paces_of_their_own(self) -> None:
+    def test_each_route_has_its_own_pace(self) -> None:
         self.paces.record("others", 20, 20, 1.0)
         self.assertEqual(0.0, self.pace.remaining_s(0))
         self.assertAlmostEqual(1.0, self.paces.of("others").remaining_s(0))
 
-    def test_means_of_many_items_weigh_as_they_would_one_by_one(self) -> None:
+    def test_a_mean_of_many_items_weighs_as_much_as_the_items(self) -> None:
         self.record(200, 200, 5.0)
         self.paces.add_all([RoutePace("jobs", 100.0, 0.05, 60)])
         self.assertAlmostEqual(100, self.pace.events_per_item, delta=1)
@@ -481,7 +489,7 @@
 
 
 class EnginePoolTest(unittest.TestCase):
-    """Services with many replicas are split among several keepers."""
+    """Services with many replicas are split into several pools."""
 
     def table(self, replicas: int) -> ReplicaTable:
         table = ReplicaTable()
@@ -506,11 +514,11 @@
         self.assertEqual(500, len(members))
         self.assertEqual(500, len(set(members)))
 
-    def test_keeper_grants_and_polls_its_pool_only(self) -> None:
+    def test_allocator_grants_and_polls_only_its_pool(self) -> None:
         table = self.table(100)
         loads = FixedLoads(**{replica.id: 1 for replica in table.replicas()})
         wanted = []
-        loads.want = wanted.extend
+        loads.poll_only = wanted.extend
         pool = pools_of(SERVICE, table)[1]
         message = msgspec.structs.replace(claim("a", EVERY_ITEM), pool=pool.index, pools=pool.pools)
         granted = SlotAllocator(table, loads).claim(message)
@@ -519,8 +527,8 @@
         self.assertEqual(members, {replica.id for replica in wanted})
 
 
-class RoomClaimsTest(unittest.TestCase):
-    """To whom a claim goes, while keepers come and go."""
+class SlotClaimsTest(unittest.TestCase):
+    """Which allocator a claim is sent to while gateways fail and recover."""
 
     def setUp(self) -> None:
         self.now = 1000.0
@@ -528,33 +536,35 @@
         patch.start()
         self.addCleanup(patch.stop)
         self.members = tuple(map(member, ("a", "b", "c"), (1, 2, 3)))
-        self.asked: list[str] = []
-        self.silent: set[str] = set()
-        self.keeper = mock.Mock()
-        self.keeper.claim.side_effect = lambda message: self.answer("own")
+        self.claimed_from: list[str] = []
+        self.unresponsive: set[str] = set()
+        self.allocator = mock.Mock()
+        self.allocator.claim.side_effect = lambda message: self.answer("own")
 
     def answer(self, name: str) -> SlotsGranted | PeerNoReply:
-        self.asked.append(name)
+        self.claimed_from.append(name)
         return (
-            PeerNoReply(self.members[0].peer, "silent") if name in self.silent else SlotsGranted()
+            PeerNoReply(self.members[0].peer, "unresponsive")
+            if name in self.unresponsive
+            else SlotsGranted()
         )
 
     def claims(self, own_name: str) -> SlotClaims:
         client = mock.Mock()
         client.call.side_effect = lambda peer, *_: self.answer(self.name_of(peer))
-        return SlotClaims(own_name, self.keeper, client, lambda: self.members)
+        return SlotClaims(own_name, self.allocator, client, lambda: self.members)
 
     def name_of(self, peer: Endpoint) -> str:
         return next(one.name for one in self.members if one.peer == peer)
 
-    def test_a_weak_gateway_keeps_no_room_for_all(self) -> None:
+    def test_a_weak_gateway_is_not_chosen_as_allocator(self) -> None:
         members = [msgspec.structs.replace(one, cores=0.5) for one in self.members]
         members[1:] = [msgspec.structs.replace(one, cores=2.0) for one in members[1:]]
         choice = AllocatorChoice(lambda: tuple(members))
-        keepers = {choice.allocator_of(f"service-{n}", 0).name for n in range(50)}
-        self.assertEqual({"b", "c"}, keepers)
+        allocators = {choice.allocator_of(f"service-{n}", 0).name for n in range(50)}
+        self.assertEqual({"b", "c"}, allocators)
 
-    def test_keeper_is_one_that_is_reached(self) -> None:
+    def test_a_reachable_gateway_is_preferred_as_allocator(self) -> None:
         lost: set[str] = set()
 
         def reachable(members: Iterable[Member]) -> tuple[Member, ...]:
@@ -569,7 +579,7 @@
         lost |= {one.name for one in self.members}
         self.assertEqual(first, choice.allocator_of(SERVICE, 0).name)
 
-    def test_the_others_keep_room_while_no_strong_one_answers(self) -> None:
+    def test_weak_gateways_are_chosen_while_no_strong_one_answers(self) -> None:
         members = [msgspec.structs.replace(one, cores=0.5) for one in self.members]
         members[1:] = [msgspec.structs.replace(one, cores=2.0) for one in members[1:]]
         choice = AllocatorChoice(lambda: tuple(members))
@@ -579,7 +589,7 @@
 
     @params(
         ("all alike", [1.0, 1.0, 1.0], 3),
-        ("none told", [0.0, 0.0, 0.0], 3),
+        ("cores unknown", [0.0, 0.0, 0.0], 3),
         ("one weak", [0.5, 2.0, 2.0], 2),
         ("one strong", [0.5, 0.5, 2.0], 3),
         ("each different", [0.5, 1.0, 2.0], 2),
@@ -595,30 +605,30 @@
         ]
         self.assertEqual(expected, len(strongest(members)))
 
-    def test_all_gateways_claim_of_the_same_one(self) -> None:
+    def test_all_gateways_claim_from_the_same_allocator(self) -> None:
         for own_name in ("a", "b", "c"):
             self.claims(own_name).claim(claim(own_name))
-        keeper = next(name for name in self.asked if name != "own")
-        self.assertEqual(2, self.asked.count(keeper))
-        self.assertEqual(1, self.asked.count("own"))
+        allocator = next(name for name in self.claimed_from if name != "own")
+        self.assertEqual(2, self.claimed_from.count(allocator))
+        self.assertEqual(1, self.claimed_from.count("own"))
 
-    def test_next_in_rank_is_asked_while_the_keeper_is_silent(self) -> None:
+    def test_claims_go_to_the_next_in_rank_while_the_allocator_is_unresponsive(self) -> None:
         claims = self.claims("elsewhere")
         claims.claim(claim("elsewhere"))
-        first = self.asked[-1]
-        self.silent = {first}
+        first = self.claimed_from[-1]
+        self.unresponsive = {first}
         self.assertIsNone(claims.claim(claim("elsewhere")))
         self.assertIsNotNone(claims.claim(claim("elsewhere")))
-        self.assertNotEqual(first, self.asked[-1])
-        self.silent = set()
-        self.now += AVOID_KEEPER_S
+        self.assertNotEqual(first, self.claimed_from[-1])
+        self.unresponsive = set()
+        self.now += AVOID_ALLOCATOR_S
         claims.claim(claim("elsewhere"))
-        self.assertEqual(first, self.asked[-1])
+        self.assertEqual(first, self.claimed_from[-1])
 
-    def test_without_an_answer_of_any_it_keeps_room_itself(self) -> None:
+    def test_the_local_allocator_is_used_if_no_other_answers(self) -> None:
         claims = self.claims("elsewhere")
-        self.silent = {"a", "b", "c"}
+        self.unresponsive = {"a", "b", "c"}
         for _ in range(4):
             claims.claim(claim("elsewhere"))
-        self.assertEqual({"a", "b", "c"}, set(self.asked[:3]))
-        self.assertEqual("own", self.asked[3])
+        self.assertEqual({"a", "b", "c"}, set(self.claimed_from[:3]))
+        self.assertEqual("own", self.claimed_from[3])
