--- a/src/quaymill/process/jobs/coordinated_job.py
+++ b/src/quaymill/process/jobs/coordinated_job.py
@@ -1,4 +1,4 @@
-"""One job that this gateway coordinates: which items wait, run, are finished and are listed."""
+"""State of one job that this gateway coordinates: its items, their results and its listing."""
 
 from __future__ import annotations
 
@@ -22,17 +22,18 @@
 from quaymill.version.request_routes import RequestRoute
 
 ORDER_TERM_SHARE = 0.9
-"""Part of the time after which a read position must be there, for which an order is told."""
+"""Share of the time allowed for a listed position to reach all readers, during which a confirmed
+listing counts as the newest."""
 DEFAULT_ORDER_TERM_S = ORDER_TERM_SHARE * 1.0
-"""For positions that must be there one second after they were read."""
+"""For positions that every reader must see one second after the first read."""
 MAX_PAGE_BYTES = 1024 * 1024
-"""Most text on one page of results; one result is on it whatever its size."""
+"""Maximum total text of a page of results; a single larger result still makes a page."""
 
 
 class ItemState(enum.Enum):
-    """States of an item here.
+    """States of an item at its coordinator.
 
-    WAITING -> RUNNING -> FINISHED -> LISTED; RUNNING -> WAITING when a run was cut or refused.
+    WAITING -> RUNNING -> FINISHED -> LISTED; RUNNING -> WAITING when a run brought no result.
     """
 
     WAITING = enum.auto()
@@ -42,20 +43,22 @@
 
 
 class RunningItem:
-    """One item, with what its runs have brought so far; its events may be read from any thread.
+    """An item and what its runs have produced; its events may be read from any thread.
 
     Attributes
     ----------
     last_event_id, texts
-        The last whole event that came, and the data of all of them.
+        Id of the last complete event, and the data of all events received so far.
     failures
-        Runs that a replica answered with an error.
+        Number of runs that a replica answered with an error.
     started_at, events_at_start
-        Monotonic time when the present run began, and the events that had come before.
+        Monotonic time when the current run began, and the number of events received before it.
     not_before
-        Monotonic time before which it is not tried again.
+        Monotonic time before which the item is not run again.
     cancel
-        Ends the present run; ``None`` if there is none.
+        Ends the current run; ``None`` if there is none.
+    giving_way
+        Whether the current run is being preempted for online requests.
     """
 
     def __init__(self, index: int, item: JobItem) -> None:
@@ -74,19 +77,19 @@
         self._events_lock = threading.Lock()
 
     def take_events(self, texts: list[str], last_event_id: str | None) -> None:
-        """Take events that came; their data and the last id change together."""
+        """Append received events; their data and the last id change together."""
         with self._events_lock:
             self.texts += texts
             self.last_event_id = last_event_id
 
     def progress(self, first: int = 0) -> ItemProgress:
-        """Return what another coordinator needs to go on, from some event on."""
+        """Return the progress that another coordinator resumes from, from event ``first`` on."""
         with self._events_lock:
             texts = tuple(self.texts[first:])
             return ItemProgress(self.index, self.last_event_id, texts, self.failures, first)
 
     def resume_from(self, progress: ItemProgress) -> None:
-        """Go on from what another coordinator had."""
+        """Resume from the progress of another coordinator."""
         with self._events_lock:
             self.last_event_id = progress.last_event_id
             self.texts = list(progress.texts)
@@ -99,20 +102,26 @@
     Attributes
     ----------
     route
-        The route it came by; ``None`` once that was removed.
+        The job's route; ``None`` once it is removed from the configuration.
     routed_at
-        Monotonic time when the configuration last had a route for it.
+        Monotonic time when the configuration last had a route for the job.
     sent_at
-        Monotonic time when it was first sent.
+        Monotonic time when the client first sent the job.
     coordinator
-        Who runs it: this process, until another has taken it over.
+        Name of the coordinator that runs the job: this process until another takes it over.
+    ended
+        Whether a client ended the job.
+    abandoned
+        Whether this process stopped before the job was complete.
+    yielded
+        Whether another coordinator took the job over.
 
     Parameters
     ----------
-    order_term_s
-        For how long an order that was the newest is told as such. Less than the time after which
-        a position that was read must be there for every reader: what another lists meanwhile
-        need not be told yet.
+    listing_valid_s
+        For how long a confirmed listing counts as the newest (seconds). It is shorter than the
+        time allowed for a listed position to reach all readers, so that results which another
+        coordinator lists meanwhile need not be visible yet.
     """
 
     def __init__(
@@ -132,7 +141,7 @@
         self.ended = False
         self.abandoned = False
         self.yielded = False
-        # Also a job that was just accepted may have been listed by another that accepted it.
+        # Even for a new job, another gateway that accepted it too may have listed results.
         self._order_confirmed_at = -math.inf
         self._order_term_s = order_term_s
         self.listing = Listing(ListingDocument("", len(self.items)))
@@ -156,23 +165,23 @@
 
     @property
     def stopped(self) -> bool:
-        """Whether nothing of the job is to be started any more."""
+        """Whether no more items of the job are started."""
         return self.ended or self.abandoned or self.yielded or self.complete
 
     @property
     def over(self) -> bool:
-        """Whether nothing of the job is left to do here."""
+        """Whether this gateway has neither items to run nor results to list for the job."""
         if self.ended or self.abandoned or self.complete:
             return True
         return self.yielded and not self._finished
 
     @property
     def handed_away(self) -> bool:
-        """Whether another gateway runs it now."""
+        """Whether this gateway has left the job to another one."""
         return self.abandoned or self.yielded
 
     def unfinished_tokens(self) -> int:
-        """Return the tokens of the items that no replica has finished; 0 once the job is over."""
+        """Return the tokens of items that wait or run; 0 once the job is ended or complete."""
         if self.ended or self.complete:
             return 0
         unfinished = (ItemState.WAITING, ItemState.RUNNING)
@@ -198,17 +207,17 @@
         ]
 
     def unstarted(self) -> list[RunningItem]:
-        """Return the items that wait, those that may not be started yet included."""
+        """Return all waiting items, including those that may not be started yet."""
         if self.stopped:
             return []
         return [item for item in self.items if item.state is ItemState.WAITING]
 
     def running(self) -> list[RunningItem]:
-        """Return the items in service."""
+        """Return the running items."""
         return [item for item in self.items if item.state is ItemState.RUNNING]
 
     def finish(self, item: RunningItem, state: ResultState, text: str) -> None:
-        """Take the result of an item."""
+        """Record the result of an item; no effect if the item is already listed."""
         result = JobResult(item.item.id, state, text)
         key = ResultKey(item.index, _digest(result))
         with self.changed:
@@ -220,7 +229,13 @@
             self.changed.notify_all()
 
     def put_back(self, item: RunningItem, pause_s: float = 0.0) -> None:
-        """Let an item wait again after a run that brought no result."""
+        """Return an item to the waiting ones after a run without a result.
+
+        Parameters
+        ----------
+        pause_s
+            Time in seconds before the item may be started again.
+        """
         with self.changed:
             if item.state is ItemState.RUNNING:
                 item.state = ItemState.WAITING
@@ -228,7 +243,7 @@
             self.changed.notify_all()
 
     def add_finished(self, results: Iterable[KeyedResult]) -> None:
-        """Take results that another coordinator had not listed yet."""
+        """Add results that the previous coordinator had not listed yet."""
         with self.changed:
             for one in results:
                 item = self.items[one.key.index]
@@ -243,13 +258,13 @@
             return tuple(self._finished.values())
 
     def take_listing(self, listing: Listing, as_of: float) -> None:
-        """Take the listing that stands in the store.
+        """Replace the known listing by one from the store, unless that has fewer results.
 
         Parameters
         ----------
         as_of
-            Monotonic time when the call that brought it began: all that was listed by then is
-            in it.
+            Monotonic time when the store call that returned it began. It contains everything
+            that was listed by then.
         """
         with self.changed:
             if len(listing.document.results) < len(self.listing.document.results):
@@ -268,32 +283,32 @@
             self.changed.notify_all()
 
     def confirm_order(self, at: float) -> None:
-        """Note that the order held here was the newest at a (monotonic) time."""
+        """Record that the known listing was the newest one at a monotonic time."""
         self._order_confirmed_at = max(at, self._order_confirmed_at)
 
     def order_is_certain(self) -> bool:
-        """Return whether a position beyond the order held here may be told to be empty."""
+        """Return whether a position after the end of the known listing may be reported as empty."""
         return self.complete or self.order_age_s() < self._order_term_s
 
     def known_order(self) -> KnownOrder:
-        """Return which items are known here to be listed."""
+        """Return which items are in the known listing."""
         listed = 0
         for result in self.listing.document.results:
             listed |= 1 << result.index
         return KnownOrder(self.id, f"{listed:x}")
 
     def order_age_s(self) -> float:
-        """Return how long ago the order held here was last known to be the newest."""
+        """Return how long ago the known listing was last confirmed as the newest (seconds)."""
         return boot_clock.now() - self._order_confirmed_at
 
     def add_contents(self, contents: dict[ResultKey, JobResult]) -> None:
-        """Take contents that were fetched from storage nodes."""
+        """Add contents of results that were fetched from storage nodes."""
         with self.changed:
             self._contents |= contents
             self.changed.notify_all()
 
     def missing_contents(self, since: int = 0) -> tuple[ResultKey, ...]:
-        """Return the keys of contents listed from a position on that are not here."""
+        """Return the keys of results listed from position ``since`` on whose content is missing."""
         with self.changed:
             return tuple(
                 listed.key
@@ -302,7 +317,13 @@
             )
 
     def stop(self, *, ended: bool) -> None:
-        """Start nothing more and cancel what runs."""
+        """Start no more items and cancel the running ones.
+
+        Parameters
+        ----------
+        ended
+            Whether a client ended the job; otherwise this process abandons it.
+        """
         with self.changed:
             self.ended = self.ended or ended
             self.abandoned = self.abandoned or not ended
@@ -313,7 +334,7 @@
                 item.cancel()
 
     def yield_to(self, coordinator: str) -> None:
-        """Leave the job to another coordinator; what is finished here is still listed."""
+        """Leave the job to another coordinator; results finished here are still listed."""
         self.coordinator = coordinator
         self.yielded = True
         for item in self.running():
@@ -321,7 +342,7 @@
                 item.cancel()
 
     def page(self, since: int, wait_s: float) -> ResultsPage:
-        """Return results from a position on; wait for one if there is none yet."""
+        """Return results from position ``since`` on; wait up to ``wait_s`` seconds for one."""
         deadline = boot_clock.now() + wait_s
         with self.changed:
             while not self._has_position(since) and not self._all_told(since):
@@ -342,7 +363,7 @@
 def make_page(
     document: ListingDocument, contents: dict[ResultKey, JobResult], since: int
 ) -> ResultsPage:
-    """Return as many results from ``since`` on as are known and fit on a page."""
+    """Return the results from ``since`` on, up to the first unknown content or the page size."""
     results = []
     size = 0
     for listed in document.results[since:]:
@@ -357,7 +378,7 @@
 
 
 def listed_result(result: KeyedResult) -> ListedResult:
-    """Return the position that a result takes."""
+    """Return the entry of a result in the listing."""
     return ListedResult(result.key.index, result.key.digest, result.result.state)
 
 
--- a/src/quaymill/process/jobs/coordinator.py
+++ b/src/quaymill/process/jobs/coordinator.py
@@ -1,6 +1,7 @@
-"""The jobs that this gateway coordinates, from their acceptance or adoption to their end.
+"""Coordinates the jobs of this gateway from their acceptance or adoption to their end.
 
-Threads: one that renews the leases, beside those of the dispatcher and the publisher.
+Threads: one that renews the leases, in addition to those of the dispatcher, the publisher and the
+progress saver.
 """
 
 from __future__ import annotations
@@ -31,12 +32,19 @@
 
 RENEW_INTERVAL_S = 0.6
 RENEW_GATHER_S = 0.05
-"""Pause before each renewal."""
+"""Delay before each renewal, so that jobs which arrive together share it."""
 RETAINED_JOBS = 200
+"""Number of stopped jobs that stay in memory."""
 
 
 class JobCoordinator:
-    """Coordinates jobs until all is listed; safe to use from any thread."""
+    """Coordinates jobs until all their results are listed; safe to use from any thread.
+
+    Parameters
+    ----------
+    listing_valid_s
+        For how long a confirmed listing counts as the newest (seconds).
+    """
 
     def __init__(
         self,
@@ -46,7 +54,7 @@
         order_term_s: float,
     ) -> None:
         self.name = publisher.name
-        """How storage nodes and gateways know this coordinator; another after a restart."""
+        """Name of this coordinator at storage nodes and gateways; changes at each restart."""
         self._leases = leases
         self._order_term_s = order_term_s
         self._lock = threading.Lock()
@@ -59,38 +67,38 @@
         self._progress = ProgressSaver(publisher.storage, self.open_jobs)
 
     def start(self) -> None:
-        """Begin to run items and to renew leases."""
+        """Start to run items, save progress and renew leases."""
         self._dispatcher.start()
         self._progress.start()
         threading.Thread(target=self._renew, name="job-leases", daemon=True).start()
 
     def wake(self) -> None:
-        """Look at once whether items can be started."""
+        """Check at once whether items can be started."""
         self._dispatcher.wake()
 
     def get(self, job_id: str) -> CoordinatedJob | None:
-        """Return a job coordinated here."""
+        """Return a job that is coordinated here; ``None`` if it is not."""
         job = self._jobs_by_id.get(job_id)
         return None if job is None or job.abandoned or job.yielded else job
 
     def open_jobs(self) -> list[CoordinatedJob]:
-        """Return the jobs that are not over."""
+        """Return the jobs that are not stopped."""
         return [job for job in list(self._jobs_by_id.values()) if not job.stopped]
 
     def route_of(self, job: Job) -> RequestRoute | None:
-        """Return the route by which a job came, by the configuration in force."""
+        """Return the job's route in the current configuration; ``None`` if it has none."""
         return self._dispatcher.route_of(job)
 
     def jobs(self) -> list[CoordinatedJob]:
-        """Return all jobs that are held here, those that are over included."""
+        """Return all jobs in memory, including stopped ones."""
         return list(self._jobs_by_id.values())
 
     def give_back(self, items: tuple[ItemsAt, ...]) -> None:
-        """Cut items at once, because online requests wait at their replicas."""
+        """Preempt items at once, because online requests wait at their replicas."""
         self._dispatcher.give_back(items)
 
     def running_items(self) -> int:
-        """Return how many items are in service."""
+        """Return the number of running items."""
         return self._dispatcher.running_items()
 
     def accept(self, job: Job) -> None:
@@ -104,13 +112,17 @@
         unlisted: Iterable[KeyedResult] = (),
         listing: Listing | None = None,
     ) -> bool:
-        """Coordinate a job that another ran before; return whether this gateway takes it.
+        """Coordinate a job that another gateway ran before; return whether it is adopted.
 
         Parameters
         ----------
+        progress
+            What the previous coordinator's runs have produced so far.
+        unlisted
+            Results that the previous coordinator had not listed yet.
         listing
-            As the coordinator before knew it: what is in it is not run again, also where the
-            store cannot be read now.
+            The listing as the previous coordinator knew it. Its items are not run again, even
+            if the store cannot be read now.
         """
         if self._stopping.is_set():
             return False
@@ -125,7 +137,7 @@
         return True
 
     def end(self, job_id: str) -> bool:
-        """Stop a job that was ended; return whether it is coordinated here."""
+        """Stop a job that a client ended; return whether it is coordinated here."""
         job = self.get(job_id)
         if job is None:
             return False
@@ -135,7 +147,7 @@
         return True
 
     def stop(self) -> list[HandOverJob]:
-        """Start nothing more, cut the runs, and return what others need to go on."""
+        """Stop all jobs and return the messages that hand the open ones to other gateways."""
         self._stopping.set()
         self._renew_soon.set()
         self._dispatcher.stop()
@@ -166,12 +178,11 @@
                 coordinated.items[one.index].resume_from(one)
             coordinated.add_finished(unlisted)
             if listing is not None:
-                # It may have grown since: that it is the newest is not known.
+                # It may have grown since, so it is not confirmed as the newest.
                 coordinated.take_listing(listing, -math.inf)
             self._jobs_by_id[job.id] = coordinated
             self._forget_old_jobs()
-        # Its order is confirmed with the first renewal: until then each empty page of it costs a
-        # call of the store.
+        # The first renewal confirms the listing; until then each empty page needs a store call.
         self._renew_soon.set()
         self._publisher.follow(coordinated, adopted=adopted)
 
@@ -180,7 +191,7 @@
             self._newly_complete.append(job_id)
 
     def _forget_old_jobs(self) -> None:
-        """Keep memory bounded: of jobs that are over, storage nodes have all there is."""
+        """Remove the oldest stopped jobs from memory; storage nodes have their results."""
         over = [job for job in self._jobs_by_id.values() if job.stopped]
         for job in over[: max(0, len(over) - RETAINED_JOBS)]:
             del self._jobs_by_id[job.id]
@@ -189,7 +200,7 @@
         beyond: frozenset[str] = frozenset()
         while True:
             self._renew_soon.wait(RENEW_INTERVAL_S)
-            # Jobs come in heaps: those of one heap go together.
+            # Jobs often arrive in bursts: a short delay renews them in one call.
             if self._stopping.wait(RENEW_GATHER_S):
                 return
             self._renew_soon.clear()
@@ -205,7 +216,8 @@
             for job_id in outcome.ended:
                 self.end(job_id)
             self._confirm(outcome.confirmed, began)
-            # An append of our own explains a result beyond the order, but not for two renewals.
+            # Our own append in progress can explain an unlisted result, but not in two renewals
+            # in a row.
             for job_id in outcome.taken | (outcome.unlisted & beyond):
                 job = self.get(job_id)
                 if job is not None:
@@ -220,7 +232,7 @@
 
 
 def _hand_over_order(job: CoordinatedJob) -> HandOverJob:
-    """Return what another coordinator needs to go on with a job."""
+    """Return the message by which another coordinator continues a job."""
     age_s = boot_clock.now() - job.sent_at
     progress = tuple(
         item.progress()
--- a/src/quaymill/process/jobs/job_lookup.py
+++ b/src/quaymill/process/jobs/job_lookup.py
@@ -1,4 +1,4 @@
-"""What a gateway finds out about a job that it does not run, and when it may say there is none."""
+"""Looks up jobs that another gateway runs, and decides when a job certainly does not exist."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 from quaymill.process.jobs.storage_client import JobStorageClient, NotFound
 
 CERTAIN_AFTER_S = 6.0
-"""Time after its start from which a gateway knows all storage nodes that it can reach."""
+"""Time after its start by which a gateway has discovered all reachable storage nodes."""
 
 
 @attrs.frozen
 class Unsure:
-    """The gateway asked cannot tell now."""
+    """The gateway cannot answer with certainty now."""
 
     reason: str
 
 
 @attrs.frozen
 class NoSuchJob:
-    """No storage node has the job."""
+    """The job does not exist."""
 
 
 class JobLookup:
-    """Asks the storage nodes and the order of results."""
+    """Looks up jobs at the storage nodes and in the listings."""
 
     def __init__(self, storage: JobStorageClient, listings: JobListings) -> None:
         self._storage = storage
@@ -33,10 +33,10 @@
         self._started_at = boot_clock.now()
 
     def absence(self, job_id: str, found: NotFound) -> NoSuchJob | Unsure:
-        """Say that there is no such job only where that is certain.
+        """Return ``NoSuchJob`` only if it is certain that the job does not exist.
 
-        A gateway that is new may not know all storage nodes yet, and one of those that it knows
-        may have lost its disk just now; a job that has results has a listing besides.
+        A new gateway may not know all storage nodes yet, and a known one may just have lost its
+        disk. A job with results also has a listing in the platform's store.
         """
         if not found.certain:
             return Unsure("not all storage nodes answered")
@@ -44,7 +44,7 @@
             return Unsure("this gateway may not know all storage nodes yet")
         listing = self._listings.read(job_id)
         if listing is not None:
-            return Unsure("the job's order is known, but no storage node tells of the job")
+            return Unsure("no storage node has the job, but it has or may have a listing")
         return NoSuchJob()
 
     def is_known(self, job_id: str) -> bool | None:
@@ -55,7 +55,7 @@
         return False if isinstance(self.absence(job_id, found), NoSuchJob) else None
 
     def is_over(self, job_id: str) -> bool:
-        """Return whether a job is certainly over: never kept, ended, or listed whole."""
+        """Return whether a job is certainly over: never stored, ended, or completely listed."""
         found = self._storage.find_job(job_id)
         if isinstance(found, NotFound):
             return isinstance(self.absence(job_id, found), NoSuchJob)
--- a/src/quaymill/process/jobs/lease_renewal.py
+++ b/src/quaymill/process/jobs/lease_renewal.py
@@ -1,8 +1,8 @@
-"""Renews a coordinator's leases with storage nodes, and compares the orders of its jobs.
+"""Renews a coordinator's leases at the storage nodes, and checks that its listings are the newest.
 
-A lease tells who runs a job, and nothing of its order. What tells of the order is that the
-content of a result is on storage nodes before the result is listed: as long as none of them has
-a content that the coordinator does not know to be listed, nobody has listed more.
+A lease says who runs a job, but not whether the coordinator's copy of the listing is the newest.
+The content of a result is on storage nodes before the result is listed. So if no storage node has
+a result which is missing in the copy, no other coordinator has listed more.
 """
 
 from __future__ import annotations
@@ -22,20 +22,20 @@
 
 @attrs.frozen
 class RenewalOutcome:
-    """What the storage nodes said.
+    """The combined answers of the storage nodes; each attribute holds ids of jobs.
 
     Attributes
     ----------
     ended
-        Jobs that were ended.
+        Jobs that clients ended.
     taken
-        Jobs whose lease another coordinator has at some storage node; which of the two is to
-        leave the job, its listing tells.
+        Jobs whose lease another coordinator holds at some storage node. The listing decides which
+        of the two coordinators leaves the job.
     unlisted
-        Jobs of which a storage node has a result beyond the order as it was told.
+        Jobs that have a result at a storage node which is missing in the coordinator's listing.
     confirmed
-        Jobs whose order, as it was told, was the newest when the renewal began: every storage
-        node that may have a result beyond it has answered that it has none.
+        Jobs whose listing was the newest when the renewal began: every storage node that may have
+        a result which is missing in it has answered that it has none.
     """
 
     ended: frozenset[str]
@@ -46,24 +46,24 @@
 
 @attrs.frozen
 class _Answer:
-    """What one storage node said to its part of a renewal."""
+    """The reply of one storage node, and the message it replied to."""
 
     part: RenewJobs
     reply: JobsRenewed
 
 
 class LeaseRenewal:
-    """Splits renewals by storage node, sends them at once, and puts the answers together.
+    """Splits renewals by storage node, sends them in parallel, and merges the answers.
 
     Parameters
     ----------
     storage_nodes
-        Returns the live storage nodes, none that is leaving.
+        Returns the live storage nodes, without leaving ones.
     result_holders
-        Returns all that may be the only ones to hold a result, also those that are leaving or do
-        not answer now.
+        Returns all storage nodes that may hold the only copy of a result, including those that
+        are leaving or do not answer now.
     rules
-        On which of the live ones the copies of a job lie.
+        Decide which live storage nodes hold the copies of a job.
     """
 
     def __init__(
@@ -79,7 +79,7 @@
         self._rules = rules
 
     def renew(self, message: RenewJobs) -> RenewalOutcome:
-        """Renew, complete, release and hand over what a message names."""
+        """Renew, complete, release and hand over the leases of the jobs named in a message."""
         holders = self._result_holders()
         asked = tuple(member for member in holders if member.state is not MemberState.DEAD)
         parts = list(self._parts(message, self._storage_nodes(), asked))
@@ -104,7 +104,7 @@
     def _parts(
         self, message: RenewJobs, live: tuple[Member, ...], asked: tuple[Member, ...]
     ) -> Iterator[tuple[Member, RenewJobs]]:
-        """Yield what concerns each storage node: leases that it keeps, and the orders."""
+        """Yield the message for each storage node: the leases it keeps, and all listings."""
         handed_over = [job.job_id for job in message.handed_over_jobs]
         job_ids = {
             *message.open_jobs,
--- a/src/quaymill/process/jobs/listing.py
+++ b/src/quaymill/process/jobs/listing.py
@@ -1,8 +1,9 @@
-"""The order of a job's results, agreed on by compare-and-swap in the platform's store.
+"""The listing: the order of a job's results, kept in the platform's store by compare-and-swap.
 
-There is one object for each job. This is the only agreement about a job. Whoever appends does
-so to the listing that it has read; an append that was overtaken is made again on the newer
-listing, without what is listed already. What an unanswered write became is found by reading.
+There is one object for each job, and it is the only state about a job that gateways agree on.
+A coordinator appends to the listing that it has read. After a conflict it appends to the newer
+listing, leaving out the items which that one contains. After an unanswered write it reads the
+listing to find out whether it was written.
 """
 
 from __future__ import annotations
@@ -28,7 +29,7 @@
 
 
 class ListedResult(msgspec.Struct, frozen=True, array_like=True):
-    """One position: which item, which content, and how the item ended."""
+    """An entry of a listing: the item, the digest of its result, and how the item ended."""
 
     index: int
     digest: str
@@ -36,17 +37,19 @@
 
     @property
     def key(self) -> ResultKey:
-        """Names the content."""
+        """Key of the result's content on storage nodes."""
         return ResultKey(self.index, self.digest)
 
 
 class ListingDocument(msgspec.Struct, frozen=True):
-    """What is stored.
+    """The stored document.
 
     Attributes
     ----------
     coordinator
-        Who runs the job: the last one that took it over.
+        Name of the coordinator that wrote the listing last.
+    total
+        Number of items of the job.
     """
 
     coordinator: str
@@ -63,11 +66,11 @@
 
     @property
     def indexes(self) -> frozenset[int]:
-        """Items that are listed."""
+        """Indexes of the listed items."""
         return frozenset(result.index for result in self.document.results)
 
     def with_results(self, results: Iterable[ListedResult], coordinator: str) -> Listing:
-        """Return the listing with results appended, those listed already left out."""
+        """Return the listing with the results appended whose items are not listed yet."""
         listed = self.indexes
         added = tuple(result for result in results if result.index not in listed)
         document = ListingDocument(coordinator, self.document.total, self.document.results + added)
@@ -76,19 +79,19 @@
 
 @attrs.frozen
 class ListingUnknown:
-    """The store could not be asked."""
+    """The listing could not be read from or written to the store."""
 
     reason: str
 
 
 class JobListings:
-    """Reads and writes listings."""
+    """Reads and writes listings in the platform's store."""
 
     def __init__(self, store: ObjectStore) -> None:
         self._store = store
 
     def read(self, job_id: str) -> Listing | None | ListingUnknown:
-        """Return the listing as it stands; ``None`` if there is none."""
+        """Return the stored listing; ``None`` if there is none."""
         found = self._store.get(ObjectKind.JOB_LISTINGS, job_id)
         if isinstance(found, ObjectMissing):
             return None
@@ -97,11 +100,11 @@
         return _listing(found)
 
     def write(self, job_id: str, listing: Listing) -> Listing | ListingUnknown:
-        """Write a listing over the revision it was read at.
+        """Write a listing on top of the revision at which it was read.
 
         Returns
         -------
-        The listing that stands afterwards: the one given, or another's if that was first.
+        The listing stored afterwards: the given one, or after a conflict that of another writer.
         """
         spec = msgspec.to_builtins(listing.document)
         if listing.revision:
@@ -114,27 +117,27 @@
             return _listing(written.object)
         if isinstance(written, StoreRefused):
             return ListingUnknown(written.reason)
-        # Not answered, or a conflict that does not tell with what: only reading tells. A write
-        # that is still under way is bound to the revision, and loses against a later one.
+        # Not answered, or a conflict without the stored object: read to find out. A write that is
+        # still in progress applies to the old revision only, so it fails after a later write.
         found = self.read(job_id)
         if found is None:
-            return ListingUnknown("the listing was not written")
+            return ListingUnknown(f"the listing of job {job_id} was not written")
         return found
 
     def delete(self, job_id: str) -> None:
-        """Remove a listing that nobody reads any more."""
+        """Delete the listing of a job."""
         self._store.delete(ObjectKind.JOB_LISTINGS, job_id)
 
 
 def told_order(job_id: str, listing: Listing) -> SharedObject | None:
-    """Return a listing as another coordinator is told it; ``None`` if it is not known here."""
+    """Return a listing as sent to another coordinator; ``None`` if it was never stored."""
     if not listing.revision:
         return None
     return SharedObject(job_id, listing.revision, msgspec.to_builtins(listing.document))
 
 
 def read_told_order(told: SharedObject | None) -> Listing | None:
-    """Return a listing that another coordinator told; ``None`` if it told none."""
+    """Return a listing received from another coordinator; ``None`` if there is none."""
     if told is None:
         return None
     listing = _listing(StoredObject(told.name, told.revision, told.spec))
@@ -142,10 +145,10 @@
 
 
 def _listing(stored: StoredObject) -> Listing | ListingUnknown:
-    """Return a stored listing; what another writer left in its place tells nothing of the order."""
+    """Decode a stored listing; an object of another format counts as unknown."""
     try:
         document = msgspec.convert(stored.spec, ListingDocument)
     except msgspec.ValidationError as error:
         log_message("store:unread", object_kind="JOB_LISTINGS", name=stored.name, reason=str(error))
-        return ListingUnknown(f"the listing cannot be read: {error}")
+        return ListingUnknown(f"the listing of job {stored.name} cannot be decoded: {error}")
     return Listing(document, stored.revision)
--- a/src/quaymill/process/jobs/parallel_calls.py
+++ b/src/quaymill/process/jobs/parallel_calls.py
@@ -1,4 +1,4 @@
-"""One message to several peers at once, until enough of them have answered."""
+"""Sends one message to several peers in parallel until enough of them have replied."""
 
 from __future__ import annotations
 
@@ -20,19 +20,21 @@
 )
 
 HEDGE_S = 0.2
+"""Time without a reply after which more members are called."""
 OTHER_ZONE_WAIT_S = 0.4
-"""Time after which enough answers suffice without one from a further zone: half of the shortest
-time within which callers want to know that their job is accepted (0.8 s)."""
+"""Time after which enough replies suffice even if they come from too few zones."""
 
 
 @attrs.frozen
 class ZoneRule:
-    """In how many zones those who answer must lie, where they can be reached in time.
+    """The number of zones that the replying members should cover if reachable in time.
 
     Attributes
     ----------
+    needed
+        Number of zones.
     own
-        The caller's zone: members there can be reached when no other zone can.
+        The zone of this process: its members are reachable even if no other zone is.
     """
 
     needed: int
@@ -41,14 +43,14 @@
 
 @attrs.frozen
 class CallOutcome:
-    """What several calls brought.
+    """The replies to parallel calls.
 
     Attributes
     ----------
     replies
-        The answers, with those who gave them.
+        The replies, each with the member that sent it.
     maybe_acted
-        Whether a peer that gave no answer may have acted all the same.
+        Whether a peer that did not reply may have processed the message anyway.
     """
 
     replies: tuple[tuple[Member, Any], ...]
@@ -56,7 +58,7 @@
 
     @property
     def zones(self) -> frozenset[str]:
-        """The zones of those who answered."""
+        """The zones of the members that replied."""
         return frozenset(_zones_of(self.replies))
 
 
@@ -70,15 +72,15 @@
     at_once: int | None = None,
     zones: ZoneRule | None = None,
 ) -> CallOutcome:
-    """Call members in their order until ``needed`` have answered or none is left.
+    """Call members in the given order until ``needed`` have replied or none is left.
 
     Parameters
     ----------
     at_once
-        How many are called together at first, ``needed`` if left out; others follow for each
-        that fails, and when answers are slow.
+        Number of members called at first; ``needed`` by default. Another one is called for each
+        failed call, and more if replies are slow.
     zones
-        Left out if it does not matter in which zones those who answer lie.
+        ``None`` if the zones of the replying members do not matter.
     """
     return _Calls(peer_client, members, message, reply_type, timeout_s, zones).run(
         needed, at_once or needed
@@ -137,11 +139,11 @@
         return self._zones is not None and len(_zones_of(replies)) < self._zones.needed
 
     def _hedge(self, replies: list[tuple[Member, Any]], needed: int) -> None:
-        """Call more members as answers are slow.
+        """Call more members because replies are slow.
 
-        Silence may mean that a zone is cut off. So as many as are missing are called at once, first
-        those of zones that have answered and of the own one; if only a further zone is missing,
-        first those of the others.
+        A zone may be unreachable. So as many members as replies are missing are called at once,
+        starting with those in the local zone and in zones that have replied. If only another zone
+        is missing, members of other zones come first.
         """
         if self._zones is None:
             self._start_next()
@@ -154,7 +156,7 @@
             self._start_next()
 
     def _leave_out(self, zones: set[str]) -> None:
-        """Call no more members of these zones: only one of a further zone is missing, if any."""
+        """Do not call more members of these zones: at most a reply from another zone is missing."""
         self._waiting = [member for member in self._waiting if member.zone not in zones]
 
     def _start_next(self) -> bool:
--- a/src/quaymill/process/jobs/progress_saver.py
+++ b/src/quaymill/process/jobs/progress_saver.py
@@ -1,8 +1,8 @@
-"""Saves what runs of batch items have brought, so that a job's next coordinator goes on from there.
+"""Saves the progress of batch items, so that a job's next coordinator can resume them.
 
-A coordinator that stops hands its progress over. One that is killed cannot: without this its items
-would run again from their first event. Once a second, what is new of each item goes to the
-storage node that gives the job away when its coordinator is gone.
+A coordinator that stops hands its progress over, but one that is killed cannot. So each item's new
+events are sent regularly to the storage node that assigns the job to another gateway if its
+coordinator dies. Otherwise the items would run again from their first event.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 from quaymill.process.jobs.storage_client import JobStorageClient
 
 SAVE_INTERVAL_S = 1.0
-"""Work that may be lost with a coordinator; a write to one disk a job and interval."""
+"""Bounds the work that is lost with a coordinator; costs one disk write per job and interval."""
 
 LINEAGE_BYTES = 4
-"""Enough to tell the few coordinators of one job apart."""
+"""Enough to distinguish the few coordinators of one job."""
 
 
 class ProgressSaver:
@@ -30,7 +30,7 @@
     Parameters
     ----------
     open_jobs
-        Returns the jobs that are not over.
+        Returns the jobs that are not stopped.
     """
 
     def __init__(
@@ -42,22 +42,22 @@
         self._saved_by_job: dict[str, _Saved] = {}
 
     def start(self) -> None:
-        """Begin to save."""
+        """Start to save at intervals."""
         threading.Thread(target=self._run, name="item-progress", daemon=True).start()
 
     def stop(self) -> None:
-        """Save nothing more."""
+        """Stop saving."""
         self._stopping.set()
 
     def _run(self) -> None:
         while not self._stopping.wait(SAVE_INTERVAL_S):
             try:
                 self.save()
-            except Exception as error:  # A bug must not end the saving for good.
+            except Exception as error:  # A bug must not end the thread.
                 log_message("job:progress_error", error=repr(error))
 
     def save(self) -> None:
-        """Save what is new since the last time."""
+        """Save the events received since the last save."""
         jobs = {job.id: job for job in self._open_jobs()}
         self._saved_by_job = {
             job_id: saved for job_id, saved in self._saved_by_job.items() if job_id in jobs
@@ -69,8 +69,8 @@
         node = self._storage.progress_node(job.id)
         saved = self._saved_by_job.get(job.id)
         if saved is None or saved.job is not job or saved.node != node:
-            # Another node gives the job away now, or the job was adopted anew, with other texts:
-            # everything is told.
+            # Another node is responsible now, or the job was adopted again with other events: all
+            # progress is sent.
             saved = self._saved_by_job[job.id] = _Saved(job, node)
         new = tuple(saved.new_progress())
         if new and node and self._storage.store_progress(job.id, saved.lineage, new, node):
@@ -78,12 +78,13 @@
 
 
 class _Saved:
-    """What one storage node has of a job's items, in events by item.
+    """Progress of a job that one storage node has: the number of events by item.
 
     Attributes
     ----------
     lineage
-        Names the texts that this process has of the job; drawn anew where all is told again.
+        Random name for the series of events; a new one is used when all progress is sent again,
+        so that events of different runs are not joined.
     """
 
     def __init__(self, job: CoordinatedJob, node: str) -> None:
@@ -93,7 +94,7 @@
         self._events_by_index: dict[int, int] = {}
 
     def new_progress(self) -> list[ItemProgress]:
-        """Return what the node lacks."""
+        """Return the progress of unfinished items that the node does not have."""
         unfinished = [
             item for item in self.job.items if item.state in (ItemState.WAITING, ItemState.RUNNING)
         ]
@@ -101,6 +102,6 @@
         return [part for part in parts if part.texts]
 
     def take(self, progress: tuple[ItemProgress, ...]) -> None:
-        """Note that the node has these."""
+        """Record that the node has this progress."""
         for part in progress:
             self._events_by_index[part.index] = part.first + len(part.texts)
--- a/src/quaymill/process/jobs/result_publisher.py
+++ b/src/quaymill/process/jobs/result_publisher.py
@@ -1,6 +1,6 @@
-"""Puts the results of jobs on disks and into their listings.
+"""Stores the results of jobs on storage nodes and appends them to the jobs' listings.
 
-Threads: one for each job that is not over.
+Threads: one for each job until it is over.
 """
 
 from __future__ import annotations
@@ -18,28 +18,29 @@
 from quaymill.process.jobs.storage_client import JobStorageClient
 
 PUBLISH_INTERVAL_S = 0.4
-"""Least time between two appends to a listing: results that end close together share one."""
+"""Minimum time between two appends to a listing; results that finish within it share one append."""
 PUBLISH_RETRY_S = 0.5
 ENTRY_TRIES = 2
-"""Tries to enter a coordinator into a listing that another wrote meanwhile; appends try again."""
+"""Attempts to write the new coordinator into a listing that others change at the same time. Later
+appends write it as well."""
 AWAY_RETRY_S = 2.0
-"""Longest time between two tries while the store is away: by another gateway it may be reached
-before this one's circuit closes."""
+"""Maximum time between two attempts while the store is unavailable: another gateway may reach it
+before the circuit breaker of this one closes."""
 
 
 @attrs.frozen
 class PublisherParts:
-    """What a publisher uses.
+    """Dependencies of a publisher.
 
     Attributes
     ----------
     name
-        Of the coordinator whose results it lists.
+        Name of the coordinator whose results are listed.
     is_live
-        Whether a coordinator of that name is known to live.
+        Returns whether a coordinator with the given name is known to be alive.
     await_store
-        Waits up to a time (seconds) while the store is known to be away, until an append should be
-        tried again; returns at once, and ``False``, while it is not.
+        Waits until an append should be tried again, at most the given time (seconds), while the
+        store is known to be unavailable. Returns ``False`` at once if it is not.
     """
 
     name: str
@@ -50,14 +51,14 @@
 
 
 class ResultPublisher:
-    """Lists results in the order in which they end, until a job is over.
+    """Lists results in the order in which they finish, until a job is over.
 
     Parameters
     ----------
     begin_items
-        Called when a job's items may be run.
+        Called when the items of a job may be run.
     complete
-        Called with the id of a job whose last result was listed.
+        Called with the id of a job after its last result is listed.
     """
 
     def __init__(
@@ -72,15 +73,15 @@
         self._stopping = threading.Event()
 
     def stop(self) -> None:
-        """Wait no more between two appends."""
+        """Stop pausing between appends."""
         self._stopping.set()
 
     def follow(self, job: CoordinatedJob, *, adopted: bool) -> None:
-        """Follow a job to its end, in a thread of its own."""
+        """Start a thread that lists the results of a job until it is over."""
         threading.Thread(target=self._publish, args=(job, adopted), name="job", daemon=True).start()
 
     def settle_with_other(self, job: CoordinatedJob) -> None:
-        """Leave a job to another coordinator if that one stands in the listing and lives."""
+        """Leave a job to the coordinator named in its listing if that is another, live one."""
         began = boot_clock.now()
         listing = self._parts.listings.read(job.id)
         if isinstance(listing, Listing):
@@ -89,7 +90,7 @@
                 self._meet_other(job, listing)
 
     def _publish(self, job: CoordinatedJob, adopted: bool) -> None:
-        """Follow one job to its end."""
+        """List the results of one job until it is over."""
         if adopted:
             self._take_over(job)
         self._begin_items()
@@ -114,15 +115,16 @@
             self._complete(job.id)
 
     def _pause(self, listed: bool) -> None:
-        """Wait until the next append of a job; what ends meanwhile goes with it."""
+        """Wait before the next append of a job; results that finish meanwhile are part of it."""
         if listed:
             self._stopping.wait(PUBLISH_INTERVAL_S)
         elif not self._parts.await_store(AWAY_RETRY_S):
             self._stopping.wait(PUBLISH_RETRY_S)
 
     def _take_over(self, job: CoordinatedJob) -> None:
-        """Enter this coordinator into the listing, so that a former one finds out."""
-        # One that was told and has grown since is in the way of the write, and known by that.
+        """Write this coordinator into the listing, so that a previous one notices the takeover."""
+        # A handed-over listing that has grown since causes a write conflict, which returns the
+        # newer one.
         if not job.listing.revision and not self._read_listing(job):
             return
         for _ in range(ENTRY_TRIES):
@@ -138,7 +140,7 @@
         self._fetch_contents(job)
 
     def _read_listing(self, job: CoordinatedJob) -> bool:
-        """Take the listing that stands, if any; return whether that is known."""
+        """Load the stored listing, if there is one; return whether the store could be read."""
         began = boot_clock.now()
         listing = self._parts.listings.read(job.id)
         if isinstance(listing, ListingUnknown):
@@ -148,7 +150,7 @@
         return True
 
     def _list(self, job: CoordinatedJob, results: tuple[KeyedResult, ...]) -> bool:
-        """Put results on disks, then into the listing; return whether they stand there."""
+        """Store results, then append them to the listing; return whether they were appended."""
         if not self._parts.storage.store_results(job.id, results):
             log_message("job:results_not_stored", job=job.id, results=len(results))
             return False
@@ -173,7 +175,7 @@
         return True
 
     def _meet_other(self, job: CoordinatedJob, standing: Listing) -> None:
-        """Another coordinator wrote in between: leave the job to it if it lives."""
+        """Leave the job to the other coordinator that changed the listing, if it is alive."""
         other = standing.document.coordinator
         log_message("job:overtaken", job=job.id, other=other, revision=standing.revision)
         self._fetch_contents(job)
--- a/src/quaymill/process/jobs/result_reader.py
+++ b/src/quaymill/process/jobs/result_reader.py
@@ -1,4 +1,4 @@
-"""Reads results of jobs at any gateway: of the coordinator, or of the order and the contents."""
+"""Reads results of jobs at any gateway: from the coordinator, else from store and storage nodes."""
 
 from __future__ import annotations
 
@@ -25,11 +25,13 @@
 
 READ_TIMEOUT_S = 1.0
 MAX_HELD_READS = 24
+"""Reads that may wait for a result at the same time; each occupies a thread."""
 KNOWN_COORDINATORS = 2000
+"""Jobs whose coordinator is remembered; beyond it the memory is cleared."""
 
 
 class ResultReader:
-    """Reads results at this gateway, and answers other gateways that read at it.
+    """Reads results of jobs, and answers other gateways that read from this coordinator.
 
     Parameters
     ----------
@@ -58,7 +60,7 @@
         peer_server.register(ReadResults, self._answer)
 
     def read(self, job_id: str, since: int, wait_s: float) -> ResultsPage | NoSuchJob | Unsure:
-        """Return results from a position on, wherever the job is coordinated."""
+        """Return results from position ``since`` on, wherever the job is coordinated."""
         page, source = self._read(job_id, since, min(wait_s, READ_TIMEOUT_S))
         if isinstance(page, ResultsPage) and not page.results:
             log_message("job:read_empty", job=job_id, since=since, source=source, outcome="empty")
@@ -67,7 +69,7 @@
     def _read(
         self, job_id: str, since: int, wait_s: float
     ) -> tuple[ResultsPage | NoSuchJob | Unsure, str]:
-        """Return results, and the name of who told them; empty for the store's own order."""
+        """Return results and the name of their coordinator; empty if read from the store."""
         held = self._coordinator.get(job_id)
         if held is not None:
             return self._page(job_id, since, wait_s), self._coordinator.name
@@ -88,8 +90,8 @@
     def _page(self, job_id: str, since: int, wait_s: float) -> ResultsPage | Unsure:
         held = self._coordinator.get(job_id)
         if held is None:
-            return Unsure("the job has just moved")
-        # Reads that are held take threads; beyond a bound they are answered at once.
+            return Unsure("the job has just moved to another gateway")
+        # Waiting reads occupy threads; beyond the maximum, reads are answered at once.
         may_wait = wait_s > 0 and self._held_reads.acquire(blocking=False)
         try:
             page = held.page(since, wait_s if may_wait else 0.0)
@@ -99,24 +101,25 @@
         return page if page.results else self._certain_page(held, since)
 
     def _certain_page(self, held: CoordinatedJob, since: int) -> ResultsPage | Unsure:
-        """Make an empty page again from an order that is new enough.
+        """Return the page again, from a listing that is known to be recent enough.
 
-        The position may be listed in the store and have been read there: by an append of this
-        process that is not answered yet, by the coordinator before, or by a second one. Leases
-        do not tell; only the store does, or that no storage node has a result beyond the order.
+        The position may already be listed in the store, and clients may have read it there: by an
+        append of this process that is not answered yet, by the previous coordinator, or by a
+        second one. Leases do not rule this out. Only the store does, or a check that no storage
+        node has a result which is missing in the known listing.
         """
         if not held.order_is_certain():
             began = boot_clock.now()
             listing = self._listings.read(held.id)
             if isinstance(listing, ListingUnknown):
-                return Unsure(f"the order of the results cannot be read: {listing.reason}")
+                return Unsure(f"the listing of job {held.id} cannot be read: {listing.reason}")
             held.take_listing(listing or Listing(ListingDocument("", held.total)), began)
         return self._page_with_contents(held, since)
 
     def _page_with_contents(self, held: CoordinatedJob, since: int) -> ResultsPage | Unsure:
-        """Make a page again after fetching contents that an adopted job may lack.
+        """Return the page again, after fetching contents that an adopted job may lack.
 
-        A position that is listed may have been read already: it is never told to be empty.
+        A listed position may have been read already, so it is never reported as empty.
         """
         missing = held.missing_contents(since)
         if missing:
@@ -171,19 +174,19 @@
         self._coordinators_by_job[job_id] = coordinator
 
     def _read_directly(self, job_id: str, since: int, total: int) -> ResultsPage | Unsure:
-        """Read the order from the platform and the contents from storage nodes."""
+        """Read the listing from the platform's store and the contents from storage nodes."""
         listing = self._listings.read(job_id)
         if isinstance(listing, ListingUnknown):
-            return Unsure(f"the order of the results cannot be read: {listing.reason}")
+            return Unsure(f"the listing of job {job_id} cannot be read: {listing.reason}")
         document = ListingDocument("", total) if listing is None else listing.document
         keys = tuple(listed.key for listed in document.results[since:])
         contents = self._storage.fetch_results(job_id, keys) if keys else {}
         if len(contents) < len(set(keys)):
-            return Unsure("not all results can be read")
+            return Unsure(f"not all results of job {job_id} can be read from storage nodes")
         return make_page(document, contents, since)
 
     def _answer(self, message: ReadResults) -> ResultsPage | NotCoordinator:
         if self._coordinator.get(message.job_id) is None:
-            return NotCoordinator("the gateway does not run the job")
+            return NotCoordinator("this gateway does not coordinate the job")
         page = self._page(message.job_id, message.since, message.wait_s)
         return page if isinstance(page, ResultsPage) else NotCoordinator(page.reason)
--- a/src/quaymill/process/jobs/service.py
+++ b/src/quaymill/process/jobs/service.py
@@ -1,4 +1,4 @@
-"""Answers callers' requests about batch jobs at any gateway."""
+"""Submits, reads and ends batch jobs for clients, at any gateway."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 @attrs.frozen
 class Accepted:
-    """The system keeps the whole job from now on."""
+    """Enough storage nodes have stored the job."""
 
 
 @attrs.frozen
@@ -51,7 +51,7 @@
     Attributes
     ----------
     may_run
-        Whether a part of it may run all the same.
+        Whether some of its items may run anyway, because it may have been stored.
     """
 
     reason: str
@@ -110,10 +110,10 @@
         peer_server.register(HandOverJob, self._answer_hand_over)
         peer_server.register(StopJob, self._answer_stop)
 
-    # Calls of callers.
+    # Requests of clients.
 
     def submit(self, job: Job, route: RequestRoute) -> Accepted | NotAccepted | OverQuota:
-        """Keep a job and see that it runs; a job that is known already is accepted again."""
+        """Store a job and run it; a job that is already known is accepted again."""
         if self._coordinator.get(job.id) is not None:
             return Accepted()
         submitted = self._relay.submit(job, lambda: self._count_and_store(job, route))
@@ -124,7 +124,7 @@
         return NotAccepted(submitted.reason, submitted.may_run)
 
     def _count_and_store(self, job: Job, route: RequestRoute) -> Submitted:
-        """Count a job against its quota, then keep it: one over the quota must never run."""
+        """Count a job against its quota, then store it: a job over the quota must never run."""
         decision = self._quota.admit(job.id, route, job.document.tokens, job.tenant)
         if isinstance(decision, QuotaUnknown):
             return Submitted(False, decision.reason)
@@ -136,7 +136,7 @@
         return stored
 
     def _store(self, job: Job) -> Submitted:
-        """Keep a job on storage nodes, and coordinate it unless another gateway does."""
+        """Store a job on storage nodes, and coordinate it unless another gateway does."""
         kept = self._storage.store_job(job, self._coordinator.name)
         if isinstance(kept, NotKept):
             log_message("job:not_kept", job=job.id, reason=kept.reason, may_run=kept.maybe)
@@ -153,7 +153,7 @@
         return Submitted(True)
 
     def read(self, job_id: str, since: int, wait_s: float) -> ResultsPage | NoSuchJob | Unsure:
-        """Return results from a position on, wherever the job is coordinated."""
+        """Return results from position ``since`` on, wherever the job is coordinated."""
         return self._reader.read(job_id, since, wait_s)
 
     def read_body(self, job_id: str, item_id: str) -> bytes | NoSuchJob | NoSuchItem | Unsure:
@@ -162,7 +162,7 @@
         if held is not None:
             bodies = (item.body for item in held.job.document.items if item.id == item_id)
             body = next(bodies, None)
-            # An empty body is one, too.
+            # An empty body is a body, too.
             return NoSuchItem() if body is None else body
         body = self._storage.fetch_body(job_id, item_id)
         if isinstance(body, NotFound):
@@ -170,27 +170,27 @@
         return NoSuchItem() if body is None else body
 
     def end(self, job_id: str) -> Ended | NoSuchJob | Unsure:
-        """End a job; repeated calls are answered alike."""
+        """End a job; repeated calls have the same outcome."""
         found = self._storage.find_job(job_id)
         if isinstance(found, NotFound):
             return self._lookup.absence(job_id, found)
         kept, coordinators = self._storage.end_job(job_id)
         if not kept:
-            return Unsure("too few storage nodes have noted the end")
+            return Unsure("too few storage nodes have recorded the end of the job")
         if not self._coordinator.end(job_id):
             for name in coordinators | {found.coordinator}:
                 self._stop_elsewhere(job_id, name)
         return Ended()
 
     def hand_over_all(self) -> None:
-        """Give every open job to another gateway, with what its runs have brought."""
+        """Stop, and hand every open job over to another gateway with the progress of its items."""
         for order in self._coordinator.stop():
             ranked = rank_nodes(order.job.id, self._gateways())
             successors = (self._hand_over(order, member) for member in ranked[:2])
             successor = next(filter(None, successors), "")
             handed = (HandedOverJob(order.job.id, successor),) if successor else ()
             released = () if successor else (order.job.id,)
-            # At once: the successor cannot renew a lease that this coordinator still has.
+            # Immediately: the successor cannot renew a lease that this coordinator still holds.
             self._leases.renew(RenewJobs(self._coordinator.name, (), (), released, handed))
 
     # Helpers.
@@ -201,7 +201,7 @@
             self._peer_client.call(member.peer, StopJob(job_id), JobStopped, STOP_TIMEOUT_S)
 
     def _hand_over(self, order: HandOverJob, member: Member) -> str:
-        """Offer a job to a gateway; return the name of the coordinator that took it."""
+        """Offer a job to a gateway; return the name of its coordinator, empty if not adopted."""
         reply = self._peer_client.call(member.peer, order, JobAdopted, HAND_OVER_TIMEOUT_S)
         log_message(
             "job:handed_over",
@@ -211,14 +211,14 @@
         )
         return reply.coordinator if isinstance(reply, JobAdopted) else ""
 
-    # Calls of peers.
+    # Messages of peers.
 
     def _answer_submit(self, message: SubmitJob) -> JobSubmitted:
-        """Accept a job for another gateway; it is not handed on a second time."""
+        """Accept a job for another gateway; it is not relayed to a third one."""
         job = message.job
         route = self._coordinator.route_of(job)
         if route is None:
-            return JobSubmitted(False, "this gateway knows no route for the job")
+            return JobSubmitted(False, "this gateway has no route for the job")
         outcome = self._count_and_store(job, route)
         return JobSubmitted(outcome.accepted, outcome.reason, outcome.may_run)
 
--- a/src/quaymill/process/jobs/storage_client.py
+++ b/src/quaymill/process/jobs/storage_client.py
@@ -39,12 +39,20 @@
 END_TIMEOUT_S = 2.5
 FETCH_TIMEOUT_S = 1.5
 PROGRESS_TIMEOUT_S = 0.5
-"""Progress that is not kept in time is told again with the next."""
+"""Progress that is not stored in time is sent again with the next save."""
 
 
 @attrs.frozen
 class Kept:
-    """Enough storage nodes have the job on their disks."""
+    """Enough storage nodes have the job on their disks.
+
+    Attributes
+    ----------
+    coordinator
+        Name of the coordinator that runs the job.
+    ended
+        Whether a client has already ended the job.
+    """
 
     coordinator: str
     ended: bool = False
@@ -52,12 +60,12 @@
 
 @attrs.frozen
 class NotKept:
-    """Too few storage nodes have acknowledged.
+    """Too few storage nodes have acknowledged the job.
 
     Attributes
     ----------
     maybe
-        Whether some may have it all the same, so that it may yet be run.
+        Whether some storage node may have the job anyway, so that it may still be run.
     """
 
     reason: str
@@ -66,30 +74,31 @@
 
 @attrs.frozen
 class NotFound:
-    """No storage node told of the job.
+    """No storage node reported the job.
 
     Attributes
     ----------
     certain
-        Whether all of them said that they do not have it.
+        Whether all storage nodes answered that they do not have it.
     """
 
     certain: bool
 
 
 class JobStorageClient:
-    """What a gateway asks of the storage nodes.
+    """Stores and fetches jobs, results and progress at the storage nodes.
 
     Parameters
     ----------
     storage_nodes
-        Returns the live storage nodes, none that is leaving.
+        Returns the live storage nodes, without leaving ones.
     known_storage_nodes
-        Returns all that may hold something, also those that do not answer.
+        Returns all storage nodes that may hold data, including those that do not answer.
     rules
-        How many disks must have something before it is acknowledged, and which.
+        Decide which storage nodes hold copies, and how many must have one before data counts as
+        stored.
     zone
-        Where this gateway is.
+        The zone of this gateway.
     """
 
     def __init__(
@@ -107,7 +116,7 @@
         self._zone = zone
 
     def store_job(self, job: Job, coordinator: str) -> Kept | NotKept:
-        """Put a job on enough disks."""
+        """Store a job on enough storage nodes."""
         outcome = self._put(
             job.id,
             StoreJob(job, coordinator),
@@ -124,14 +133,14 @@
         return Kept(_agreed_coordinator([reply.coordinator for _, reply in outcome.replies]), ended)
 
     def store_results(self, job_id: str, results: Iterable[KeyedResult]) -> bool:
-        """Put contents of results on enough disks; return whether they are."""
+        """Store contents of results on enough storage nodes; return whether this succeeded."""
         message = StoreResults(job_id, tuple(results))
         return self._is_kept(self._put(job_id, message, ResultsStored, STORE_TIMEOUT_S))
 
     def store_progress(
         self, job_id: str, lineage: str, progress: tuple[ItemProgress, ...], node: str
     ) -> bool:
-        """Keep the progress of items at one storage node; return whether it is on its disk."""
+        """Store progress of items on one storage node; return whether it is on its disk."""
         for member in self._storage_nodes():
             if member.name == node:
                 message = StoreProgress(job_id, lineage, progress)
@@ -142,15 +151,21 @@
         return False
 
     def progress_node(self, job_id: str) -> str:
-        """Return the storage node that keeps a job's progress; empty if there is none.
+        """Return the name of the storage node for a job's progress; empty if there is none.
 
-        It is the one that gives the job away when its coordinator is gone.
+        It is the node that assigns the job to another gateway if its coordinator dies.
         """
         ranked = self._rules.rank(job_id, self._storage_nodes())
         return ranked[0].name if ranked else ""
 
     def find_job(self, job_id: str, *, whole: bool = False) -> JobFound | NotFound:
-        """Return what the storage nodes know of a job."""
+        """Look a job up at the storage nodes.
+
+        Parameters
+        ----------
+        whole
+            Whether to return the job itself as well.
+        """
         known = self._known_storage_nodes()
         unsure = not known
         waiting = list(self._nearest_first(job_id, known))
@@ -171,18 +186,24 @@
         return NotFound(certain=not unsure)
 
     def end_job(self, job_id: str) -> tuple[bool, frozenset[str]]:
-        """Mark a job as ended on enough disks; return whether it is, and who may run it."""
+        """Mark a job as ended on enough storage nodes.
+
+        Returns
+        -------
+        Whether the end is recorded, and the names of the coordinators that may run the job.
+        """
         outcome = self._put(
             job_id, EndJob(job_id), JobEnded, END_TIMEOUT_S, at_once=self._rules.kept
         )
         coordinators = frozenset(reply.coordinator for _, reply in outcome.replies)
-        # Beyond a cut a coordinator goes on: an end that only this side knows is none yet.
+        # A coordinator on the other side of a network partition continues the job, so the end
+        # must be known in enough zones.
         zones_needed = self._rules.zones_needed(self._known_storage_nodes())
         is_known = len(outcome.zones) >= zones_needed or self._rules.zones == 1
         return self._is_kept(outcome) and is_known, coordinators - {""}
 
     def fetch_results(self, job_id: str, keys: Iterable[ResultKey]) -> dict[ResultKey, JobResult]:
-        """Return contents of results, as many as can be found."""
+        """Return the contents of results that can be found."""
         found: dict[ResultKey, JobResult] = {}
         wanted = tuple(keys)
         for member in self._nearest_first(job_id, self._known_storage_nodes()):
@@ -197,7 +218,7 @@
         return found
 
     def fetch_body(self, job_id: str, item_id: str) -> bytes | None | NotFound:
-        """Return the body of an item; ``None`` if the job has no such item."""
+        """Return the request body of an item; ``None`` if the job has no such item."""
         unsure = False
         known = self._known_storage_nodes()
         for member in self._nearest_first(job_id, known):
@@ -220,7 +241,7 @@
         timeout_s: float,
         at_once: int | None = None,
     ) -> CallOutcome:
-        """Have enough storage nodes, in enough zones where these answer in time, take something."""
+        """Send a message until enough storage nodes, in enough zones if possible, have replied."""
         members = self._rules.rank(job_id, self._storage_nodes())
         zones = ZoneRule(self._rules.zones_needed(members), self._zone)
         outcome = call_members(
@@ -247,7 +268,7 @@
         return len(outcome.replies) >= self._rules.needed
 
     def _nearest_first(self, job_id: str, members: tuple[Member, ...]) -> list[Member]:
-        """Return members by rank, of those that rank first the ones in this zone first."""
+        """Return members by rank; among the holders of the copies, those in this zone first."""
         ranked = self._rules.rank(job_id, members)
         holders, others = list(ranked[: self._rules.kept]), list(ranked[self._rules.kept :])
         random.shuffle(holders)
@@ -256,16 +277,16 @@
 
 
 def _agreed_coordinator(named: list[str]) -> str:
-    """Return the coordinator that most storage nodes name, of those alike the first by name.
+    """Return the coordinator that most storage nodes name; of equals, the first in name order.
 
-    Two gateways may store a job at the same moment, and each find both names: both then take
-    the same one, so that neither leaves the job to the other.
+    If two gateways store a job at the same moment, each may see both names. Both must select the
+    same one, or each might leave the job to the other.
     """
     return min(named, key=lambda name: (-named.count(name), name))
 
 
 def _merged(found: list[JobFound]) -> JobFound:
-    """Return what several nodes know together: an end that one knows of holds."""
+    """Merge the answers of several storage nodes; the job is ended if any of them says so."""
     ended = any(one.ended for one in found)
     first = found[0]
     return JobFound(first.coordinator, ended, first.total, first.job)
--- a/src/quaymill/process/jobs/submission_relay.py
+++ b/src/quaymill/process/jobs/submission_relay.py
@@ -1,10 +1,9 @@
-"""Submits a job by way of another gateway where storage nodes do not answer this one in time.
+"""Submits a job through another gateway if this one cannot store it in time.
 
-A gateway may be cut off from the storage nodes, from some of them, or from the platform's store,
-while it reaches other gateways, and learns of it only when calls run out. Whoever sent the job
-has a fraction of a second. So the same job goes to another gateway as well once the own way takes
-longer than usual, and to a second one if that takes long too: a job is taken once, whichever way
-it comes.
+A gateway may be unable to reach storage nodes or the platform's store while it still reaches other
+gateways. It finds this out only when calls time out, which may be too late for the client. So if
+storing the job takes longer than usual, the job is also sent to another gateway, and to a second
+one if the first does not answer quickly. A job that arrives several times is accepted once.
 """
 
 from __future__ import annotations
@@ -25,24 +24,23 @@
 from quaymill.process.membership.ranking import rank_nodes
 
 RELAY_AFTER_S = 0.12
-"""Wait for one way before the next is tried as well: several times what storing takes, a third of
-the shortest objective that was met for accepting a job (0.4 s)."""
+"""Time after which the next attempt starts while the previous one is still running."""
 RELAYS = 2
-"""Other gateways that are asked: the first may be cut off too."""
+"""Maximum number of other gateways that are asked."""
 RELAY_TIMEOUT_S = 0.5
-"""Time for one of them: more than a caller's objective, and less than its patience."""
+"""Timeout of a call of another gateway."""
 
 
 @attrs.frozen
 class Submitted:
-    """What came of one way.
+    """Outcome of an attempt to submit a job.
 
     Attributes
     ----------
     may_run
-        Whether a part of a job that is not accepted may run all the same.
+        Whether items of a job that is not accepted may run anyway.
     over_quota
-        Set if the job is not accepted since it does not fit.
+        Set if the job is not accepted because it exceeds the quota.
     """
 
     accepted: bool
@@ -52,14 +50,16 @@
 
 
 class SubmissionRelay:
-    """Tries the own way and, when that takes long, the way by another gateway.
+    """Submits jobs from this gateway and, if that takes long, through other gateways.
 
     Parameters
     ----------
+    name
+        Name of this gateway.
     other_gateways
-        Returns the live gateways but this one.
+        Returns the live gateways without this one.
     can_store
-        Whether storage nodes enough are known to live.
+        Returns whether enough storage nodes are known to be alive.
     """
 
     def __init__(
@@ -75,12 +75,13 @@
         self._can_store = can_store
 
     def submit(self, job: Job, own_way: Callable[[], Submitted]) -> Submitted:
-        """Return the first acceptance, or what came of all ways.
+        """Return the first acceptance, or the merged outcome if all attempts fail.
 
         Parameters
         ----------
         own_way
-            Called in a thread of its own, and to its end whatever comes first.
+            Submits the job from this gateway. It runs in a thread of its own and to its end, even
+            if another attempt succeeds first.
         """
         outcomes: queue.SimpleQueue[Submitted] = queue.SimpleQueue()
         under_way = 0
@@ -99,7 +100,7 @@
                 under_way += 1
             elif not under_way:
                 return _merged(ended)
-            # With another gateway left to ask, a way that takes long is not waited for.
+            # While there may be another gateway to ask, do not wait long for an outcome.
             outcome = _next_outcome(outcomes, RELAY_AFTER_S if member is not None else None)
             if outcome is None:
                 continue
@@ -109,7 +110,7 @@
             under_way -= 1
 
     def _relay(self, member: Member, job: Job) -> Submitted:
-        """Ask another gateway to accept the job; what it may have done does no harm."""
+        """Ask another gateway to accept the job; it is harmless if several accept it."""
         reply = self._peer_client.call(member.peer, SubmitJob(job), JobSubmitted, RELAY_TIMEOUT_S)
         log_message(
             "job:relayed",
@@ -125,7 +126,7 @@
 
 
 def _merged(ended: list[Submitted]) -> Submitted:
-    """Return what is to be told when no way led to an acceptance."""
+    """Merge the outcomes of failed attempts; the reason is that of the first."""
     over_quota = next((one.over_quota for one in ended if one.over_quota is not None), None)
     reason = ended[0].reason if ended else "no storage node and no other gateway is known"
     return Submitted(False, reason, any(one.may_run for one in ended), over_quota)
@@ -144,7 +145,7 @@
     def run() -> None:
         try:
             outcomes.put(way())
-        except Exception as error:  # A bug in one way must not leave the caller waiting.
+        except Exception as error:  # A bug in one attempt must not leave the client waiting.
             log_message("job:submission_error", error=repr(error))
             outcomes.put(Submitted(False, "an internal error; see the log", may_run=True))
 
