--- a/src/quaymill/process/jobs/batch_quota.py
+++ b/src/quaymill/process/jobs/batch_quota.py
@@ -1,10 +1,10 @@
-"""Keeps batch routes within their quota of tokens that wait, over all gateways.
+"""Enforces the quota of unfinished tokens of batch routes across all gateways.
 
-Where there are tenants, each has the quota for itself, and a ledger of its own. A new job is
-counted before it is kept anywhere: under this gateway's allowance if it has one with room, else in
-the ledger (``quota_ledger``). A thread enters what was counted under the allowance once that is
-half used or renewed, corrects jobs by what is left of them, and renews the allowance; at one
-gateway for each route it also removes what nobody cares for any more.
+If there are tenants, each has a quota and a ledger of its own. A new job is counted before it is
+stored: under this gateway's allowance if the job fits there, else in the ledger (see
+``quota_ledger``). A thread reconciles the ledger with the jobs of this gateway: it enters jobs
+counted under the allowance, updates the unfinished tokens of jobs, and renews the allowance. For
+each route, one gateway also removes orphaned entries.
 """
 
 from __future__ import annotations
@@ -39,57 +39,57 @@
 from quaymill.version.request_routes import RequestRoute, RequestRoutes
 
 SETTLE_INTERVAL_S = 0.4
-"""Time between two looks at what has changed; a count is to follow within a second."""
+"""Interval at which changes of this gateway's jobs are looked for."""
 SETTLE_PAUSE_S = 0.2
-"""Bound of the first pause where others change a ledger as well: no caller waits for this one."""
+"""Maximum first pause after conflicts of a reconciliation; no client waits for it."""
 ALLOWANCE_RENEWAL_S = 20.0
-"""Time between two renewals of an allowance: two thirds of its term, as each costs two calls."""
+"""Interval at which an allowance is renewed; shorter than its term."""
 ALLOWANCE_TERM_S = 30.0
-"""Time after its last renewal until which an allowance may be used: longer than outages of the
-store that are ridden out, and half of what it takes until others take it back."""
+"""Time after its last renewal during which an allowance may be used. It bridges outages of the
+store, and ends long before the sweep removes the allowance."""
 FIRST_ALLOWANCE_S = 5.0
-"""Time after the start until which none is taken: a former process of this gateway may have
-given from its own, and those jobs are entered by whoever adopts them within this time."""
+"""Minimum time from the start to the first allowance. A previous process of this gateway may have
+used its allowance; the gateways that adopt its jobs enter them within this time."""
 FIRST_ALLOWANCE_SPREAD_S = 10.0
-"""Gateways that start together take theirs spread over so long: all change one object."""
+"""Random extra time before the first allowance, so that gateways which start together do not all
+change the ledger at once."""
 LEDGER_FRESH_S = 0.5
-"""Age up to which a ledger is changed without a look at what stands: others change it about once a
-second on the deployments measured."""
+"""Age up to which a known ledger is changed without reading it again."""
 SMALL_CHANGE_SHARE = 0.02
-"""A job's entry is corrected while it runs once this part of the quota has become free."""
+"""Share of the quota by which a running job's entry must differ before it is updated."""
 TIGHT_SHARE = 0.5
-"""From this part of the quota on every change is entered at once."""
+"""Share of the quota from which on every change is entered, however small."""
 DEFAULT_OVERRUN_SHARE = 0.1
-"""Overrun of a quota that is tolerated where the settings do not tell."""
+"""Tolerated overrun of a quota if the settings do not give one."""
 MIN_RETRY_AFTER_S = 0.3
 MAX_RETRY_AFTER_S = 5.0
-"""Bounds of the time after which a caller is told to come back: within a caller's patience."""
+"""Bounds of the time after which a client is asked to retry."""
 FREED_WINDOW_S = 10.0
-"""Time over which the rate at which tokens become free is taken: a few items' runs."""
+"""Time window over which the rate of freed tokens is computed."""
 UNUSED_AFTER_S = 2 * ALLOWANCE_TERM_S
-"""Time without a job after which a tenant's ledger is followed here no more: its allowance, which
-is renewed no more either, has run out by then."""
+"""Time without a job after which a tenant's ledger is no longer tracked here. Its allowance is not
+renewed either, and has expired by then."""
 
 
 class BatchQuota:
-    """Counts the tokens of jobs; safe to use from any thread.
+    """Counts the unfinished tokens of jobs; safe to use from any thread.
 
     Parameters
     ----------
     name
-        Of this gateway; the same after a restart.
+        Name of this gateway; the same after a restart.
     routes
-        Returns the routes in force.
+        Returns the current routes.
     coordinated_jobs
-        Returns the jobs of this gateway, those that are over included.
+        Returns the jobs of this gateway, including those that are over.
     gateways
-        Returns how many gateways live, this one included.
+        Returns the number of live gateways, including this one.
     is_known
-        Whether storage nodes have a job; ``None`` if they cannot tell.
+        Returns whether storage nodes have a job; ``None`` if that is not certain.
     overrun_share
-        Part of a quota by which it may be overrun.
+        Share of a quota by which it may be exceeded.
     sweep
-        Removes entries that nobody cares for, where this gateway does that for a route.
+        Removes orphaned entries of the routes that this gateway sweeps.
     """
 
     def __init__(
@@ -119,17 +119,17 @@
         )
 
     def start(self) -> None:
-        """Begin to enter changes and to renew allowances."""
+        """Start to reconcile ledgers and to renew allowances."""
         threading.Thread(target=self._settle_again_and_again, name="quota", daemon=True).start()
 
     def stop(self) -> None:
-        """Enter nothing more."""
+        """Stop reconciling ledgers."""
         self._stopping.set()
 
     def admit(
         self, job_id: str, route: RequestRoute, tokens: int, tenant: str | None = None
     ) -> QuotaDecision:
-        """Count a new job of a tenant; one that was accepted before is counted once."""
+        """Count a new job of a tenant; a job that is submitted again is counted once."""
         quota = route.max_unfinished_tokens
         if not quota:
             return Admitted("no-quota")
@@ -159,7 +159,7 @@
     def withdraw(
         self, job_id: str, route: RequestRoute, admitted: Admitted, tenant: str | None = None
     ) -> None:
-        """Take back the count of a job that was certainly not kept."""
+        """Undo the count of a job that was certainly not stored."""
         if not route.max_unfinished_tokens:
             return
         state = self._of(ledger_name(route.name, tenant))
@@ -172,7 +172,7 @@
     # Admission.
 
     def _charge(self, job_id: str, ledger: str, quota: int, tokens: int) -> Admitted | None:
-        """Count a job under the allowance, if that may be used and has room."""
+        """Count a job under the allowance; return ``None`` if it is not valid or too small."""
         state = self._of(ledger)
         with self._lock:
             if job_id in state.charged:
@@ -195,7 +195,7 @@
             known = document.jobs.get(job_id)
             is_new = known is None
             if known is not None:
-                # Written again, so that it is not removed as one that nobody cares for.
+                # Written again, so that it is not removed as orphaned.
                 return document.with_job(job_id, known.tokens)
             if not fits(document, tokens, quota, self._overrun_share):
                 return document
@@ -207,7 +207,7 @@
         if isinstance(standing, Ledger):
             standing = self._ledgers.change(ledger, standing, enter)
         if isinstance(standing, LedgerUnknown):
-            return QuotaUnknown(f"the ledger of the quota cannot be changed: {standing.reason}")
+            return QuotaUnknown(f"the quota ledger cannot be changed: {standing.reason}")
         self._take(state, standing)
         if job_id not in standing.document.jobs:
             held = standing.document.job_tokens
@@ -219,14 +219,14 @@
         return Admitted("ledger", entry if is_new else None)
 
     def _unless_known(self, job_id: str, over_quota: OverQuota) -> QuotaDecision:
-        """Admit a job that was accepted before and is not entered in the ledger yet."""
+        """Admit a job that was accepted before but is not in the ledger yet."""
         known = self._is_known(job_id)
         if known is None:
-            return QuotaUnknown("the storage nodes cannot tell whether the job was accepted before")
+            return QuotaUnknown("storage nodes cannot confirm whether the job was accepted before")
         return Admitted("accepted-before") if known else over_quota
 
     def _retry_after_s(self, state: RouteQuota, missing_tokens: int) -> float:
-        """Return when a job may fit, by the rate at which tokens became free of late."""
+        """Estimate after how many seconds a job may fit, from the recent rate of freed tokens."""
         oldest = boot_clock.now() - FREED_WINDOW_S
         with self._lock:
             while state.freed and state.freed[0][0] < oldest:
@@ -235,17 +235,17 @@
         wait_s = missing_tokens / rate if rate > 0 else MAX_RETRY_AFTER_S
         return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait_s))
 
-    # Settling.
+    # Reconciliation.
 
     def _settle_again_and_again(self) -> None:
         while not self._stopping.wait(SETTLE_INTERVAL_S):
             try:
                 self.settle()
-            except Exception as error:  # A bug must not end the counting of this gateway.
+            except Exception as error:  # A bug must not end the thread.
                 log_message("quota:settle_error", error=repr(error))
 
     def settle(self) -> None:
-        """Enter what has changed since the last time, for every ledger that is followed here."""
+        """Enter what has changed since the last call, in every ledger that is tracked here."""
         jobs_by_ledger: dict[str, list[CoordinatedJob]] = {}
         for job in self._coordinated_jobs():
             if job.route is not None:
@@ -265,9 +265,9 @@
     def _followed(
         self, route: str, routes: RequestRoutes, jobs_by_ledger: Mapping[str, object]
     ) -> frozenset[str]:
-        """Return the ledgers of a route to look at: of tenants only those with jobs here of late.
+        """Return the ledgers of a route to reconcile; of tenants only those with recent jobs here.
 
-        Thousands of tenants would else each cost every gateway an allowance to be renewed.
+        Otherwise every gateway would have to renew an allowance for each of thousands of tenants.
         """
         if routes.tenants is None:
             self._of(route)
@@ -289,7 +289,7 @@
         outstanding = {job.id: job.unfinished_tokens() for job in jobs if not job.handed_away}
         handed_away = frozenset(job.id for job in jobs if job.handed_away)
         if state is None and not outstanding:
-            return  # Another gateway's, which is only swept here.
+            return  # This gateway only sweeps the ledger.
         state = state or self._of(ledger)
         self._forget_jobs_over(state, outstanding, handed_away)
         if self._is_due(state, quota, outstanding):
@@ -304,7 +304,7 @@
                 del state.entered[job_id]
 
     def _is_due(self, state: RouteQuota, quota: int, outstanding: dict[str, int]) -> bool:
-        """Return whether there is something to write that cannot wait."""
+        """Return whether the ledger must be written now."""
         tight = state.ledger.document.job_tokens > TIGHT_SHARE * quota
         least = 1 if tight else SMALL_CHANGE_SHARE * quota
         with self._lock:
@@ -325,7 +325,7 @@
     def _write(
         self, ledger: str, state: RouteQuota, quota: int, outstanding: dict[str, int]
     ) -> None:
-        """Write what this gateway knows of its jobs, and its allowance, in one change."""
+        """Write the entries of this gateway's jobs and its allowance in one change."""
         began = boot_clock.now()
         may_take = began >= self._first_allowance_at
         with self._lock:
@@ -351,16 +351,15 @@
             state.renew_allowance(granted, quota, began)
 
     def _newer(self, ledger: str, state: RouteQuota) -> Ledger:
-        """Return the ledger to change: the one known if it is fresh, else one from a cheap read."""
+        """Return the ledger to change: the known one if it is fresh, else one from a cheap read."""
         if boot_clock.now() - state.ledger_at < LEDGER_FRESH_S:
             return state.ledger
         return self._ledgers.newer(ledger, state.ledger)
 
     def _next_allowance(self, state: RouteQuota, document: LedgerDocument, quota: int) -> int:
-        """Return the allowance to write; nothing more is given from one that shrinks.
+        """Return the allowance to write, and lower what is left of the current one to it.
 
-        Jobs that are counted while the write is under way must lie within the old allowance
-        and within the new one.
+        Jobs that are counted during the write must fit both the old and the new allowance.
         """
         granted = allowance_for(document, self._name, self._gateways(), quota)
         with self._lock:
@@ -368,7 +367,7 @@
         return granted
 
     def _take(self, state: RouteQuota, ledger: Ledger) -> None:
-        """Take a newer ledger, and note what has become free since the one before."""
+        """Store a newer ledger, and record the tokens freed since the previous one."""
         with self._lock:
             if ledger.revision <= state.ledger.revision:
                 return
--- a/src/quaymill/process/jobs/listing.py
+++ b/src/quaymill/process/jobs/listing.py
@@ -121,7 +121,7 @@
         # still in progress applies to the old revision only, so it fails after a later write.
         found = self.read(job_id)
         if found is None:
-            return ListingUnknown(f"the listing of job {job_id} was not written")
+            return ListingUnknown("the listing was not written")
         return found
 
     def delete(self, job_id: str) -> None:
@@ -150,5 +150,5 @@
         document = msgspec.convert(stored.spec, ListingDocument)
     except msgspec.ValidationError as error:
         log_message("store:unread", object_kind="JOB_LISTINGS", name=stored.name, reason=str(error))
-        return ListingUnknown(f"the listing of job {stored.name} cannot be decoded: {error}")
+        return ListingUnknown(f"the listing cannot be decoded: {error}")
     return Listing(document, stored.revision)
--- a/src/quaymill/process/jobs/quota_ledger.py
+++ b/src/quaymill/process/jobs/quota_ledger.py
@@ -1,9 +1,9 @@
-"""The ledger of a batch route's quota: which jobs hold how many waiting tokens.
+"""The ledger of a batch route's quota: the number of unfinished tokens of each job.
 
-There is one object for each route in the platform's store, changed by compare-and-swap only, so
-that two gateways that do not see each other never promise the same room. Beside the jobs it
-holds allowances: room that a gateway may give to new jobs by itself, without asking the store.
-The functions here decide; ``BatchQuota`` keeps the state.
+There is one object for each route, or for each tenant of a route, in the platform's store. It is
+changed by compare-and-swap only, so that two gateways never assign the same tokens of a quota, even
+if they cannot reach each other. The ledger also contains allowances: tokens that a gateway may
+assign to new jobs without calling the store. ``BatchQuota`` applies the rules of this module.
 """
 
 from __future__ import annotations
@@ -29,28 +29,27 @@
 )
 
 ALLOWANCES_SHARE = 0.25
-"""Part of the quota that all allowances take at most; taken only while jobs hold as little."""
+"""Maximum share of the quota for all allowances; granted only while jobs hold no more than it."""
 FREE_GATEWAYS = 2
-"""Allowances kept free for gateways that come: so many parts more than there are gateways."""
+"""Number of allowances reserved for gateways that start later."""
 MIN_ALLOWANCE_TOKENS = 4096
-"""A smaller allowance holds hardly a job, and is not worth the calls that renew it."""
+"""Minimum size of an allowance; a smaller one rarely fits a job."""
 OVERRUN_USED_SHARE = 0.8
-"""Part of the tolerated overrun that allowances may fill; the rest covers late counts."""
+"""Share of the tolerated overrun that allowances may use; the rest covers late counts."""
 MAX_CONFLICTS = 12
-"""Changes that are tried again on a newer ledger before it is given up as too busy."""
+"""Maximum number of attempts to change a ledger."""
 FIRST_CONFLICT_PAUSE_S = 0.05
-"""Bound of the first pause after a change that was overtaken twice: some calls of others fit in,
-and a caller that waits for its job's answer hardly notices."""
+"""Maximum of the first random pause, which follows the second conflict of a change."""
 CONFLICT_PAUSE_GROWTH = 2.0
 MAX_CONFLICT_PAUSE_S = 0.4
-"""Bound of later pauses: with all of them a caller is answered within about a second."""
+"""Maximum of any pause; bounds the time that a client waits for the answer to its submission."""
 
 TENANT_SEPARATOR = "~"
-"""Between the names of a route and of its tenant; it stands in no route's name as it is quoted."""
+"""Separates route and tenant in the name of a ledger; it is escaped in the route's name."""
 
 
 def ledger_name(route: str, tenant: str | None) -> str:
-    """Return the name of the ledger of a route, or of one tenant's part of it."""
+    """Return the name of the ledger of a route, or of one of its tenants."""
     if tenant is None:
         return route
     quoted = quote(route, safe="").replace(TENANT_SEPARATOR, "%7E")
@@ -58,19 +57,19 @@
 
 
 def is_ledger_of(name: str, route: str) -> bool:
-    """Return whether a ledger is a tenant's of that route."""
+    """Return whether a ledger belongs to a tenant of the route."""
     return name.startswith(ledger_name(route, ""))
 
 
 class JobTokens(msgspec.Struct, frozen=True, array_like=True):
-    """What one job holds.
+    """The entry of one job.
 
     Attributes
     ----------
     tokens
-        Tokens of its items that no replica has finished.
+        Tokens of its unfinished items.
     changes
-        Rises with each change, so that an entry that nobody cares for is told by standing still.
+        Increases with each change, so that an orphaned entry is recognised by not changing.
     """
 
     tokens: int
@@ -78,12 +77,12 @@
 
 
 class Allowance(msgspec.Struct, frozen=True, array_like=True):
-    """Room that one gateway may give to new jobs by itself.
+    """Tokens that one gateway may assign to new jobs without calling the store.
 
     Attributes
     ----------
     renewals
-        Rises with each renewal; one that stands still is taken back.
+        Increases with each renewal; an allowance that is not renewed is removed.
     """
 
     tokens: int
@@ -91,23 +90,23 @@
 
 
 class LedgerDocument(msgspec.Struct, frozen=True):
-    """What is stored; jobs by their id, allowances by the gateway's name."""
+    """The stored document: jobs by id, allowances by the name of their gateway."""
 
     jobs: dict[str, JobTokens] = {}
     allowances: dict[str, Allowance] = {}
 
     @property
     def job_tokens(self) -> int:
-        """Tokens that jobs hold."""
+        """Total tokens of all jobs."""
         return sum(entry.tokens for entry in self.jobs.values())
 
     @property
     def allowance_tokens(self) -> int:
-        """Tokens in all allowances."""
+        """Total tokens of all allowances."""
         return sum(allowance.tokens for allowance in self.allowances.values())
 
     def with_job(self, job_id: str, tokens: int) -> LedgerDocument:
-        """Return the ledger with what a job holds now; without it if that is nothing."""
+        """Return the ledger with the job's current tokens; without the job if there are none."""
         jobs = dict(self.jobs)
         known = jobs.pop(job_id, JobTokens(0))
         if tokens:
@@ -115,7 +114,7 @@
         return LedgerDocument(jobs, self.allowances)
 
     def with_allowance(self, gateway: str, tokens: int) -> LedgerDocument:
-        """Return the ledger with a gateway's allowance renewed; without it if it is nothing."""
+        """Return the ledger with a gateway's allowance renewed; without it if it is 0."""
         allowances = dict(self.allowances)
         known = allowances.pop(gateway, Allowance(0))
         if tokens:
@@ -133,7 +132,7 @@
 
 @attrs.frozen
 class LedgerUnknown:
-    """The store could not be asked, or did not tell what became of a change."""
+    """The ledger could not be read, or it is not known whether a change was written."""
 
     reason: str
 
@@ -141,12 +140,12 @@
 def conflict_pause_s(
     conflicts: int, first_pause_s: float, uniform: Callable[[float, float], float] = random.uniform
 ) -> float:
-    """Return the pause in seconds after so many conflicts in a row.
+    """Return the pause in seconds after a number of conflicts in a row.
 
-    Load answered: many gateways that change one ledger at once, as after an outage of the store.
-    After an odd conflict there is no pause: it brought the current revision, so that a try at once
-    has the best chance. After an even one others are writing too: a random pause, below a bound
-    that grows up to ``MAX_CONFLICT_PAUSE_S``, keeps the gateways from retrying in step.
+    Many gateways may change one ledger at once, for example after an outage of the store. The
+    first of each two conflicts returned the current revision, so retrying without a pause has the
+    best chance. After the second one, a random pause keeps the gateways from retrying at the same
+    time. Its maximum grows up to ``MAX_CONFLICT_PAUSE_S``.
     """
     if conflicts % 2:
         return 0.0
@@ -155,12 +154,12 @@
 
 
 def fits(document: LedgerDocument, tokens: int, quota: int, overrun_share: float) -> bool:
-    """Return whether a new job's tokens fit beside what is held.
+    """Return whether a new job's tokens fit the quota in addition to jobs and allowances.
 
     Parameters
     ----------
     overrun_share
-        Part of the quota by which a rare overrun is tolerated: allowances may lie in it.
+        Share of the quota by which it may rarely be exceeded; allowances may use most of it.
     """
     overrun = quota * overrun_share * OVERRUN_USED_SHARE
     allowances = max(0.0, document.allowance_tokens - overrun)
@@ -168,12 +167,12 @@
 
 
 def allowance_for(document: LedgerDocument, gateway: str, gateways: int, quota: int) -> int:
-    """Return the allowance that a gateway may hold by the ledger as it stands.
+    """Return the allowance in tokens that a gateway may have with the given ledger.
 
     Parameters
     ----------
     gateways
-        How many live gateways there are, this one included.
+        Number of live gateways, including this one.
     """
     most = quota * ALLOWANCES_SHARE
     if document.job_tokens > most:
@@ -185,13 +184,13 @@
 
 
 class QuotaLedgers:
-    """Reads and changes ledgers by route."""
+    """Reads and changes ledgers in the platform's store, by their names."""
 
     def __init__(self, store: ObjectStore) -> None:
         self._store = store
 
     def read(self, route: str) -> Ledger | LedgerUnknown:
-        """Return a route's ledger as it stands."""
+        """Return the stored ledger; an empty one at revision 0 if there is none."""
         found = self._store.get(ObjectKind.QUOTA_LEDGERS, route)
         if isinstance(found, ObjectMissing):
             return Ledger()
@@ -200,7 +199,7 @@
         return _ledger(found)
 
     def names(self) -> tuple[str, ...]:
-        """Return the names of all ledgers; none if the store does not tell."""
+        """Return the names of all ledgers; none if the store cannot list them."""
         found = self._store.list(ObjectKind.QUOTA_LEDGERS)
         if isinstance(found, StoreRefused | StoreUnanswered):
             log_message("quota:ledgers_unknown", reason=found.reason)
@@ -208,9 +207,9 @@
         return tuple(stored.name for stored in found.objects)
 
     def newer(self, route: str, known: Ledger) -> Ledger:
-        """Return a newer ledger than the one known, if a cheap read tells of one.
+        """Return a newer ledger than the known one if a cheap read finds it.
 
-        A change is tried on it first: on an old ledger it costs a second call.
+        The cheap read may return an old ledger. It makes conflicts of the next change less likely.
         """
         found = self._store.get(ObjectKind.QUOTA_LEDGERS, route, may_be_old=True)
         if isinstance(found, StoredObject) and found.revision > known.revision:
@@ -225,21 +224,21 @@
         change: Callable[[LedgerDocument], LedgerDocument],
         first_pause_s: float = FIRST_CONFLICT_PAUSE_S,
     ) -> Ledger | LedgerUnknown:
-        """Change a ledger, on top of whatever others have changed meanwhile.
+        """Change a ledger, again on top of the newer one after each conflict.
 
         Parameters
         ----------
         known
-            The ledger that is tried first.
+            The ledger to which the change is applied first.
         change
-            Returns the new document; returns the one given if nothing is to be written.
+            Returns the new document, or the given one if there is nothing to write.
         first_pause_s
-            Bound of the first pause where others change it at the same time.
+            Maximum of the first pause after conflicts.
 
         Returns
         -------
-        The ledger that stands, with the change in it. Its ``document`` is the newest one even
-        where nothing had to be written, unless ``known`` was given and left as it is.
+        The stored ledger with the change. If there is nothing to write, it is ``known`` or the
+        newer ledger that was found after a conflict or an unanswered write.
         """
         standing = known
         for conflicts in range(1, MAX_CONFLICTS + 1):
@@ -259,15 +258,15 @@
                 continue
             if isinstance(written, StoreRefused):
                 return LedgerUnknown(written.reason)
-            # Not answered, or no word of what stands: only reading tells. A write under way is
-            # bound to the old revision, and is lost once anything else is written.
+            # Not answered, or a conflict without the stored object: read to find out. A write that
+            # is still in progress applies to the old revision only, so it fails after another one.
             found = self.read(route)
             if isinstance(found, LedgerUnknown):
                 return found
             if found.document == document:
                 return found
             standing = found
-        return LedgerUnknown("too many others change the ledger")
+        return LedgerUnknown("too many gateways change the ledger at the same time")
 
     def _write(self, route: str, document: LedgerDocument, revision: int) -> object:
         spec = msgspec.to_builtins(document)
@@ -277,12 +276,12 @@
 
 
 def _ledger(stored: StoredObject) -> Ledger | LedgerUnknown:
-    """Return a stored ledger; what another writer left in its place tells nothing of the quota."""
+    """Decode a stored ledger; an object of another format counts as unknown."""
     try:
         document = msgspec.convert(stored.spec, LedgerDocument)
     except msgspec.ValidationError as error:
         log_message(
             "store:unread", object_kind="QUOTA_LEDGERS", name=stored.name, reason=str(error)
         )
-        return LedgerUnknown(f"the ledger cannot be read: {error}")
+        return LedgerUnknown(f"the ledger cannot be decoded: {error}")
     return Ledger(document, stored.revision)
--- a/src/quaymill/process/jobs/quota_sweep.py
+++ b/src/quaymill/process/jobs/quota_sweep.py
@@ -1,8 +1,8 @@
-"""Removes from a quota's ledger what nobody cares for any more.
+"""Removes orphaned entries from quota ledgers.
 
-A gateway that dies leaves entries behind: of jobs that were counted and never kept, of jobs that
-were over before their entry was removed, and its allowance. One gateway for each route, the
-one that ranks first for it, looks at the ledger now and then and removes what has stood still.
+A gateway that dies leaves entries behind: jobs that were counted but never stored, jobs that were
+over before their entry was removed, and its allowance. For each route, the gateway that ranks first
+for it checks the ledgers regularly and removes entries that have not changed for long enough.
 """
 
 from __future__ import annotations
@@ -16,33 +16,32 @@
 from quaymill.process.jobs.quota_ledger import Ledger, LedgerDocument, QuotaLedgers
 
 SWEEP_INTERVAL_S = 5.0
-"""Time between two looks; each is one call of the store at one gateway."""
+"""Interval between two sweeps of a ledger; each costs one call of the store."""
 UNCARED_AFTER_S = 10.0
-"""How long a job's entry must stand still before anyone asks about the job: several times what
-it takes until a job whose gateway died is run by another."""
+"""Time without a change after which the sweep checks whether an entry's job is over. It is longer
+than the adoption of a job by another gateway takes."""
 ALLOWANCE_LOST_AFTER_S = 60.0
-"""How long an allowance must stand still before it is taken back: twice the time after which
-its holder may not use it any more, since the holder's clock may run slower."""
+"""Time without a renewal after which an allowance is removed. It is longer than the term of an
+allowance, because the clock of its gateway may run slower."""
 
 
 @attrs.define
 class _Seen:
-    """How an entry looked, and since when (monotonic) it has looked so."""
+    """The last seen change counter of an entry, and the monotonic time since which it is so."""
 
     changes: int
     since: float
 
 
 class LedgerSweep:
-    """Looks at ledgers; used by one thread only.
+    """Sweeps ledgers; used by one thread only.
 
     Parameters
     ----------
     is_mine
-        Whether this gateway sweeps a route's ledger.
+        Returns whether this gateway sweeps the ledgers of a route.
     is_over
-        Whether nothing of a job waits any more, or it was never kept; ``False`` where that is
-        not certain.
+        Returns whether a job is certainly over or was never stored.
     """
 
     def __init__(
@@ -60,7 +59,7 @@
         self._seen: dict[tuple[str, str], _Seen] = {}
 
     def ledgers(self, route: str) -> tuple[str, ...]:
-        """Return the ledgers that stand in the store, at the gateway that sweeps this route's."""
+        """Return the names of all stored ledgers; none if another gateway sweeps the route."""
         now = boot_clock.now()
         if not self._is_mine(route):
             return ()
@@ -70,12 +69,12 @@
         return self._listed
 
     def look(self, ledger: str, route: str, own_jobs: frozenset[str]) -> None:
-        """Look at a ledger of a route, if it is time and this gateway's turn.
+        """Sweep a ledger of a route if it is due and this gateway sweeps the route.
 
         Parameters
         ----------
         own_jobs
-            Jobs that this gateway runs: it corrects their entries itself.
+            Jobs that this gateway runs; their entries are not removed here.
         """
         now = boot_clock.now()
         if not self._is_mine(route):
@@ -91,7 +90,7 @@
             return
 
         def remove(document: LedgerDocument) -> LedgerDocument:
-            """Remove only what still stands as it did when it was looked at."""
+            """Remove the entries that have not changed since they were checked."""
             for job_id in jobs:
                 if document.jobs.get(job_id) == held.document.jobs[job_id]:
                     document = document.with_job(job_id, 0)
@@ -104,7 +103,7 @@
         log_message("quota:swept", ledger=ledger, jobs=jobs, allowances=allowances)
 
     def _forget(self, ledger: str) -> None:
-        """Begin anew when this gateway's turn comes again."""
+        """Drop what was seen of a ledger that another gateway sweeps now."""
         self._seen = {key: seen for key, seen in self._seen.items() if key[0] != ledger}
 
     def _jobs_to_remove(
--- a/src/quaymill/process/jobs/result_reader.py
+++ b/src/quaymill/process/jobs/result_reader.py
@@ -112,7 +112,7 @@
             began = boot_clock.now()
             listing = self._listings.read(held.id)
             if isinstance(listing, ListingUnknown):
-                return Unsure(f"the listing of job {held.id} cannot be read: {listing.reason}")
+                return Unsure(f"the listing of the job cannot be read: {listing.reason}")
             held.take_listing(listing or Listing(ListingDocument("", held.total)), began)
         return self._page_with_contents(held, since)
 
@@ -177,12 +177,12 @@
         """Read the listing from the platform's store and the contents from storage nodes."""
         listing = self._listings.read(job_id)
         if isinstance(listing, ListingUnknown):
-            return Unsure(f"the listing of job {job_id} cannot be read: {listing.reason}")
+            return Unsure(f"the listing of the job cannot be read: {listing.reason}")
         document = ListingDocument("", total) if listing is None else listing.document
         keys = tuple(listed.key for listed in document.results[since:])
         contents = self._storage.fetch_results(job_id, keys) if keys else {}
         if len(contents) < len(set(keys)):
-            return Unsure(f"not all results of job {job_id} can be read from storage nodes")
+            return Unsure("not all listed results can be read from storage nodes")
         return make_page(document, contents, since)
 
     def _answer(self, message: ReadResults) -> ResultsPage | NotCoordinator:
--- a/src/quaymill/process/jobs/route_quota.py
+++ b/src/quaymill/process/jobs/route_quota.py
@@ -1,4 +1,4 @@
-"""How a job is counted against its quota, and what one gateway knows of a route's ledger."""
+"""Decisions on jobs under a quota, and what one gateway knows about a ledger."""
 
 from __future__ import annotations
 
@@ -9,10 +9,9 @@
 from quaymill.process.jobs.quota_ledger import JobTokens, Ledger, LedgerDocument
 
 ENTER_FROM_SHARE = 0.75
-"""Part of an allowance from which on the jobs counted under it are entered in the ledger, to have
-the whole allowance again. With less, a job is mostly over before it would have to be: neither its
-entry nor the removal of that costs a call of the store. More than one job of the deployments
-measured takes of an allowance (0.57 at 53 gateways)."""
+"""Share of an allowance above which the jobs counted under it are entered in the ledger, which
+makes the whole allowance available again. Below it, most jobs are over before they need an entry,
+which saves calls of the store."""
 
 
 @attrs.frozen
@@ -22,9 +21,9 @@
     Attributes
     ----------
     by
-        What counted them: ``allowance``, ``ledger``, ``accepted-before`` or ``no-quota``.
+        Why it is admitted: ``allowance``, ``ledger``, ``accepted-before`` or ``no-quota``.
     created
-        The entry that was made in the ledger; ``None`` if there was one, or none is needed.
+        The entry that was created in the ledger; ``None`` if it existed or is not needed.
     """
 
     by: str
@@ -33,12 +32,14 @@
 
 @attrs.frozen
 class OverQuota:
-    """The job does not fit now.
+    """The job exceeds the quota now.
 
     Attributes
     ----------
+    held_tokens
+        Tokens that jobs hold in the ledger.
     retry_after_s
-        When it may fit, by the rate at which tokens have become free.
+        Time in seconds after which it may fit, estimated from the rate of freed tokens.
     """
 
     held_tokens: int
@@ -48,7 +49,7 @@
 
 @attrs.frozen
 class QuotaUnknown:
-    """Whether the job fits cannot be told now."""
+    """It cannot be decided now whether the job fits the quota."""
 
     reason: str
 
@@ -58,13 +59,13 @@
 
 @attrs.frozen
 class PendingEntries:
-    """What is to be entered in a ledger beside the jobs that run: see ``RouteQuota``."""
+    """Changes to enter in a ledger in addition to running jobs; see ``RouteQuota``."""
 
     charged: dict[str, int]
     withdrawn: dict[str, JobTokens]
 
     def entered_in(self, document: LedgerDocument, outstanding: dict[str, int]) -> LedgerDocument:
-        """Return the ledger with all of it, and with what is left of the jobs that run."""
+        """Return the ledger with these changes and the unfinished tokens of running jobs."""
         for job_id in self.withdrawn.keys() - outstanding.keys() - self.charged.keys():
             if document.jobs.get(job_id) == self.withdrawn[job_id]:
                 document = document.with_job(job_id, 0)
@@ -76,33 +77,33 @@
 
 
 class RouteQuota:
-    """What a gateway knows of one route's ledger; guarded by ``BatchQuota``'s lock.
+    """What a gateway knows about one ledger; guarded by the lock of ``BatchQuota``.
 
     Attributes
     ----------
-    ledger_at
-        Monotonic time when ``ledger`` was told.
+    ledger, ledger_at
+        The newest known ledger, and the monotonic time when it was received.
     quota
-        The bound when the allowance was renewed last.
+        The quota at the last renewal of the allowance.
     granted
-        The allowance as it was renewed last.
+        Tokens of the allowance at its last renewal.
     charged
         Tokens by job that are counted under the allowance and not entered in the ledger.
     seen_running
-        Those jobs that have been seen to run here: once they do not, they are over.
+        The charged jobs that have run here: they are over once they no longer do.
     left
-        What is left of the allowance.
+        Tokens left of the allowance.
     renewed_at
-        Monotonic time before the last successful renewal began.
+        Monotonic time when the last successful renewal began.
     entered
-        Tokens by job that stand in the ledger by what this gateway has written or seen.
+        Tokens by job in the ledger, as this gateway last wrote or read them.
     withdrawn
-        Entries in the ledger that were made for jobs which were certainly not kept here. Such an
-        entry is removed only as it was made: another gateway that has accepted the job changes it.
+        Ledger entries created for jobs that were certainly not stored by this gateway. An entry
+        is removed only if it is unchanged: another gateway that accepted the job has changed it.
     freed
-        When tokens were seen to become free (monotonic), and how many.
+        Pairs of the monotonic time when tokens became free, and their number.
     used_at
-        Monotonic time when the ledger was last needed.
+        Monotonic time when the ledger was last used.
     """
 
     def __init__(self) -> None:
@@ -121,13 +122,14 @@
 
     @property
     def is_settled(self) -> bool:
-        """Whether nothing is left to be entered."""
+        """Whether there is nothing left to enter in the ledger."""
         return not self.charged and not self.withdrawn and not any(self.entered.values())
 
     def release_jobs_over(self, outstanding: dict[str, int], handed_away: frozenset[str]) -> None:
-        """Give the allowance back what was counted under it for jobs that are over.
+        """Return the tokens of jobs that are over to the allowance.
 
-        A job that was handed away stays counted: its new gateway may not have entered it yet.
+        A job that was handed to another gateway stays counted, because that gateway may not have
+        entered it yet.
         """
         self.seen_running |= self.charged.keys() & outstanding.keys()
         over = {
@@ -137,15 +139,15 @@
         }
         for job_id in over:
             self.left += self.charged.pop(job_id)
-            self.entered[job_id] = 0  # Nothing of it ever stood in the ledger.
+            self.entered[job_id] = 0  # It was never in the ledger.
         self.seen_running &= self.charged.keys()
 
     def has_many_charged(self) -> bool:
-        """Return whether so much is counted under the allowance that it should be entered."""
+        """Return whether enough tokens are charged to the allowance to enter their jobs."""
         return sum(self.charged.values()) > ENTER_FROM_SHARE * self.granted
 
     def note_entered(self, pending: PendingEntries, outstanding: dict[str, int]) -> None:
-        """Note what stands in the ledger now."""
+        """Record the entries that are now in the ledger."""
         for job_id in pending.withdrawn:
             self.withdrawn.pop(job_id, None)
         for job_id in pending.charged:
@@ -153,7 +155,7 @@
         self.entered |= pending.charged | outstanding
 
     def renew_allowance(self, granted: int, quota: int, renewed_at: float) -> None:
-        """Take an allowance that was written; what is counted under it since is taken off."""
+        """Record a renewed allowance, less the tokens that are still charged to it."""
         self.granted = granted
         self.left = max(0, granted - sum(self.charged.values()))
         self.quota = quota
