--- a/src/quaymill/process/jobs/batch_quota.py
+++ b/src/quaymill/process/jobs/batch_quota.py
@@ -38,16 +38,16 @@
 )
 from quaymill.version.request_routes import RequestRoute, RequestRoutes
 
-SETTLE_INTERVAL_S = 0.4
+RECONCILE_INTERVAL_S = 0.4
 """Interval at which changes of this gateway's jobs are looked for."""
-SETTLE_PAUSE_S = 0.2
+RECONCILE_PAUSE_S = 0.2
 """Maximum first pause after conflicts of a reconciliation; no client waits for it."""
 ALLOWANCE_RENEWAL_S = 20.0
 """Interval at which an allowance is renewed; shorter than its term."""
 ALLOWANCE_TERM_S = 30.0
 """Time after its last renewal during which an allowance may be used. It bridges outages of the
 store, and ends long before the sweep removes the allowance."""
-FIRST_ALLOWANCE_S = 5.0
+FIRST_ALLOWANCE_DELAY_S = 5.0
 """Minimum time from the start to the first allowance. A previous process of this gateway may have
 used its allowance; the gateways that adopt its jobs enter them within this time."""
 FIRST_ALLOWANCE_SPREAD_S = 10.0
@@ -57,7 +57,7 @@
 """Age up to which a known ledger is changed without reading it again."""
 SMALL_CHANGE_SHARE = 0.02
 """Share of the quota by which a running job's entry must differ before it is updated."""
-TIGHT_SHARE = 0.5
+ENTER_ALL_FROM_SHARE = 0.5
 """Share of the quota from which on every change is entered, however small."""
 DEFAULT_OVERRUN_SHARE = 0.1
 """Tolerated overrun of a quota if the settings do not give one."""
@@ -112,15 +112,17 @@
         self._overrun_share = overrun_share
         self._sweep = sweep
         self._lock = threading.Lock()
-        self._by_ledger: dict[str, RouteQuota] = {}
+        self._states_by_ledger: dict[str, RouteQuota] = {}
         self._stopping = threading.Event()
         self._first_allowance_at = (
-            boot_clock.now() + FIRST_ALLOWANCE_S + random.uniform(0.0, FIRST_ALLOWANCE_SPREAD_S)
+            boot_clock.now()
+            + FIRST_ALLOWANCE_DELAY_S
+            + random.uniform(0.0, FIRST_ALLOWANCE_SPREAD_S)
         )
 
     def start(self) -> None:
         """Start to reconcile ledgers and to renew allowances."""
-        threading.Thread(target=self._settle_again_and_again, name="quota", daemon=True).start()
+        threading.Thread(target=self._reconcile_loop, name="quota", daemon=True).start()
 
     def stop(self) -> None:
         """Stop reconciling ledgers."""
@@ -138,17 +140,17 @@
         decision = self._charge(job_id, ledger, quota, tokens)
         decision = decision or self._enter(job_id, ledger, quota, tokens)
         if isinstance(decision, OverQuota):
-            decision = self._unless_known(job_id, decision)
-        held = self._of(ledger).ledger
+            decision = self._admit_if_known(job_id, decision)
+        newest = self._state_of(ledger).ledger
         log_message(
             "quota:decided",
             job=job_id,
             route=route.name,
             tokens=tokens,
             quota=quota,
-            held=held.document.job_tokens,
-            allowances=held.document.allowance_tokens,
-            revision=held.revision,
+            held=newest.document.job_tokens,
+            allowances=newest.document.allowance_tokens,
+            revision=newest.revision,
             outcome=type(decision).__name__,
             by=getattr(decision, "by", ""),
             reason=getattr(decision, "reason", ""),
@@ -162,10 +164,10 @@
         """Undo the count of a job that was certainly not stored."""
         if not route.max_unfinished_tokens:
             return
-        state = self._of(ledger_name(route.name, tenant))
+        state = self._state_of(ledger_name(route.name, tenant))
         with self._lock:
             if admitted.by == "allowance":
-                state.left += state.charged.pop(job_id, 0)
+                state.remaining += state.charged.pop(job_id, 0)
             elif admitted.created is not None:
                 state.withdrawn[job_id] = admitted.created
 
@@ -173,21 +175,21 @@
 
     def _charge(self, job_id: str, ledger: str, quota: int, tokens: int) -> Admitted | None:
         """Count a job under the allowance; return ``None`` if it is not valid or too small."""
-        state = self._of(ledger)
+        state = self._state_of(ledger)
         with self._lock:
             if job_id in state.charged:
                 return Admitted("allowance")
             age_s = boot_clock.now() - state.renewed_at
             usable = state.quota <= quota and age_s < ALLOWANCE_TERM_S
-            if not usable or tokens > state.left:
+            if not usable or tokens > state.remaining:
                 return None
-            state.left -= tokens
+            state.remaining -= tokens
             state.charged[job_id] = tokens
             return Admitted("allowance")
 
     def _enter(self, job_id: str, ledger: str, quota: int, tokens: int) -> QuotaDecision:
         """Count a job in the ledger, if it fits there."""
-        state = self._of(ledger)
+        state = self._state_of(ledger)
         is_new = False
 
         def enter(document: LedgerDocument) -> LedgerDocument:
@@ -201,24 +203,24 @@
                 return document
             return document.with_job(job_id, tokens)
 
-        standing: Ledger | LedgerUnknown = self._newer(ledger, state)
-        if not standing.revision or enter(standing.document) is standing.document:
-            standing = self._ledgers.read(ledger)
-        if isinstance(standing, Ledger):
-            standing = self._ledgers.change(ledger, standing, enter)
-        if isinstance(standing, LedgerUnknown):
-            return QuotaUnknown(f"the quota ledger cannot be changed: {standing.reason}")
-        self._take(state, standing)
-        if job_id not in standing.document.jobs:
-            held = standing.document.job_tokens
+        current: Ledger | LedgerUnknown = self._newer(ledger, state)
+        if not current.revision or enter(current.document) is current.document:
+            current = self._ledgers.read(ledger)
+        if isinstance(current, Ledger):
+            current = self._ledgers.change(ledger, current, enter)
+        if isinstance(current, LedgerUnknown):
+            return QuotaUnknown(f"the quota ledger cannot be changed: {current.reason}")
+        self._update_ledger(state, current)
+        if job_id not in current.document.jobs:
+            held = current.document.job_tokens
             return OverQuota(held, quota, self._retry_after_s(state, held + tokens - quota))
-        entry = standing.document.jobs[job_id]
+        entry = current.document.jobs[job_id]
         with self._lock:
             state.withdrawn.pop(job_id, None)
             state.entered[job_id] = entry.tokens
         return Admitted("ledger", entry if is_new else None)
 
-    def _unless_known(self, job_id: str, over_quota: OverQuota) -> QuotaDecision:
+    def _admit_if_known(self, job_id: str, over_quota: OverQuota) -> QuotaDecision:
         """Admit a job that was accepted before but is not in the ledger yet."""
         known = self._is_known(job_id)
         if known is None:
@@ -237,14 +239,14 @@
 
     # Reconciliation.
 
-    def _settle_again_and_again(self) -> None:
-        while not self._stopping.wait(SETTLE_INTERVAL_S):
+    def _reconcile_loop(self) -> None:
+        while not self._stopping.wait(RECONCILE_INTERVAL_S):
             try:
-                self.settle()
+                self.reconcile()
             except Exception as error:  # A bug must not end the thread.
                 log_message("quota:settle_error", error=repr(error))
 
-    def settle(self) -> None:
+    def reconcile(self) -> None:
         """Enter what has changed since the last call, in every ledger that is tracked here."""
         jobs_by_ledger: dict[str, list[CoordinatedJob]] = {}
         for job in self._coordinated_jobs():
@@ -255,14 +257,14 @@
         for route in routes.routes:
             quota = route.max_unfinished_tokens
             if quota:
-                for ledger in self._followed(route.name, routes, jobs_by_ledger):
+                for ledger in self._tracked_ledgers(route.name, routes, jobs_by_ledger):
                     jobs = jobs_by_ledger.get(ledger, [])
-                    self._settle_ledger(ledger, quota, jobs)
+                    self._reconcile_ledger(ledger, quota, jobs)
                     if self._sweep is not None:
-                        own_jobs = frozenset(job.id for job in jobs if not job.handed_away)
-                        self._sweep.look(ledger, route.name, own_jobs)
+                        own_jobs = frozenset(job.id for job in jobs if not job.handed_over)
+                        self._sweep.sweep(ledger, route.name, own_jobs)
 
-    def _followed(
+    def _tracked_ledgers(
         self, route: str, routes: RequestRoutes, jobs_by_ledger: Mapping[str, object]
     ) -> frozenset[str]:
         """Return the ledgers of a route to reconcile; of tenants only those with recent jobs here.
@@ -270,43 +272,45 @@
         Otherwise every gateway would have to renew an allowance for each of thousands of tenants.
         """
         if routes.tenants is None:
-            self._of(route)
+            self._state_of(route)
             return frozenset({route})
         horizon = boot_clock.now() - UNUSED_AFTER_S
         with self._lock:
-            for name, state in list(self._by_ledger.items()):
-                if state.used_at < horizon and name not in jobs_by_ledger and state.is_settled:
-                    del self._by_ledger[name]
-            followed = {name for name in self._by_ledger if is_ledger_of(name, route)}
-        followed |= {name for name in jobs_by_ledger if is_ledger_of(name, route)}
+            for name, state in list(self._states_by_ledger.items()):
+                if state.used_at < horizon and name not in jobs_by_ledger and state.is_reconciled:
+                    del self._states_by_ledger[name]
+            tracked = {name for name in self._states_by_ledger if is_ledger_of(name, route)}
+        tracked |= {name for name in jobs_by_ledger if is_ledger_of(name, route)}
         if self._sweep is not None:
-            followed |= {name for name in self._sweep.ledgers(route) if is_ledger_of(name, route)}
-        return frozenset(followed)
+            tracked |= {name for name in self._sweep.ledgers(route) if is_ledger_of(name, route)}
+        return frozenset(tracked)
 
-    def _settle_ledger(self, ledger: str, quota: int, jobs: list[CoordinatedJob]) -> None:
+    def _reconcile_ledger(self, ledger: str, quota: int, jobs: list[CoordinatedJob]) -> None:
         with self._lock:
-            state = self._by_ledger.get(ledger)
-        outstanding = {job.id: job.unfinished_tokens() for job in jobs if not job.handed_away}
-        handed_away = frozenset(job.id for job in jobs if job.handed_away)
+            state = self._states_by_ledger.get(ledger)
+        outstanding = {job.id: job.unfinished_tokens() for job in jobs if not job.handed_over}
+        handed_over = frozenset(job.id for job in jobs if job.handed_over)
         if state is None and not outstanding:
             return  # This gateway only sweeps the ledger.
-        state = state or self._of(ledger)
-        self._forget_jobs_over(state, outstanding, handed_away)
-        if self._is_due(state, quota, outstanding):
+        state = state or self._state_of(ledger)
+        self._forget_jobs_over(state, outstanding, handed_over)
+        if self._must_write(state, quota, outstanding):
             self._write(ledger, state, quota, outstanding)
 
     def _forget_jobs_over(
-        self, state: RouteQuota, outstanding: dict[str, int], handed_away: frozenset[str]
+        self, state: RouteQuota, outstanding: dict[str, int], handed_over: frozenset[str]
     ) -> None:
         with self._lock:
-            state.release_jobs_over(outstanding, handed_away)
-            for job_id in [one for one in state.entered if one not in outstanding]:
+            state.release_jobs_over(outstanding, handed_over)
+            for job_id in [
+                entered_id for entered_id in state.entered if entered_id not in outstanding
+            ]:
                 del state.entered[job_id]
 
-    def _is_due(self, state: RouteQuota, quota: int, outstanding: dict[str, int]) -> bool:
+    def _must_write(self, state: RouteQuota, quota: int, outstanding: dict[str, int]) -> bool:
         """Return whether the ledger must be written now."""
-        tight = state.ledger.document.job_tokens > TIGHT_SHARE * quota
-        least = 1 if tight else SMALL_CHANGE_SHARE * quota
+        enter_all_changes = state.ledger.document.job_tokens > ENTER_ALL_FROM_SHARE * quota
+        min_change = 1 if enter_all_changes else SMALL_CHANGE_SHARE * quota
         with self._lock:
             if state.has_many_charged() or state.withdrawn or state.quota > quota:
                 return True
@@ -314,7 +318,7 @@
                 if job_id in state.charged:
                     continue
                 entered = state.entered.get(job_id)
-                if entered is None or abs(entered - tokens) >= least:
+                if entered is None or abs(entered - tokens) >= min_change:
                     return True
                 if entered and not tokens:
                     return True
@@ -334,20 +338,20 @@
 
         def enter_all(document: LedgerDocument) -> LedgerDocument:
             nonlocal granted
-            document = pending.entered_in(document, outstanding)
+            document = pending.apply_to(document, outstanding)
             granted = self._next_allowance(state, document, quota) if may_take else 0
             return document.with_allowance(self._name, granted)
 
         newer = self._newer(ledger, state)
         known = newer if newer.revision else self._ledgers.read(ledger)
         if isinstance(known, Ledger):
-            known = self._ledgers.change(ledger, known, enter_all, SETTLE_PAUSE_S)
+            known = self._ledgers.change(ledger, known, enter_all, RECONCILE_PAUSE_S)
         if isinstance(known, LedgerUnknown):
             log_message("quota:not_entered", ledger=ledger, reason=known.reason)
             return
-        self._take(state, known)
+        self._update_ledger(state, known)
         with self._lock:
-            state.note_entered(pending, outstanding)
+            state.record_entered(pending, outstanding)
             state.renew_allowance(granted, quota, began)
 
     def _newer(self, ledger: str, state: RouteQuota) -> Ledger:
@@ -363,10 +367,10 @@
         """
         granted = allowance_for(document, self._name, self._gateways(), quota)
         with self._lock:
-            state.left = min(state.left, granted)
+            state.remaining = min(state.remaining, granted)
         return granted
 
-    def _take(self, state: RouteQuota, ledger: Ledger) -> None:
+    def _update_ledger(self, state: RouteQuota, ledger: Ledger) -> None:
         """Store a newer ledger, and record the tokens freed since the previous one."""
         with self._lock:
             if ledger.revision <= state.ledger.revision:
@@ -381,8 +385,8 @@
             state.ledger = ledger
             state.ledger_at = boot_clock.now()
 
-    def _of(self, ledger: str) -> RouteQuota:
+    def _state_of(self, ledger: str) -> RouteQuota:
         with self._lock:
-            state = self._by_ledger.setdefault(ledger, RouteQuota())
+            state = self._states_by_ledger.setdefault(ledger, RouteQuota())
             state.used_at = boot_clock.now()
             return state
--- a/src/quaymill/process/jobs/coordinated_job.py
+++ b/src/quaymill/process/jobs/coordinated_job.py
@@ -24,7 +24,7 @@
 ORDER_TERM_SHARE = 0.9
 """Share of the time allowed for a listed position to reach all readers, during which a confirmed
 listing counts as the newest."""
-DEFAULT_ORDER_TERM_S = ORDER_TERM_SHARE * 1.0
+DEFAULT_LISTING_VALID_S = ORDER_TERM_SHARE * 1.0
 """For positions that every reader must see one second after the first read."""
 MAX_PAGE_BYTES = 1024 * 1024
 """Maximum total text of a page of results; a single larger result still makes a page."""
@@ -129,7 +129,7 @@
         job: Job,
         route: RequestRoute | None,
         coordinator: str,
-        order_term_s: float = DEFAULT_ORDER_TERM_S,
+        listing_valid_s: float = DEFAULT_LISTING_VALID_S,
     ) -> None:
         self.job = job
         self.route = route
@@ -143,7 +143,7 @@
         self.yielded = False
         # Even for a new job, another gateway that accepted it too may have listed results.
         self._order_confirmed_at = -math.inf
-        self._order_term_s = order_term_s
+        self._listing_valid_s = listing_valid_s
         self.listing = Listing(ListingDocument("", len(self.items)))
         self._finished: dict[int, KeyedResult] = {}
         self._contents: dict[ResultKey, JobResult] = {}
@@ -176,7 +176,7 @@
         return self.yielded and not self._finished
 
     @property
-    def handed_away(self) -> bool:
+    def handed_over(self) -> bool:
         """Whether this gateway has left the job to another one."""
         return self.abandoned or self.yielded
 
@@ -245,11 +245,11 @@
     def add_finished(self, results: Iterable[KeyedResult]) -> None:
         """Add results that the previous coordinator had not listed yet."""
         with self.changed:
-            for one in results:
-                item = self.items[one.key.index]
+            for keyed_result in results:
+                item = self.items[keyed_result.key.index]
                 if item.state is not ItemState.LISTED:
                     item.state = ItemState.FINISHED
-                    self._finished[one.key.index] = one
+                    self._finished[keyed_result.key.index] = keyed_result
             self.changed.notify_all()
 
     def unlisted(self) -> tuple[KeyedResult, ...]:
@@ -257,7 +257,7 @@
         with self.changed:
             return tuple(self._finished.values())
 
-    def take_listing(self, listing: Listing, as_of: float) -> None:
+    def update_listing(self, listing: Listing, as_of: float) -> None:
         """Replace the known listing by one from the store, unless that has fewer results.
 
         Parameters
@@ -270,7 +270,7 @@
             if len(listing.document.results) < len(self.listing.document.results):
                 return
             self.listing = listing
-            self.confirm_order(as_of)
+            self.confirm_listing(as_of)
             for listed in listing.document.results:
                 item = self.items[listed.index]
                 item.state = ItemState.LISTED
@@ -282,22 +282,22 @@
                     item.cancel()
             self.changed.notify_all()
 
-    def confirm_order(self, at: float) -> None:
+    def confirm_listing(self, at: float) -> None:
         """Record that the known listing was the newest one at a monotonic time."""
         self._order_confirmed_at = max(at, self._order_confirmed_at)
 
-    def order_is_certain(self) -> bool:
+    def listing_is_current(self) -> bool:
         """Return whether a position after the end of the known listing may be reported as empty."""
-        return self.complete or self.order_age_s() < self._order_term_s
+        return self.complete or self.listing_age_s() < self._listing_valid_s
 
-    def known_order(self) -> KnownOrder:
+    def known_listing(self) -> KnownOrder:
         """Return which items are in the known listing."""
         listed = 0
         for result in self.listing.document.results:
             listed |= 1 << result.index
         return KnownOrder(self.id, f"{listed:x}")
 
-    def order_age_s(self) -> float:
+    def listing_age_s(self) -> float:
         """Return how long ago the known listing was last confirmed as the newest (seconds)."""
         return boot_clock.now() - self._order_confirmed_at
 
@@ -345,7 +345,7 @@
         """Return results from position ``since`` on; wait up to ``wait_s`` seconds for one."""
         deadline = boot_clock.now() + wait_s
         with self.changed:
-            while not self._has_position(since) and not self._all_told(since):
+            while not self._has_position(since) and not self._no_more_expected(since):
                 remaining_s = deadline - boot_clock.now()
                 if remaining_s <= 0:
                     break
@@ -356,7 +356,7 @@
         listed = self.listing.document.results
         return position < len(listed) and listed[position].key in self._contents
 
-    def _all_told(self, position: int) -> bool:
+    def _no_more_expected(self, position: int) -> bool:
         return self.ended or self.abandoned or self.yielded or position >= self.total
 
 
--- a/src/quaymill/process/jobs/coordinator.py
+++ b/src/quaymill/process/jobs/coordinator.py
@@ -25,13 +25,13 @@
 from quaymill.process.jobs.coordinated_job import CoordinatedJob, ItemState
 from quaymill.process.jobs.item_dispatcher import DispatcherParts, ItemDispatcher
 from quaymill.process.jobs.lease_renewal import LeaseRenewal
-from quaymill.process.jobs.listing import Listing, told_order
+from quaymill.process.jobs.listing import Listing, shared_listing
 from quaymill.process.jobs.progress_saver import ProgressSaver
 from quaymill.process.jobs.result_publisher import PublisherParts, ResultPublisher
 from quaymill.version.request_routes import RequestRoute
 
 RENEW_INTERVAL_S = 0.6
-RENEW_GATHER_S = 0.05
+RENEWAL_DELAY_S = 0.05
 """Delay before each renewal, so that jobs which arrive together share it."""
 RETAINED_JOBS = 200
 """Number of stopped jobs that stay in memory."""
@@ -51,19 +51,19 @@
         dispatcher: DispatcherParts,
         publisher: PublisherParts,
         leases: LeaseRenewal,
-        order_term_s: float,
+        listing_valid_s: float,
     ) -> None:
         self.name = publisher.name
         """Name of this coordinator at storage nodes and gateways; changes at each restart."""
         self._leases = leases
-        self._order_term_s = order_term_s
+        self._listing_valid_s = listing_valid_s
         self._lock = threading.Lock()
         self._jobs_by_id: dict[str, CoordinatedJob] = {}
         self._stopping = threading.Event()
         self._newly_complete: list[str] = []
         self._renew_soon = threading.Event()
         self._dispatcher = ItemDispatcher(dispatcher, self.open_jobs)
-        self._publisher = ResultPublisher(publisher, self._dispatcher.wake, self._note_complete)
+        self._publisher = ResultPublisher(publisher, self._dispatcher.wake, self._record_complete)
         self._progress = ProgressSaver(publisher.storage, self.open_jobs)
 
     def start(self) -> None:
@@ -131,7 +131,7 @@
             "job:adopted",
             job=job.id,
             items=len(job.document.items),
-            events=sum(len(one.texts) for one in progress),
+            events=sum(len(item_progress.texts) for item_progress in progress),
         )
         self._begin(job, adopted=True, progress=progress, unlisted=unlisted, listing=listing)
         return True
@@ -156,7 +156,7 @@
         open_jobs = self.open_jobs()
         for job in open_jobs:
             job.stop(ended=False)
-        return [_hand_over_order(job) for job in open_jobs]
+        return [_hand_over_message(job) for job in open_jobs]
 
     def _begin(
         self,
@@ -168,25 +168,25 @@
         listing: Listing | None = None,
     ) -> None:
         with self._lock:
-            held = self._jobs_by_id.get(job.id)
-            if held is not None and not held.abandoned and not held.yielded:
+            known = self._jobs_by_id.get(job.id)
+            if known is not None and not known.abandoned and not known.yielded:
                 return
             coordinated = CoordinatedJob(
-                job, self._dispatcher.route_of(job), self.name, self._order_term_s
+                job, self._dispatcher.route_of(job), self.name, self._listing_valid_s
             )
-            for one in progress:
-                coordinated.items[one.index].resume_from(one)
+            for item_progress in progress:
+                coordinated.items[item_progress.index].resume_from(item_progress)
             coordinated.add_finished(unlisted)
             if listing is not None:
                 # It may have grown since, so it is not confirmed as the newest.
-                coordinated.take_listing(listing, -math.inf)
+                coordinated.update_listing(listing, -math.inf)
             self._jobs_by_id[job.id] = coordinated
             self._forget_old_jobs()
         # The first renewal confirms the listing; until then each empty page needs a store call.
         self._renew_soon.set()
         self._publisher.follow(coordinated, adopted=adopted)
 
-    def _note_complete(self, job_id: str) -> None:
+    def _record_complete(self, job_id: str) -> None:
         with self._lock:
             self._newly_complete.append(job_id)
 
@@ -197,11 +197,11 @@
             del self._jobs_by_id[job.id]
 
     def _renew(self) -> None:
-        beyond: frozenset[str] = frozenset()
+        unlisted_before: frozenset[str] = frozenset()
         while True:
             self._renew_soon.wait(RENEW_INTERVAL_S)
             # Jobs often arrive in bursts: a short delay renews them in one call.
-            if self._stopping.wait(RENEW_GATHER_S):
+            if self._stopping.wait(RENEWAL_DELAY_S):
                 return
             self._renew_soon.clear()
             jobs = self.open_jobs()
@@ -211,27 +211,27 @@
             if not open_jobs and not complete:
                 continue
             began = boot_clock.now()
-            orders = tuple(job.known_order() for job in jobs)
+            orders = tuple(job.known_listing() for job in jobs)
             outcome = self._leases.renew(RenewJobs(self.name, open_jobs, complete, orders=orders))
             for job_id in outcome.ended:
                 self.end(job_id)
             self._confirm(outcome.confirmed, began)
             # Our own append in progress can explain an unlisted result, but not in two renewals
             # in a row.
-            for job_id in outcome.taken | (outcome.unlisted & beyond):
+            for job_id in outcome.taken | (outcome.unlisted & unlisted_before):
                 job = self.get(job_id)
                 if job is not None:
-                    self._publisher.settle_with_other(job)
-            beyond = outcome.unlisted
+                    self._publisher.yield_if_taken_over(job)
+            unlisted_before = outcome.unlisted
 
     def _confirm(self, job_ids: Iterable[str], at: float) -> None:
         for job_id in job_ids:
             job = self.get(job_id)
             if job is not None:
-                job.confirm_order(at)
+                job.confirm_listing(at)
 
 
-def _hand_over_order(job: CoordinatedJob) -> HandOverJob:
+def _hand_over_message(job: CoordinatedJob) -> HandOverJob:
     """Return the message by which another coordinator continues a job."""
     age_s = boot_clock.now() - job.sent_at
     progress = tuple(
@@ -243,5 +243,5 @@
         msgspec.structs.replace(job.job, age_s=age_s),
         progress,
         job.unlisted(),
-        told_order(job.id, job.listing),
+        shared_listing(job.id, job.listing),
     )
--- a/src/quaymill/process/jobs/job_lookup.py
+++ b/src/quaymill/process/jobs/job_lookup.py
@@ -8,7 +8,7 @@
 from quaymill.process.jobs.listing import JobListings, Listing
 from quaymill.process.jobs.storage_client import JobStorageClient, NotFound
 
-CERTAIN_AFTER_S = 6.0
+DISCOVERY_TIME_S = 6.0
 """Time after its start by which a gateway has discovered all reachable storage nodes."""
 
 
@@ -32,7 +32,7 @@
         self._listings = listings
         self._started_at = boot_clock.now()
 
-    def absence(self, job_id: str, found: NotFound) -> NoSuchJob | Unsure:
+    def check_absence(self, job_id: str, found: NotFound) -> NoSuchJob | Unsure:
         """Return ``NoSuchJob`` only if it is certain that the job does not exist.
 
         A new gateway may not know all storage nodes yet, and a known one may just have lost its
@@ -40,7 +40,7 @@
         """
         if not found.certain:
             return Unsure("not all storage nodes answered")
-        if boot_clock.now() - self._started_at < CERTAIN_AFTER_S:
+        if boot_clock.now() - self._started_at < DISCOVERY_TIME_S:
             return Unsure("this gateway may not know all storage nodes yet")
         listing = self._listings.read(job_id)
         if listing is not None:
@@ -52,13 +52,13 @@
         found = self._storage.find_job(job_id)
         if not isinstance(found, NotFound):
             return True
-        return False if isinstance(self.absence(job_id, found), NoSuchJob) else None
+        return False if isinstance(self.check_absence(job_id, found), NoSuchJob) else None
 
     def is_over(self, job_id: str) -> bool:
         """Return whether a job is certainly over: never stored, ended, or completely listed."""
         found = self._storage.find_job(job_id)
         if isinstance(found, NotFound):
-            return isinstance(self.absence(job_id, found), NoSuchJob)
+            return isinstance(self.check_absence(job_id, found), NoSuchJob)
         if found.ended:
             return True
         listing = self._listings.read(job_id)
--- a/src/quaymill/process/jobs/lease_renewal.py
+++ b/src/quaymill/process/jobs/lease_renewal.py
@@ -45,10 +45,10 @@
 
 
 @attrs.frozen
-class _Answer:
+class _NodeReply:
     """The reply of one storage node, and the message it replied to."""
 
-    part: RenewJobs
+    node_message: RenewJobs
     reply: JobsRenewed
 
 
@@ -82,26 +82,28 @@
         """Renew, complete, release and hand over the leases of the jobs named in a message."""
         holders = self._result_holders()
         asked = tuple(member for member in holders if member.state is not MemberState.DEAD)
-        parts = list(self._parts(message, self._storage_nodes(), asked))
-        answers: list[_Answer] = []
+        node_messages = list(self._node_messages(message, self._storage_nodes(), asked))
+        answers: list[_NodeReply] = []
         threads = [
-            threading.Thread(target=self._renew_at, args=(member, part, answers), daemon=True)
-            for member, part in parts
+            threading.Thread(
+                target=self._renew_at, args=(member, node_message, answers), daemon=True
+            )
+            for member, node_message in node_messages
         ]
         for thread in threads:
             thread.start()
         for thread in threads:
             thread.join(RENEW_TIMEOUT_S)
-        outcome = _merged(list(answers), len(parts))
+        outcome = _merge(list(answers), len(node_messages))
         all_asked = bool(holders) and len(asked) == len(holders)
         return outcome if all_asked else attrs.evolve(outcome, confirmed=frozenset())
 
-    def _renew_at(self, member: Member, part: RenewJobs, answers: list[_Answer]) -> None:
-        reply = self._peer_client.call(member.peer, part, JobsRenewed, RENEW_TIMEOUT_S)
+    def _renew_at(self, member: Member, node_message: RenewJobs, answers: list[_NodeReply]) -> None:
+        reply = self._peer_client.call(member.peer, node_message, JobsRenewed, RENEW_TIMEOUT_S)
         if isinstance(reply, JobsRenewed):
-            answers.append(_Answer(part, reply))
+            answers.append(_NodeReply(node_message, reply))
 
-    def _parts(
+    def _node_messages(
         self, message: RenewJobs, live: tuple[Member, ...], asked: tuple[Member, ...]
     ) -> Iterator[tuple[Member, RenewJobs]]:
         """Yield the message for each storage node: the leases it keeps, and all listings."""
@@ -119,7 +121,7 @@
                 job_id = job.job_id if isinstance(job, HandedOverJob) else job
                 return member in holders_by_job[job_id]
 
-            part = RenewJobs(
+            node_message = RenewJobs(
                 message.coordinator,
                 tuple(filter(is_held, message.open_jobs)),
                 tuple(filter(is_held, message.complete_jobs)),
@@ -127,22 +129,22 @@
                 tuple(filter(is_held, message.handed_over_jobs)),
                 message.orders,
             )
-            if part != RenewJobs(message.coordinator, ()):
-                yield member, part
+            if node_message != RenewJobs(message.coordinator, ()):
+                yield member, node_message
 
 
-def _merged(answers: list[_Answer], asked: int) -> RenewalOutcome:
+def _merge(answers: list[_NodeReply], asked: int) -> RenewalOutcome:
     ended = {job_id for answer in answers for job_id in answer.reply.ended_jobs}
     taken = {job_id for answer in answers for job_id in answer.reply.taken_jobs}
     unlisted = {
         order.job_id
         for answer in answers
-        for order in answer.part.orders
+        for order in answer.node_message.orders
         if order.job_id not in answer.reply.confirmed_jobs
     }
     confirmed = set()
     if answers and len(answers) == asked:
-        confirmed = {order.job_id for order in answers[0].part.orders} - unlisted
+        confirmed = {order.job_id for order in answers[0].node_message.orders} - unlisted
     return RenewalOutcome(
         frozenset(ended), frozenset(taken), frozenset(unlisted), frozenset(confirmed)
     )
--- a/src/quaymill/process/jobs/listing.py
+++ b/src/quaymill/process/jobs/listing.py
@@ -97,7 +97,7 @@
             return None
         if isinstance(found, StoreRefused | StoreUnanswered):
             return ListingUnknown(found.reason)
-        return _listing(found)
+        return _decode_listing(found)
 
     def write(self, job_id: str, listing: Listing) -> Listing | ListingUnknown:
         """Write a listing on top of the revision at which it was read.
@@ -112,9 +112,9 @@
         else:
             written = self._store.create(ObjectKind.JOB_LISTINGS, job_id, spec)
         if isinstance(written, StoredObject):
-            return _listing(written)
+            return _decode_listing(written)
         if isinstance(written, RevisionConflict) and written.object is not None:
-            return _listing(written.object)
+            return _decode_listing(written.object)
         if isinstance(written, StoreRefused):
             return ListingUnknown(written.reason)
         # Not answered, or a conflict without the stored object: read to find out. A write that is
@@ -129,22 +129,22 @@
         self._store.delete(ObjectKind.JOB_LISTINGS, job_id)
 
 
-def told_order(job_id: str, listing: Listing) -> SharedObject | None:
+def shared_listing(job_id: str, listing: Listing) -> SharedObject | None:
     """Return a listing as sent to another coordinator; ``None`` if it was never stored."""
     if not listing.revision:
         return None
     return SharedObject(job_id, listing.revision, msgspec.to_builtins(listing.document))
 
 
-def read_told_order(told: SharedObject | None) -> Listing | None:
+def read_shared_listing(shared: SharedObject | None) -> Listing | None:
     """Return a listing received from another coordinator; ``None`` if there is none."""
-    if told is None:
+    if shared is None:
         return None
-    listing = _listing(StoredObject(told.name, told.revision, told.spec))
+    listing = _decode_listing(StoredObject(shared.name, shared.revision, shared.spec))
     return listing if isinstance(listing, Listing) else None
 
 
-def _listing(stored: StoredObject) -> Listing | ListingUnknown:
+def _decode_listing(stored: StoredObject) -> Listing | ListingUnknown:
     """Decode a stored listing; an object of another format counts as unknown."""
     try:
         document = msgspec.convert(stored.spec, ListingDocument)
--- a/src/quaymill/process/jobs/parallel_calls.py
+++ b/src/quaymill/process/jobs/parallel_calls.py
@@ -19,7 +19,7 @@
     PeerUnreachable,
 )
 
-HEDGE_S = 0.2
+HEDGE_DELAY_S = 0.2
 """Time without a reply after which more members are called."""
 OTHER_ZONE_WAIT_S = 0.4
 """Time after which enough replies suffice even if they come from too few zones."""
@@ -33,12 +33,12 @@
     ----------
     needed
         Number of zones.
-    own
+    local
         The zone of this process: its members are reachable even if no other zone is.
     """
 
     needed: int
-    own: str
+    local: str
 
 
 @attrs.frozen
@@ -69,25 +69,27 @@
     reply_type: Any,
     needed: int,
     timeout_s: float,
-    at_once: int | None = None,
+    initial_calls: int | None = None,
     zones: ZoneRule | None = None,
 ) -> CallOutcome:
     """Call members in the given order until ``needed`` have replied or none is left.
 
     Parameters
     ----------
-    at_once
+    initial_calls
         Number of members called at first; ``needed`` by default. Another one is called for each
         failed call, and more if replies are slow.
     zones
         ``None`` if the zones of the replying members do not matter.
     """
-    return _Calls(peer_client, members, message, reply_type, timeout_s, zones).run(
-        needed, at_once or needed
+    return _ParallelCalls(peer_client, members, message, reply_type, timeout_s, zones).run(
+        needed, initial_calls or needed
     )
 
 
-class _Calls:
+class _ParallelCalls:
+    """The calls of one message to several members."""
+
     def __init__(
         self,
         peer_client: PeerClient,
@@ -98,28 +100,28 @@
         zones: ZoneRule | None,
     ) -> None:
         self._peer_client = peer_client
-        self._waiting = list(members)
+        self._uncalled = list(members)
         self._message = message
         self._reply_type = reply_type
         began = boot_clock.now()
         self._deadline = began + timeout_s
         self._other_zone_deadline = began + OTHER_ZONE_WAIT_S
         self._zones = zones
-        self._answers: queue.SimpleQueue[tuple[Member, Any]] = queue.SimpleQueue()
+        self._answer_queue: queue.SimpleQueue[tuple[Member, Any]] = queue.SimpleQueue()
         self._in_flight = 0
 
-    def run(self, needed: int, at_once: int) -> CallOutcome:
+    def run(self, needed: int, initial_calls: int) -> CallOutcome:
         replies: list[tuple[Member, Any]] = []
         maybe_acted = False
-        for _ in range(at_once):
+        for _ in range(initial_calls):
             self._start_next()
-        while self._lacks_answers(replies, needed) and (self._in_flight or self._start_next()):
+        while self._lacks_replies(replies, needed) and (self._in_flight or self._start_next()):
             deadline = self._deadline if len(replies) < needed else self._other_zone_deadline
             remaining_s = deadline - boot_clock.now()
             if remaining_s <= 0:
                 break
             try:
-                member, answer = self._answers.get(timeout=min(HEDGE_S, remaining_s))
+                member, answer = self._answer_queue.get(timeout=min(HEDGE_DELAY_S, remaining_s))
             except queue.Empty:
                 self._hedge(replies, needed)
                 continue
@@ -130,10 +132,10 @@
             else:
                 replies.append((member, answer))
             if len(replies) >= needed:
-                self._leave_out(_zones_of(replies))
+                self._skip_zones(_zones_of(replies))
         return CallOutcome(tuple(replies), maybe_acted or self._in_flight > 0)
 
-    def _lacks_answers(self, replies: list[tuple[Member, Any]], needed: int) -> bool:
+    def _lacks_replies(self, replies: list[tuple[Member, Any]], needed: int) -> bool:
         if len(replies) < needed:
             return True
         return self._zones is not None and len(_zones_of(replies)) < self._zones.needed
@@ -148,21 +150,21 @@
         if self._zones is None:
             self._start_next()
             return
-        heard = _zones_of(replies) | {self._zones.own}
-        reachable = [member for member in self._waiting if member.zone in heard]
-        others = [member for member in self._waiting if member.zone not in heard]
-        self._waiting = reachable + others if len(replies) < needed else others + reachable
+        reached = _zones_of(replies) | {self._zones.local}
+        reachable = [member for member in self._uncalled if member.zone in reached]
+        others = [member for member in self._uncalled if member.zone not in reached]
+        self._uncalled = reachable + others if len(replies) < needed else others + reachable
         for _ in range(max(1, needed - len(replies))):
             self._start_next()
 
-    def _leave_out(self, zones: set[str]) -> None:
+    def _skip_zones(self, zones: set[str]) -> None:
         """Do not call more members of these zones: at most a reply from another zone is missing."""
-        self._waiting = [member for member in self._waiting if member.zone not in zones]
+        self._uncalled = [member for member in self._uncalled if member.zone not in zones]
 
     def _start_next(self) -> bool:
-        if not self._waiting:
+        if not self._uncalled:
             return False
-        member = self._waiting.pop(0)
+        member = self._uncalled.pop(0)
         self._in_flight += 1
         threading.Thread(target=self._call, args=(member,), name="peer-call", daemon=True).start()
         return True
@@ -170,7 +172,7 @@
     def _call(self, member: Member) -> None:
         timeout_s = max(0.05, self._deadline - boot_clock.now())
         answer = self._peer_client.call(member.peer, self._message, self._reply_type, timeout_s)
-        self._answers.put((member, answer))
+        self._answer_queue.put((member, answer))
 
 
 def _zones_of(replies: Iterable[tuple[Member, Any]]) -> set[str]:
--- a/src/quaymill/process/jobs/progress_saver.py
+++ b/src/quaymill/process/jobs/progress_saver.py
@@ -39,7 +39,7 @@
         self._storage = storage
         self._open_jobs = open_jobs
         self._stopping = threading.Event()
-        self._saved_by_job: dict[str, _Saved] = {}
+        self._saved_by_job: dict[str, _SavedProgress] = {}
 
     def start(self) -> None:
         """Start to save at intervals."""
@@ -71,13 +71,13 @@
         if saved is None or saved.job is not job or saved.node != node:
             # Another node is responsible now, or the job was adopted again with other events: all
             # progress is sent.
-            saved = self._saved_by_job[job.id] = _Saved(job, node)
-        new = tuple(saved.new_progress())
-        if new and node and self._storage.store_progress(job.id, saved.lineage, new, node):
-            saved.take(new)
+            saved = self._saved_by_job[job.id] = _SavedProgress(job, node)
+        unsaved = tuple(saved.new_progress())
+        if unsaved and node and self._storage.store_progress(job.id, saved.lineage, unsaved, node):
+            saved.record(unsaved)
 
 
-class _Saved:
+class _SavedProgress:
     """Progress of a job that one storage node has: the number of events by item.
 
     Attributes
@@ -101,7 +101,7 @@
         parts = [item.progress(self._events_by_index.get(item.index, 0)) for item in unfinished]
         return [part for part in parts if part.texts]
 
-    def take(self, progress: tuple[ItemProgress, ...]) -> None:
+    def record(self, progress: tuple[ItemProgress, ...]) -> None:
         """Record that the node has this progress."""
         for part in progress:
             self._events_by_index[part.index] = part.first + len(part.texts)
--- a/src/quaymill/process/jobs/quota_ledger.py
+++ b/src/quaymill/process/jobs/quota_ledger.py
@@ -30,7 +30,7 @@
 
 ALLOWANCES_SHARE = 0.25
 """Maximum share of the quota for all allowances; granted only while jobs hold no more than it."""
-FREE_GATEWAYS = 2
+SPARE_GATEWAYS = 2
 """Number of allowances reserved for gateways that start later."""
 MIN_ALLOWANCE_TOKENS = 4096
 """Minimum size of an allowance; a smaller one rarely fits a job."""
@@ -149,8 +149,8 @@
     """
     if conflicts % 2:
         return 0.0
-    longest_s = first_pause_s * CONFLICT_PAUSE_GROWTH ** (conflicts // 2 - 1)
-    return uniform(0.0, min(MAX_CONFLICT_PAUSE_S, longest_s))
+    max_pause_s = first_pause_s * CONFLICT_PAUSE_GROWTH ** (conflicts // 2 - 1)
+    return uniform(0.0, min(MAX_CONFLICT_PAUSE_S, max_pause_s))
 
 
 def fits(document: LedgerDocument, tokens: int, quota: int, overrun_share: float) -> bool:
@@ -174,13 +174,13 @@
     gateways
         Number of live gateways, including this one.
     """
-    most = quota * ALLOWANCES_SHARE
-    if document.job_tokens > most:
+    max_total = quota * ALLOWANCES_SHARE
+    if document.job_tokens > max_total:
         return 0
-    own = document.allowances.get(gateway, Allowance(0)).tokens
-    others = document.allowance_tokens - own
-    part = min(most / (gateways + FREE_GATEWAYS), most - others)
-    return math.floor(part) if part >= MIN_ALLOWANCE_TOKENS else 0
+    own_tokens = document.allowances.get(gateway, Allowance(0)).tokens
+    other_tokens = document.allowance_tokens - own_tokens
+    share = min(max_total / (gateways + SPARE_GATEWAYS), max_total - other_tokens)
+    return math.floor(share) if share >= MIN_ALLOWANCE_TOKENS else 0
 
 
 class QuotaLedgers:
@@ -196,7 +196,7 @@
             return Ledger()
         if isinstance(found, StoreRefused | StoreUnanswered):
             return LedgerUnknown(found.reason)
-        return _ledger(found)
+        return _decode_ledger(found)
 
     def names(self) -> tuple[str, ...]:
         """Return the names of all ledgers; none if the store cannot list them."""
@@ -213,7 +213,7 @@
         """
         found = self._store.get(ObjectKind.QUOTA_LEDGERS, route, may_be_old=True)
         if isinstance(found, StoredObject) and found.revision > known.revision:
-            ledger = _ledger(found)
+            ledger = _decode_ledger(found)
             return ledger if isinstance(ledger, Ledger) else known
         return known
 
@@ -240,19 +240,19 @@
         The stored ledger with the change. If there is nothing to write, it is ``known`` or the
         newer ledger that was found after a conflict or an unanswered write.
         """
-        standing = known
+        current = known
         for conflicts in range(1, MAX_CONFLICTS + 1):
-            document = change(standing.document)
-            if document is standing.document or document == standing.document:
-                return standing
-            written = self._write(route, document, standing.revision)
+            document = change(current.document)
+            if document is current.document or document == current.document:
+                return current
+            written = self._write(route, document, current.revision)
             if isinstance(written, StoredObject):
-                return _ledger(written)
+                return _decode_ledger(written)
             if isinstance(written, RevisionConflict) and written.object is not None:
-                ledger = _ledger(written.object)
+                ledger = _decode_ledger(written.object)
                 if isinstance(ledger, LedgerUnknown):
                     return ledger
-                standing = ledger
+                current = ledger
                 if conflicts < MAX_CONFLICTS:
                     time.sleep(conflict_pause_s(conflicts, first_pause_s))
                 continue
@@ -265,7 +265,7 @@
                 return found
             if found.document == document:
                 return found
-            standing = found
+            current = found
         return LedgerUnknown("too many gateways change the ledger at the same time")
 
     def _write(self, route: str, document: LedgerDocument, revision: int) -> object:
@@ -275,7 +275,7 @@
         return self._store.create(ObjectKind.QUOTA_LEDGERS, route, spec)
 
 
-def _ledger(stored: StoredObject) -> Ledger | LedgerUnknown:
+def _decode_ledger(stored: StoredObject) -> Ledger | LedgerUnknown:
     """Decode a stored ledger; an object of another format counts as unknown."""
     try:
         document = msgspec.convert(stored.spec, LedgerDocument)
--- a/src/quaymill/process/jobs/result_publisher.py
+++ b/src/quaymill/process/jobs/result_publisher.py
@@ -20,10 +20,10 @@
 PUBLISH_INTERVAL_S = 0.4
 """Minimum time between two appends to a listing; results that finish within it share one append."""
 PUBLISH_RETRY_S = 0.5
-ENTRY_TRIES = 2
+MAX_TAKEOVER_WRITES = 2
 """Attempts to write the new coordinator into a listing that others change at the same time. Later
 appends write it as well."""
-AWAY_RETRY_S = 2.0
+UNAVAILABLE_RETRY_S = 2.0
 """Maximum time between two attempts while the store is unavailable: another gateway may reach it
 before the circuit breaker of this one closes."""
 
@@ -80,14 +80,14 @@
         """Start a thread that lists the results of a job until it is over."""
         threading.Thread(target=self._publish, args=(job, adopted), name="job", daemon=True).start()
 
-    def settle_with_other(self, job: CoordinatedJob) -> None:
+    def yield_if_taken_over(self, job: CoordinatedJob) -> None:
         """Leave a job to the coordinator named in its listing if that is another, live one."""
         began = boot_clock.now()
         listing = self._parts.listings.read(job.id)
         if isinstance(listing, Listing):
-            job.take_listing(listing, began)
+            job.update_listing(listing, began)
             if listing.document.coordinator not in ("", self._parts.name):
-                self._meet_other(job, listing)
+                self._handle_takeover(job, listing)
 
     def _publish(self, job: CoordinatedJob, adopted: bool) -> None:
         """List the results of one job until it is over."""
@@ -99,7 +99,7 @@
                 job.changed.wait_for(lambda: job.over or job.unlisted(), PUBLISH_RETRY_S)
             results = job.unlisted()
             if results and not job.over:
-                listed = self._list(job, results)
+                listed = self._append(job, results)
                 self._pause(listed)
         log_message(
             "job:over",
@@ -118,7 +118,7 @@
         """Wait before the next append of a job; results that finish meanwhile are part of it."""
         if listed:
             self._stopping.wait(PUBLISH_INTERVAL_S)
-        elif not self._parts.await_store(AWAY_RETRY_S):
+        elif not self._parts.await_store(UNAVAILABLE_RETRY_S):
             self._stopping.wait(PUBLISH_RETRY_S)
 
     def _take_over(self, job: CoordinatedJob) -> None:
@@ -127,14 +127,14 @@
         # newer one.
         if not job.listing.revision and not self._read_listing(job):
             return
-        for _ in range(ENTRY_TRIES):
+        for _ in range(MAX_TAKEOVER_WRITES):
             began = boot_clock.now()
-            wanted = job.listing.with_results((), job.coordinator)
-            written = self._parts.listings.write(job.id, wanted)
+            proposed = job.listing.with_results((), job.coordinator)
+            written = self._parts.listings.write(job.id, proposed)
             if isinstance(written, ListingUnknown):
                 log_message("job:listing_unknown", job=job.id, reason=written.reason)
                 break
-            job.take_listing(written, began)
+            job.update_listing(written, began)
             if written.document.coordinator == job.coordinator:
                 break
         self._fetch_contents(job)
@@ -146,38 +146,38 @@
         if isinstance(listing, ListingUnknown):
             log_message("job:listing_unknown", job=job.id, reason=listing.reason)
             return False
-        job.take_listing(listing or Listing(ListingDocument("", job.total)), began)
+        job.update_listing(listing or Listing(ListingDocument("", job.total)), began)
         return True
 
-    def _list(self, job: CoordinatedJob, results: tuple[KeyedResult, ...]) -> bool:
+    def _append(self, job: CoordinatedJob, results: tuple[KeyedResult, ...]) -> bool:
         """Store results, then append them to the listing; return whether they were appended."""
         if not self._parts.storage.store_results(job.id, results):
             log_message("job:results_not_stored", job=job.id, results=len(results))
             return False
-        wanted = job.listing.with_results(map(listed_result, results), job.coordinator)
+        proposed = job.listing.with_results(map(listed_result, results), job.coordinator)
         began = boot_clock.now()
-        standing = self._parts.listings.write(job.id, wanted)
+        current = self._parts.listings.write(job.id, proposed)
         took_s = round(boot_clock.now() - began, 3)
-        if isinstance(standing, ListingUnknown):
-            log_message("job:listing_unknown", job=job.id, reason=standing.reason, took_s=took_s)
+        if isinstance(current, ListingUnknown):
+            log_message("job:listing_unknown", job=job.id, reason=current.reason, took_s=took_s)
             return False
-        job.take_listing(standing, began)
-        if standing.document != wanted.document:
-            self._meet_other(job, standing)
+        job.update_listing(current, began)
+        if current.document != proposed.document:
+            self._handle_takeover(job, current)
             return False
         log_message(
             "job:listed",
             job=job.id,
             results=len(results),
-            revision=standing.revision,
+            revision=current.revision,
             took_s=took_s,
         )
         return True
 
-    def _meet_other(self, job: CoordinatedJob, standing: Listing) -> None:
+    def _handle_takeover(self, job: CoordinatedJob, current: Listing) -> None:
         """Leave the job to the other coordinator that changed the listing, if it is alive."""
-        other = standing.document.coordinator
-        log_message("job:overtaken", job=job.id, other=other, revision=standing.revision)
+        other = current.document.coordinator
+        log_message("job:overtaken", job=job.id, other=other, revision=current.revision)
         self._fetch_contents(job)
         if other != self._parts.name and self._parts.is_live(other):
             job.yield_to(other)
--- a/src/quaymill/process/jobs/result_reader.py
+++ b/src/quaymill/process/jobs/result_reader.py
@@ -24,9 +24,9 @@
 from quaymill.process.jobs.storage_client import JobStorageClient, NotFound
 
 READ_TIMEOUT_S = 1.0
-MAX_HELD_READS = 24
+MAX_WAITING_READS = 24
 """Reads that may wait for a result at the same time; each occupies a thread."""
-KNOWN_COORDINATORS = 2000
+MAX_KNOWN_COORDINATORS = 2000
 """Jobs whose coordinator is remembered; beyond it the memory is cleared."""
 
 
@@ -55,9 +55,9 @@
         self._lookup = lookup
         self._peer_client = peer_client
         self._gateway_of = gateway_of
-        self._held_reads = threading.Semaphore(MAX_HELD_READS)
+        self._waiting_reads = threading.Semaphore(MAX_WAITING_READS)
         self._coordinators_by_job: dict[str, str] = {}
-        peer_server.register(ReadResults, self._answer)
+        peer_server.register(ReadResults, self._answer_read)
 
     def read(self, job_id: str, since: int, wait_s: float) -> ResultsPage | NoSuchJob | Unsure:
         """Return results from position ``since`` on, wherever the job is coordinated."""
@@ -70,37 +70,37 @@
         self, job_id: str, since: int, wait_s: float
     ) -> tuple[ResultsPage | NoSuchJob | Unsure, str]:
         """Return results and the name of their coordinator; empty if read from the store."""
-        held = self._coordinator.get(job_id)
-        if held is not None:
+        coordinated = self._coordinator.get(job_id)
+        if coordinated is not None:
             return self._page(job_id, since, wait_s), self._coordinator.name
         coordinator = self._coordinators_by_job.get(job_id)
-        page = self._ask_coordinator(job_id, since, wait_s, coordinator)
+        page = self._read_from_coordinator(job_id, since, wait_s, coordinator)
         if page is not None:
             return page, coordinator or ""
         found = self._storage.find_job(job_id)
         if isinstance(found, NotFound):
-            return self._lookup.absence(job_id, found), ""
+            return self._lookup.check_absence(job_id, found), ""
         if found.coordinator != coordinator:
-            page = self._ask_coordinator(job_id, since, wait_s, found.coordinator)
+            page = self._read_from_coordinator(job_id, since, wait_s, found.coordinator)
             if page is not None:
                 self._remember_coordinator(job_id, found.coordinator)
                 return page, found.coordinator
         return self._read_directly(job_id, since, found.total), ""
 
     def _page(self, job_id: str, since: int, wait_s: float) -> ResultsPage | Unsure:
-        held = self._coordinator.get(job_id)
-        if held is None:
+        coordinated = self._coordinator.get(job_id)
+        if coordinated is None:
             return Unsure("the job has just moved to another gateway")
         # Waiting reads occupy threads; beyond the maximum, reads are answered at once.
-        may_wait = wait_s > 0 and self._held_reads.acquire(blocking=False)
+        may_wait = wait_s > 0 and self._waiting_reads.acquire(blocking=False)
         try:
-            page = held.page(since, wait_s if may_wait else 0.0)
+            page = coordinated.page(since, wait_s if may_wait else 0.0)
         finally:
             if may_wait:
-                self._held_reads.release()
-        return page if page.results else self._certain_page(held, since)
+                self._waiting_reads.release()
+        return page if page.results else self._page_if_current(coordinated, since)
 
-    def _certain_page(self, held: CoordinatedJob, since: int) -> ResultsPage | Unsure:
+    def _page_if_current(self, coordinated: CoordinatedJob, since: int) -> ResultsPage | Unsure:
         """Return the page again, from a listing that is known to be recent enough.
 
         The position may already be listed in the store, and clients may have read it there: by an
@@ -108,40 +108,42 @@
         second one. Leases do not rule this out. Only the store does, or a check that no storage
         node has a result which is missing in the known listing.
         """
-        if not held.order_is_certain():
+        if not coordinated.listing_is_current():
             began = boot_clock.now()
-            listing = self._listings.read(held.id)
+            listing = self._listings.read(coordinated.id)
             if isinstance(listing, ListingUnknown):
                 return Unsure(f"the listing of the job cannot be read: {listing.reason}")
-            held.take_listing(listing or Listing(ListingDocument("", held.total)), began)
-        return self._page_with_contents(held, since)
+            coordinated.update_listing(
+                listing or Listing(ListingDocument("", coordinated.total)), began
+            )
+        return self._page_with_contents(coordinated, since)
 
-    def _page_with_contents(self, held: CoordinatedJob, since: int) -> ResultsPage | Unsure:
+    def _page_with_contents(self, coordinated: CoordinatedJob, since: int) -> ResultsPage | Unsure:
         """Return the page again, after fetching contents that an adopted job may lack.
 
         A listed position may have been read already, so it is never reported as empty.
         """
-        missing = held.missing_contents(since)
+        missing = coordinated.missing_contents(since)
         if missing:
-            held.add_contents(self._storage.fetch_results(held.id, missing))
-        page = held.page(since, 0.0)
+            coordinated.add_contents(self._storage.fetch_results(coordinated.id, missing))
+        page = coordinated.page(since, 0.0)
         if page.results:
             return page
-        listed = len(held.listing.document.results)
+        listed = len(coordinated.listing.document.results)
         if since < listed:
             return Unsure("a listed result cannot be read now")
         log_message(
             "job:order_told",
-            job=held.id,
+            job=coordinated.id,
             since=since,
             listed=listed,
-            revision=held.listing.revision,
-            age_s=round(held.order_age_s(), 3),
+            revision=coordinated.listing.revision,
+            age_s=round(coordinated.listing_age_s(), 3),
             outcome="empty",
         )
         return page
 
-    def _ask_coordinator(
+    def _read_from_coordinator(
         self, job_id: str, since: int, wait_s: float, coordinator: str | None
     ) -> ResultsPage | None:
         if not coordinator:
@@ -169,7 +171,7 @@
         return None
 
     def _remember_coordinator(self, job_id: str, coordinator: str) -> None:
-        if len(self._coordinators_by_job) >= KNOWN_COORDINATORS:
+        if len(self._coordinators_by_job) >= MAX_KNOWN_COORDINATORS:
             self._coordinators_by_job.clear()
         self._coordinators_by_job[job_id] = coordinator
 
@@ -185,7 +187,7 @@
             return Unsure("not all listed results can be read from storage nodes")
         return make_page(document, contents, since)
 
-    def _answer(self, message: ReadResults) -> ResultsPage | NotCoordinator:
+    def _answer_read(self, message: ReadResults) -> ResultsPage | NotCoordinator:
         if self._coordinator.get(message.job_id) is None:
             return NotCoordinator("this gateway does not coordinate the job")
         page = self._page(message.job_id, message.since, message.wait_s)
--- a/src/quaymill/process/jobs/route_quota.py
+++ b/src/quaymill/process/jobs/route_quota.py
@@ -64,7 +64,7 @@
     charged: dict[str, int]
     withdrawn: dict[str, JobTokens]
 
-    def entered_in(self, document: LedgerDocument, outstanding: dict[str, int]) -> LedgerDocument:
+    def apply_to(self, document: LedgerDocument, outstanding: dict[str, int]) -> LedgerDocument:
         """Return the ledger with these changes and the unfinished tokens of running jobs."""
         for job_id in self.withdrawn.keys() - outstanding.keys() - self.charged.keys():
             if document.jobs.get(job_id) == self.withdrawn[job_id]:
@@ -91,8 +91,8 @@
         Tokens by job that are counted under the allowance and not entered in the ledger.
     seen_running
         The charged jobs that have run here: they are over once they no longer do.
-    left
-        Tokens left of the allowance.
+    remaining
+        Remaining tokens of the allowance.
     renewed_at
         Monotonic time when the last successful renewal began.
     entered
@@ -113,7 +113,7 @@
         self.granted = 0
         self.charged: dict[str, int] = {}
         self.seen_running: set[str] = set()
-        self.left = 0
+        self.remaining = 0
         self.renewed_at = 0.0
         self.entered: dict[str, int] = {}
         self.withdrawn: dict[str, JobTokens] = {}
@@ -121,11 +121,11 @@
         self.used_at = 0.0
 
     @property
-    def is_settled(self) -> bool:
+    def is_reconciled(self) -> bool:
         """Whether there is nothing left to enter in the ledger."""
         return not self.charged and not self.withdrawn and not any(self.entered.values())
 
-    def release_jobs_over(self, outstanding: dict[str, int], handed_away: frozenset[str]) -> None:
+    def release_jobs_over(self, outstanding: dict[str, int], handed_over: frozenset[str]) -> None:
         """Return the tokens of jobs that are over to the allowance.
 
         A job that was handed to another gateway stays counted, because that gateway may not have
@@ -134,11 +134,11 @@
         self.seen_running |= self.charged.keys() & outstanding.keys()
         over = {
             job_id
-            for job_id in self.seen_running - handed_away
+            for job_id in self.seen_running - handed_over
             if not outstanding.get(job_id) and job_id in self.charged
         }
         for job_id in over:
-            self.left += self.charged.pop(job_id)
+            self.remaining += self.charged.pop(job_id)
             self.entered[job_id] = 0  # It was never in the ledger.
         self.seen_running &= self.charged.keys()
 
@@ -146,7 +146,7 @@
         """Return whether enough tokens are charged to the allowance to enter their jobs."""
         return sum(self.charged.values()) > ENTER_FROM_SHARE * self.granted
 
-    def note_entered(self, pending: PendingEntries, outstanding: dict[str, int]) -> None:
+    def record_entered(self, pending: PendingEntries, outstanding: dict[str, int]) -> None:
         """Record the entries that are now in the ledger."""
         for job_id in pending.withdrawn:
             self.withdrawn.pop(job_id, None)
@@ -157,6 +157,6 @@
     def renew_allowance(self, granted: int, quota: int, renewed_at: float) -> None:
         """Record a renewed allowance, less the tokens that are still charged to it."""
         self.granted = granted
-        self.left = max(0, granted - sum(self.charged.values()))
+        self.remaining = max(0, granted - sum(self.charged.values()))
         self.quota = quota
         self.renewed_at = renewed_at
--- a/src/quaymill/process/jobs/service.py
+++ b/src/quaymill/process/jobs/service.py
@@ -27,11 +27,11 @@
 from quaymill.process.jobs.coordinator import JobCoordinator
 from quaymill.process.jobs.job_lookup import JobLookup, NoSuchJob, Unsure
 from quaymill.process.jobs.lease_renewal import LeaseRenewal
-from quaymill.process.jobs.listing import read_told_order
+from quaymill.process.jobs.listing import read_shared_listing
 from quaymill.process.jobs.result_reader import ResultReader
 from quaymill.process.jobs.route_quota import OverQuota, QuotaUnknown
-from quaymill.process.jobs.storage_client import JobStorageClient, NotFound, NotKept
-from quaymill.process.jobs.submission_relay import SubmissionRelay, Submitted
+from quaymill.process.jobs.storage_client import JobStorageClient, NotFound, NotStored
+from quaymill.process.jobs.submission_relay import SubmissionOutcome, SubmissionRelay
 from quaymill.process.membership.ranking import rank_nodes
 from quaymill.version.request_routes import RequestRoute
 
@@ -123,34 +123,38 @@
             return submitted.over_quota
         return NotAccepted(submitted.reason, submitted.may_run)
 
-    def _count_and_store(self, job: Job, route: RequestRoute) -> Submitted:
+    def _count_and_store(self, job: Job, route: RequestRoute) -> SubmissionOutcome:
         """Count a job against its quota, then store it: a job over the quota must never run."""
         decision = self._quota.admit(job.id, route, job.document.tokens, job.tenant)
         if isinstance(decision, QuotaUnknown):
-            return Submitted(False, decision.reason)
+            return SubmissionOutcome(False, decision.reason)
         if isinstance(decision, OverQuota):
-            return Submitted(False, "the job does not fit the quota now", over_quota=decision)
+            return SubmissionOutcome(
+                False, "the job does not fit the quota now", over_quota=decision
+            )
         stored = self._store(job)
         if not stored.accepted and not stored.may_run:
             self._quota.withdraw(job.id, route, decision, job.tenant)
         return stored
 
-    def _store(self, job: Job) -> Submitted:
+    def _store(self, job: Job) -> SubmissionOutcome:
         """Store a job on storage nodes, and coordinate it unless another gateway does."""
-        kept = self._storage.store_job(job, self._coordinator.name)
-        if isinstance(kept, NotKept):
-            log_message("job:not_kept", job=job.id, reason=kept.reason, may_run=kept.maybe)
-            return Submitted(False, kept.reason, kept.maybe)
+        stored = self._storage.store_job(job, self._coordinator.name)
+        if isinstance(stored, NotStored):
+            log_message(
+                "job:not_kept", job=job.id, reason=stored.reason, may_run=stored.maybe_stored
+            )
+            return SubmissionOutcome(False, stored.reason, stored.maybe_stored)
         log_message(
             "job:accepted",
             job=job.id,
             items=len(job.document.items),
-            coordinator=kept.coordinator,
-            ended=kept.ended,
+            coordinator=stored.coordinator,
+            ended=stored.ended,
         )
-        if kept.coordinator == self._coordinator.name and not kept.ended:
+        if stored.coordinator == self._coordinator.name and not stored.ended:
             self._coordinator.accept(job)
-        return Submitted(True)
+        return SubmissionOutcome(True)
 
     def read(self, job_id: str, since: int, wait_s: float) -> ResultsPage | NoSuchJob | Unsure:
         """Return results from position ``since`` on, wherever the job is coordinated."""
@@ -158,24 +162,24 @@
 
     def read_body(self, job_id: str, item_id: str) -> bytes | NoSuchJob | NoSuchItem | Unsure:
         """Return the body of an item."""
-        held = self._coordinator.get(job_id)
-        if held is not None:
-            bodies = (item.body for item in held.job.document.items if item.id == item_id)
+        coordinated = self._coordinator.get(job_id)
+        if coordinated is not None:
+            bodies = (item.body for item in coordinated.job.document.items if item.id == item_id)
             body = next(bodies, None)
             # An empty body is a body, too.
             return NoSuchItem() if body is None else body
         body = self._storage.fetch_body(job_id, item_id)
         if isinstance(body, NotFound):
-            return self._lookup.absence(job_id, body)
+            return self._lookup.check_absence(job_id, body)
         return NoSuchItem() if body is None else body
 
     def end(self, job_id: str) -> Ended | NoSuchJob | Unsure:
         """End a job; repeated calls have the same outcome."""
         found = self._storage.find_job(job_id)
         if isinstance(found, NotFound):
-            return self._lookup.absence(job_id, found)
-        kept, coordinators = self._storage.end_job(job_id)
-        if not kept:
+            return self._lookup.check_absence(job_id, found)
+        recorded, coordinators = self._storage.end_job(job_id)
+        if not recorded:
             return Unsure("too few storage nodes have recorded the end of the job")
         if not self._coordinator.end(job_id):
             for name in coordinators | {found.coordinator}:
@@ -184,12 +188,12 @@
 
     def hand_over_all(self) -> None:
         """Stop, and hand every open job over to another gateway with the progress of its items."""
-        for order in self._coordinator.stop():
-            ranked = rank_nodes(order.job.id, self._gateways())
-            successors = (self._hand_over(order, member) for member in ranked[:2])
+        for message in self._coordinator.stop():
+            ranked = rank_nodes(message.job.id, self._gateways())
+            successors = (self._hand_over(message, member) for member in ranked[:2])
             successor = next(filter(None, successors), "")
-            handed = (HandedOverJob(order.job.id, successor),) if successor else ()
-            released = () if successor else (order.job.id,)
+            handed = (HandedOverJob(message.job.id, successor),) if successor else ()
+            released = () if successor else (message.job.id,)
             # Immediately: the successor cannot renew a lease that this coordinator still holds.
             self._leases.renew(RenewJobs(self._coordinator.name, (), (), released, handed))
 
@@ -200,12 +204,12 @@
         if member is not None:
             self._peer_client.call(member.peer, StopJob(job_id), JobStopped, STOP_TIMEOUT_S)
 
-    def _hand_over(self, order: HandOverJob, member: Member) -> str:
+    def _hand_over(self, message: HandOverJob, member: Member) -> str:
         """Offer a job to a gateway; return the name of its coordinator, empty if not adopted."""
-        reply = self._peer_client.call(member.peer, order, JobAdopted, HAND_OVER_TIMEOUT_S)
+        reply = self._peer_client.call(member.peer, message, JobAdopted, HAND_OVER_TIMEOUT_S)
         log_message(
             "job:handed_over",
-            job=order.job.id,
+            job=message.job.id,
             gateway=member.name,
             outcome=type(reply).__name__,
         )
@@ -223,15 +227,15 @@
         return JobSubmitted(outcome.accepted, outcome.reason, outcome.may_run)
 
     def _answer_adopt(self, message: AdoptJob) -> JobAdopted | PeerRefusal:
-        return self._adopted(self._coordinator.adopt(message.job, message.progress))
+        return self._adoption_reply(self._coordinator.adopt(message.job, message.progress))
 
     def _answer_hand_over(self, message: HandOverJob) -> JobAdopted | PeerRefusal:
-        listing = read_told_order(message.order)
-        taken = self._coordinator.adopt(message.job, message.progress, message.unlisted, listing)
-        return self._adopted(taken)
+        listing = read_shared_listing(message.order)
+        adopted = self._coordinator.adopt(message.job, message.progress, message.unlisted, listing)
+        return self._adoption_reply(adopted)
 
-    def _adopted(self, taken: bool) -> JobAdopted | PeerRefusal:
-        if taken:
+    def _adoption_reply(self, adopted: bool) -> JobAdopted | PeerRefusal:
+        if adopted:
             return JobAdopted(self._coordinator.name)
         return PeerRefusal("this gateway is stopping")
 
--- a/src/quaymill/process/jobs/storage_client.py
+++ b/src/quaymill/process/jobs/storage_client.py
@@ -43,7 +43,7 @@
 
 
 @attrs.frozen
-class Kept:
+class Stored:
     """Enough storage nodes have the job on their disks.
 
     Attributes
@@ -59,17 +59,17 @@
 
 
 @attrs.frozen
-class NotKept:
+class NotStored:
     """Too few storage nodes have acknowledged the job.
 
     Attributes
     ----------
-    maybe
+    maybe_stored
         Whether some storage node may have the job anyway, so that it may still be run.
     """
 
     reason: str
-    maybe: bool
+    maybe_stored: bool
 
 
 @attrs.frozen
@@ -115,27 +115,29 @@
         self._rules = rules
         self._zone = zone
 
-    def store_job(self, job: Job, coordinator: str) -> Kept | NotKept:
+    def store_job(self, job: Job, coordinator: str) -> Stored | NotStored:
         """Store a job on enough storage nodes."""
-        outcome = self._put(
+        outcome = self._replicate(
             job.id,
             StoreJob(job, coordinator),
             JobStored,
             STORE_TIMEOUT_S,
-            at_once=self._rules.kept,
+            initial_calls=self._rules.kept,
         )
-        if not self._is_kept(outcome):
-            return NotKept(
+        if not self._is_stored(outcome):
+            return NotStored(
                 f"{len(outcome.replies)} of {self._rules.needed} storage nodes have the job",
-                maybe=outcome.maybe_acted or bool(outcome.replies),
+                maybe_stored=outcome.maybe_acted or bool(outcome.replies),
             )
         ended = any(reply.ended for _, reply in outcome.replies)
-        return Kept(_agreed_coordinator([reply.coordinator for _, reply in outcome.replies]), ended)
+        return Stored(
+            _agreed_coordinator([reply.coordinator for _, reply in outcome.replies]), ended
+        )
 
     def store_results(self, job_id: str, results: Iterable[KeyedResult]) -> bool:
         """Store contents of results on enough storage nodes; return whether this succeeded."""
         message = StoreResults(job_id, tuple(results))
-        return self._is_kept(self._put(job_id, message, ResultsStored, STORE_TIMEOUT_S))
+        return self._is_stored(self._replicate(job_id, message, ResultsStored, STORE_TIMEOUT_S))
 
     def store_progress(
         self, job_id: str, lineage: str, progress: tuple[ItemProgress, ...], node: str
@@ -167,10 +169,10 @@
             Whether to return the job itself as well.
         """
         known = self._known_storage_nodes()
-        unsure = not known
-        waiting = list(self._nearest_first(job_id, known))
-        while waiting:
-            asked, waiting = waiting[: self._rules.kept], waiting[self._rules.kept :]
+        uncertain = not known
+        remaining = list(self._nearest_first(job_id, known))
+        while remaining:
+            asked, remaining = remaining[: self._rules.kept], remaining[self._rules.kept :]
             outcome = call_members(
                 self._peer_client,
                 asked,
@@ -181,9 +183,9 @@
             )
             found = [reply for _, reply in outcome.replies if isinstance(reply, JobFound)]
             if found:
-                return _merged(found)
-            unsure = unsure or len(outcome.replies) < len(asked)
-        return NotFound(certain=not unsure)
+                return _merge_found(found)
+            uncertain = uncertain or len(outcome.replies) < len(asked)
+        return NotFound(certain=not uncertain)
 
     def end_job(self, job_id: str) -> tuple[bool, frozenset[str]]:
         """Mark a job as ended on enough storage nodes.
@@ -192,15 +194,15 @@
         -------
         Whether the end is recorded, and the names of the coordinators that may run the job.
         """
-        outcome = self._put(
-            job_id, EndJob(job_id), JobEnded, END_TIMEOUT_S, at_once=self._rules.kept
+        outcome = self._replicate(
+            job_id, EndJob(job_id), JobEnded, END_TIMEOUT_S, initial_calls=self._rules.kept
         )
         coordinators = frozenset(reply.coordinator for _, reply in outcome.replies)
         # A coordinator on the other side of a network partition continues the job, so the end
         # must be known in enough zones.
         zones_needed = self._rules.zones_needed(self._known_storage_nodes())
         is_known = len(outcome.zones) >= zones_needed or self._rules.zones == 1
-        return self._is_kept(outcome) and is_known, coordinators - {""}
+        return self._is_stored(outcome) and is_known, coordinators - {""}
 
     def fetch_results(self, job_id: str, keys: Iterable[ResultKey]) -> dict[ResultKey, JobResult]:
         """Return the contents of results that can be found."""
@@ -219,7 +221,7 @@
 
     def fetch_body(self, job_id: str, item_id: str) -> bytes | None | NotFound:
         """Return the request body of an item; ``None`` if the job has no such item."""
-        unsure = False
+        uncertain = False
         known = self._known_storage_nodes()
         for member in self._nearest_first(job_id, known):
             reply = self._peer_client.call(
@@ -230,16 +232,16 @@
             )
             if isinstance(reply, FetchedBody):
                 return reply.body
-            unsure = unsure or not isinstance(reply, JobUnknown)
-        return NotFound(certain=bool(known) and not unsure)
+            uncertain = uncertain or not isinstance(reply, JobUnknown)
+        return NotFound(certain=bool(known) and not uncertain)
 
-    def _put(
+    def _replicate(
         self,
         job_id: str,
         message: PeerMessage,
         reply_type: type[PeerMessage],
         timeout_s: float,
-        at_once: int | None = None,
+        initial_calls: int | None = None,
     ) -> CallOutcome:
         """Send a message until enough storage nodes, in enough zones if possible, have replied."""
         members = self._rules.rank(job_id, self._storage_nodes())
@@ -251,10 +253,10 @@
             reply_type,
             needed=self._rules.needed,
             timeout_s=timeout_s,
-            at_once=at_once,
+            initial_calls=initial_calls,
             zones=zones if self._rules.zones > 1 else None,
         )
-        if self._is_kept(outcome) and len(outcome.zones) < self._rules.zones:
+        if self._is_stored(outcome) and len(outcome.zones) < self._rules.zones:
             log_message(
                 "job:kept_in_one_zone",
                 job=job_id,
@@ -264,7 +266,7 @@
             )
         return outcome
 
-    def _is_kept(self, outcome: CallOutcome) -> bool:
+    def _is_stored(self, outcome: CallOutcome) -> bool:
         return len(outcome.replies) >= self._rules.needed
 
     def _nearest_first(self, job_id: str, members: tuple[Member, ...]) -> list[Member]:
@@ -276,16 +278,16 @@
         return holders + others
 
 
-def _agreed_coordinator(named: list[str]) -> str:
+def _agreed_coordinator(names: list[str]) -> str:
     """Return the coordinator that most storage nodes name; of equals, the first in name order.
 
     If two gateways store a job at the same moment, each may see both names. Both must select the
     same one, or each might leave the job to the other.
     """
-    return min(named, key=lambda name: (-named.count(name), name))
+    return min(names, key=lambda name: (-names.count(name), name))
 
 
-def _merged(found: list[JobFound]) -> JobFound:
+def _merge_found(found: list[JobFound]) -> JobFound:
     """Merge the answers of several storage nodes; the job is ended if any of them says so."""
     ended = any(one.ended for one in found)
     first = found[0]
--- a/src/quaymill/process/jobs/submission_relay.py
+++ b/src/quaymill/process/jobs/submission_relay.py
@@ -25,14 +25,14 @@
 
 RELAY_AFTER_S = 0.12
 """Time after which the next attempt starts while the previous one is still running."""
-RELAYS = 2
+MAX_RELAYS = 2
 """Maximum number of other gateways that are asked."""
 RELAY_TIMEOUT_S = 0.5
 """Timeout of a call of another gateway."""
 
 
 @attrs.frozen
-class Submitted:
+class SubmissionOutcome:
     """Outcome of an attempt to submit a job.
 
     Attributes
@@ -74,42 +74,44 @@
         self._other_gateways = other_gateways
         self._can_store = can_store
 
-    def submit(self, job: Job, own_way: Callable[[], Submitted]) -> Submitted:
+    def submit(
+        self, job: Job, submit_locally: Callable[[], SubmissionOutcome]
+    ) -> SubmissionOutcome:
         """Return the first acceptance, or the merged outcome if all attempts fail.
 
         Parameters
         ----------
-        own_way
+        submit_locally
             Submits the job from this gateway. It runs in a thread of its own and to its end, even
             if another attempt succeeds first.
         """
-        outcomes: queue.SimpleQueue[Submitted] = queue.SimpleQueue()
-        under_way = 0
+        outcomes: queue.SimpleQueue[SubmissionOutcome] = queue.SimpleQueue()
+        running = 0
         if self._can_store():
-            _in_thread(own_way, outcomes)
-            under_way = 1
-            own = _next_outcome(outcomes, RELAY_AFTER_S)
-            if own is not None:
-                return own
-        others = iter(rank_nodes(f"relay/{self._name}", self._other_gateways())[:RELAYS])
-        ended: list[Submitted] = []
+            _start_attempt(submit_locally, outcomes)
+            running = 1
+            local = _next_outcome(outcomes, RELAY_AFTER_S)
+            if local is not None:
+                return local
+        others = iter(rank_nodes(f"relay/{self._name}", self._other_gateways())[:MAX_RELAYS])
+        failed: list[SubmissionOutcome] = []
         while True:
             member = next(others, None)
             if member is not None:
-                _in_thread(functools.partial(self._relay, member, job), outcomes)
-                under_way += 1
-            elif not under_way:
-                return _merged(ended)
+                _start_attempt(functools.partial(self._relay, member, job), outcomes)
+                running += 1
+            elif not running:
+                return _merge_failed(failed)
             # While there may be another gateway to ask, do not wait long for an outcome.
             outcome = _next_outcome(outcomes, RELAY_AFTER_S if member is not None else None)
             if outcome is None:
                 continue
             if outcome.accepted:
                 return outcome
-            ended.append(outcome)
-            under_way -= 1
+            failed.append(outcome)
+            running -= 1
 
-    def _relay(self, member: Member, job: Job) -> Submitted:
+    def _relay(self, member: Member, job: Job) -> SubmissionOutcome:
         """Ask another gateway to accept the job; it is harmless if several accept it."""
         reply = self._peer_client.call(member.peer, SubmitJob(job), JobSubmitted, RELAY_TIMEOUT_S)
         log_message(
@@ -120,33 +122,37 @@
             accepted=getattr(reply, "accepted", False),
         )
         if isinstance(reply, JobSubmitted):
-            return Submitted(reply.accepted, reply.reason, reply.may_run)
+            return SubmissionOutcome(reply.accepted, reply.reason, reply.may_run)
         may_run = isinstance(reply, PeerNoReply)
-        return Submitted(False, f"{member.name} did not accept the job", may_run)
+        return SubmissionOutcome(False, f"{member.name} did not accept the job", may_run)
 
 
-def _merged(ended: list[Submitted]) -> Submitted:
+def _merge_failed(failed: list[SubmissionOutcome]) -> SubmissionOutcome:
     """Merge the outcomes of failed attempts; the reason is that of the first."""
-    over_quota = next((one.over_quota for one in ended if one.over_quota is not None), None)
-    reason = ended[0].reason if ended else "no storage node and no other gateway is known"
-    return Submitted(False, reason, any(one.may_run for one in ended), over_quota)
+    over_quota = next(
+        (failure.over_quota for failure in failed if failure.over_quota is not None), None
+    )
+    reason = failed[0].reason if failed else "no storage node and no other gateway is known"
+    return SubmissionOutcome(False, reason, any(failure.may_run for failure in failed), over_quota)
 
 
 def _next_outcome(
-    outcomes: queue.SimpleQueue[Submitted], timeout_s: float | None
-) -> Submitted | None:
+    outcomes: queue.SimpleQueue[SubmissionOutcome], timeout_s: float | None
+) -> SubmissionOutcome | None:
     try:
         return outcomes.get(timeout=timeout_s)
     except queue.Empty:
         return None
 
 
-def _in_thread(way: Callable[[], Submitted], outcomes: queue.SimpleQueue[Submitted]) -> None:
+def _start_attempt(
+    attempt: Callable[[], SubmissionOutcome], outcomes: queue.SimpleQueue[SubmissionOutcome]
+) -> None:
     def run() -> None:
         try:
-            outcomes.put(way())
+            outcomes.put(attempt())
         except Exception as error:  # A bug in one attempt must not leave the client waiting.
             log_message("job:submission_error", error=repr(error))
-            outcomes.put(Submitted(False, "an internal error; see the log", may_run=True))
+            outcomes.put(SubmissionOutcome(False, "an internal error; see the log", may_run=True))
 
     threading.Thread(target=run, name="submission", daemon=True).start()
--- a/tests/test_batch_quota.py
+++ b/tests/test_batch_quota.py
@@ -17,7 +17,7 @@
 from quaymill.process.jobs.batch_quota import (
     ALLOWANCE_RENEWAL_S,
     ALLOWANCE_TERM_S,
-    FIRST_ALLOWANCE_S,
+    FIRST_ALLOWANCE_DELAY_S,
     MAX_RETRY_AFTER_S,
     BatchQuota,
 )
@@ -34,8 +34,8 @@
 )
 from quaymill.process.jobs.quota_sweep import (
     ALLOWANCE_LOST_AFTER_S,
+    ORPHANED_AFTER_S,
     SWEEP_INTERVAL_S,
-    UNCARED_AFTER_S,
     LedgerSweep,
 )
 from quaymill.process.jobs.route_quota import (
@@ -97,8 +97,8 @@
         return decision
 
     def take_allowance(self) -> None:
-        self.case.now += max(FIRST_ALLOWANCE_S, ALLOWANCE_RENEWAL_S)
-        self.quota.settle()
+        self.case.now += max(FIRST_ALLOWANCE_DELAY_S, ALLOWANCE_RENEWAL_S)
+        self.quota.reconcile()
 
 
 class QuotaCase(unittest.TestCase):
@@ -143,7 +143,7 @@
         self.assertIsInstance(self.two.admit("b", 3), OverQuota)
         for item in job.items[:3]:
             job.finish(item, ResultState.SUCCEEDED, "")
-        self.one.quota.settle()
+        self.one.quota.reconcile()
         self.assertIsInstance(self.two.admit("b", 3), Admitted)
 
     def test_the_time_to_come_back_follows_what_has_become_free(self) -> None:
@@ -152,13 +152,13 @@
         job = self.one.jobs["a"]
         for item in job.items[:2]:
             job.finish(item, ResultState.SUCCEEDED, "")
-        self.one.quota.settle()
+        self.one.quota.reconcile()
         # Two items in ten seconds, and one is missing: half of that time, within the bounds.
         self.assertEqual(MAX_RETRY_AFTER_S, slow)
         self.assertAlmostEqual(MAX_RETRY_AFTER_S, self.one.admit("b", 3).retry_after_s)
         for item in job.items[2:9]:
             job.finish(item, ResultState.SUCCEEDED, "")
-        self.one.quota.settle()
+        self.one.quota.reconcile()
         self.assertAlmostEqual(100 / 90, self.one.admit("c", 10).retry_after_s, places=2)
 
     @params("ended", "dead")
@@ -170,7 +170,7 @@
         else:
             for item in job.items:
                 job.finish(item, ResultState.DEAD, "not done in time")
-        self.one.quota.settle()
+        self.one.quota.reconcile()
         self.assertEqual({}, self.held())
 
     def test_a_job_sent_again_counts_once(self) -> None:
@@ -188,7 +188,7 @@
         admitted = self.one.admit("a", 10)
         del self.one.jobs["a"]
         self.one.quota.withdraw("a", self.route, admitted)
-        self.one.quota.settle()
+        self.one.quota.reconcile()
         self.assertEqual({}, self.held())
 
     def test_a_job_that_another_gateway_has_accepted_stays_counted(self) -> None:
@@ -197,7 +197,7 @@
         del self.one.jobs["a"]
         self.two.admit("a", 6)
         self.one.quota.withdraw("a", self.route, admitted)
-        self.one.quota.settle()
+        self.one.quota.reconcile()
         self.assertEqual({"a": 600}, self.held())
 
     def test_who_only_helped_takes_no_count_back(self) -> None:
@@ -205,7 +205,7 @@
         helped = self.two.admit("a", 6)
         del self.two.jobs["a"]
         self.two.quota.withdraw("a", self.route, helped)
-        self.two.quota.settle()
+        self.two.quota.reconcile()
         self.assertEqual({"a": 600}, self.held())
 
     def test_a_lowered_quota_holds_at_once(self) -> None:
@@ -216,19 +216,19 @@
     def test_no_quota_means_no_call_of_the_store(self) -> None:
         self.route = batch_route(0)
         self.assertIsInstance(self.one.admit("a", 1000), Admitted)
-        self.one.quota.settle()
+        self.one.quota.reconcile()
         self.assertEqual(0, sum(self.store.calls.values()))
 
     def test_an_adopted_job_is_entered_and_then_followed(self) -> None:
         self.two.jobs["a"] = coordinated("a", 12, self.route)
-        self.two.quota.settle()
+        self.two.quota.reconcile()
         # It was accepted once: it counts even where it does not fit.
         self.assertEqual({"a": 1200}, self.held())
 
     def test_a_job_handed_over_is_left_to_who_took_it(self) -> None:
         self.one.admit("a", 6)
         self.one.jobs["a"].stop(ended=False)
-        self.one.quota.settle()
+        self.one.quota.reconcile()
         self.assertEqual({"a": 600}, self.held())
 
     def test_store_that_is_down_decides_nothing(self) -> None:
@@ -265,7 +265,7 @@
         self.store.faults = FleetStoreFaults(down=True)
         self.assertEqual(Admitted("allowance"), self.one.admit("a", 100))
         self.store.faults = FleetStoreFaults()
-        self.one.quota.settle()
+        self.one.quota.reconcile()
         # Counted either way: under the allowance until that is renewed, then as itself.
         self.assertGreaterEqual(self.allowance_of("one"), 10_000)
         self.one.take_allowance()
@@ -278,13 +278,13 @@
     def test_a_job_that_is_over_soon_costs_no_call_and_gives_its_part_back(self) -> None:
         self.one.take_allowance()
         calls = sum(self.store.calls.values())
-        left = self.one.quota._of(self.route.name).left
+        remaining = self.one.quota._state_of(self.route.name).remaining
         self.one.admit("a", 100)
-        self.one.quota.settle()
+        self.one.quota.reconcile()
         self.one.jobs["a"].stop(ended=True)
-        self.one.quota.settle()
+        self.one.quota.reconcile()
         self.assertEqual(calls, sum(self.store.calls.values()))
-        self.assertEqual(left, self.one.quota._of(self.route.name).left)
+        self.assertEqual(remaining, self.one.quota._state_of(self.route.name).remaining)
 
     def test_an_old_ledger_is_looked_up_before_it_is_changed(self) -> None:
         """The look costs a tenth of a call; a change that meets another one costs a second call."""
@@ -292,36 +292,36 @@
         self.two.take_allowance()
         self.now += ALLOWANCE_RENEWAL_S
         writes = self.store.calls["PUT"]
-        self.one.quota.settle()
+        self.one.quota.reconcile()
         self.assertEqual(1, self.store.calls["PUT"] - writes)
 
     def test_a_look_that_fails_leaves_the_change_to_decide(self) -> None:
         self.one.take_allowance()
         ledgers = self.one.quota._ledgers
-        known = self.one.quota._of(self.route.name).ledger
+        known = self.one.quota._state_of(self.route.name).ledger
         self.store.faults = FleetStoreFaults(down=True)
         self.assertIs(known, ledgers.newer(self.route.name, known))
 
     def test_a_job_that_was_handed_away_stays_counted(self) -> None:
         self.one.take_allowance()
-        left = self.one.quota._of(self.route.name).left
+        remaining = self.one.quota._state_of(self.route.name).remaining
         self.one.admit("a", 100)
-        self.one.quota.settle()
+        self.one.quota.reconcile()
         self.one.jobs["a"].yielded = True
-        self.one.quota.settle()
-        self.assertEqual(left - 10_000, self.one.quota._of(self.route.name).left)
+        self.one.quota.reconcile()
+        self.assertEqual(remaining - 10_000, self.one.quota._state_of(self.route.name).remaining)
 
     def test_jobs_are_entered_once_half_of_the_allowance_is_used(self) -> None:
         self.one.take_allowance()
         allowed = self.allowance_of("one")
         items = int(ENTER_FROM_SHARE * allowed) // ITEM_TOKENS
         self.one.admit("a", items)
-        self.one.quota.settle()
+        self.one.quota.reconcile()
         self.assertEqual({}, self.held())
         self.one.admit("b", 1)
-        self.one.quota.settle()
+        self.one.quota.reconcile()
         self.assertEqual({"a": items * ITEM_TOKENS, "b": ITEM_TOKENS}, self.held())
-        self.assertEqual(allowed, self.one.quota._of(self.route.name).left)
+        self.assertEqual(allowed, self.one.quota._state_of(self.route.name).remaining)
 
     def test_an_allowance_gives_no_more_than_it_has(self) -> None:
         self.one.take_allowance()
@@ -343,7 +343,7 @@
         self.assertIsInstance(self.one.admit("a", 1), QuotaUnknown)
 
     def test_none_is_taken_right_after_the_start(self) -> None:
-        self.one.quota.settle()
+        self.one.quota.reconcile()
         self.store.faults = FleetStoreFaults(down=True)
         self.assertIsInstance(self.one.admit("a", 1), QuotaUnknown)
 
@@ -351,7 +351,7 @@
         self.one.take_allowance()
         self.one.admit("a", 100)
         self.two.jobs["a"] = self.one.jobs["a"]
-        self.two.quota.settle()
+        self.two.quota.reconcile()
         self.assertEqual({"a": 10_000}, self.held())
 
     def test_all_gateways_together_stay_within_the_quota(self) -> None:
@@ -363,7 +363,7 @@
             if isinstance(gateway.admit(f"{number}-{gateway.quota._name}", 30), Admitted):
                 accepted += 30 * ITEM_TOKENS
             if number % 7 == 0:
-                gateway.quota.settle()
+                gateway.quota.reconcile()
         self.assertLessEqual(accepted, LARGE * 1.1)
         self.assertGreater(accepted, LARGE * 0.7)
 
@@ -381,24 +381,24 @@
         until = self.now + time_s
         while self.now < until:
             self.now += SWEEP_INTERVAL_S
-            self.sweeper.quota.settle()
+            self.sweeper.quota.reconcile()
 
     def test_an_entry_that_nobody_cares_for_goes_once_its_job_is_over(self) -> None:
         self.one.admit("a", 5)
-        self.look_for(UNCARED_AFTER_S / 2)
+        self.look_for(ORPHANED_AFTER_S / 2)
         self.assertEqual({"a": 500}, self.held())
-        self.look_for(2 * UNCARED_AFTER_S)
+        self.look_for(2 * ORPHANED_AFTER_S)
         self.assertEqual({}, self.held())
 
     def test_an_entry_of_a_job_that_may_run_stays(self) -> None:
         self.one.admit("a", 5)
         self.sweeper.over = False
-        self.look_for(5 * UNCARED_AFTER_S)
+        self.look_for(5 * ORPHANED_AFTER_S)
         self.assertEqual({"a": 500}, self.held())
 
     def test_a_lost_allowance_is_taken_back_long_after_its_term(self) -> None:
         self.one.take_allowance()
-        self.look_for(ALLOWANCE_TERM_S + UNCARED_AFTER_S)
+        self.look_for(ALLOWANCE_TERM_S + ORPHANED_AFTER_S)
         self.assertIn("one", self._allowances())
         self.look_for(ALLOWANCE_LOST_AFTER_S)
         self.assertNotIn("one", self._allowances())
@@ -489,7 +489,7 @@
         job = self.one.jobs["office~a"]
         for item in job.items:
             job.finish(item, ResultState.SUCCEEDED, "")
-        self.one.quota.settle()
+        self.one.quota.reconcile()
         self.assertEqual(0, self.held_by("office"))
         self.assertIsInstance(self.two.admit("office~b", 10, "office"), Admitted)
 
@@ -502,8 +502,8 @@
         self.one.admit("office~a", 10, "office")
         sweeper = Gateway(self, "three", sweeps=True)
         for _ in range(4):
-            sweeper.quota.settle()
-            self.now += max(SWEEP_INTERVAL_S, UNCARED_AFTER_S)
+            sweeper.quota.reconcile()
+            self.now += max(SWEEP_INTERVAL_S, ORPHANED_AFTER_S)
         self.assertEqual(0, self.held_by("office"))
 
     def test_names_of_ledgers_do_not_meet(self) -> None:
--- a/tests/test_job_copies.py
+++ b/tests/test_job_copies.py
@@ -19,7 +19,7 @@
 from quaymill.connection.peer_link import PeerNoReply, PeerRefusal
 from quaymill.process.job_copies import CopyRules
 from quaymill.process.jobs import storage_client as storage_client_module
-from quaymill.process.jobs.storage_client import JobStorageClient, Kept, NotKept
+from quaymill.process.jobs.storage_client import JobStorageClient, NotStored, Stored
 from quaymill.process.membership.ranking import rank_across_zones, rank_nodes
 from quaymill.process.serving_settings import (
     ServingRole,
@@ -194,7 +194,9 @@
         self.assertEqual("job:kept_in_one_zone", event)
         self.zones.append(fields["zones"])
 
-    def store(self, job_id: str, zones: int = 2, zone: str = "a") -> tuple[Kept | NotKept, float]:
+    def store(
+        self, job_id: str, zones: int = 2, zone: str = "a"
+    ) -> tuple[Stored | NotStored, float]:
         client = JobStorageClient(
             self.peers,
             lambda: tuple(self.live),
@@ -204,8 +206,8 @@
         )
         document = JobDocument((JobItem("i", "/x", {}, b""),))
         began = time.monotonic()
-        kept = client.store_job(Job(job_id, "host", "/jobs/x", document), "gateway")
-        return kept, time.monotonic() - began
+        stored = client.store_job(Job(job_id, "host", "/jobs/x", document), "gateway")
+        return stored, time.monotonic() - began
 
     @params(
         ("all answer", {}, 0.1, []),
@@ -221,16 +223,16 @@
         self.peers.delays_s = delays_s
         for key in KEYS[:4]:
             self.zones.clear()
-            kept, took_s = self.store(key)
-            self.assertIsInstance(kept, Kept)
+            stored, took_s = self.store(key)
+            self.assertIsInstance(stored, Stored)
             self.assertLess(took_s, within_s)
             self.assertEqual(kept_in_one_zone, self.zones)
 
     def test_silent_own_zone_holds_nothing_up(self) -> None:
         self.peers.delays_s = {"a": None}
         for key in KEYS[:4]:
-            kept, took_s = self.store(key)
-            self.assertIsInstance(kept, Kept)
+            stored, took_s = self.store(key)
+            self.assertIsInstance(stored, Stored)
             self.assertLess(took_s, 0.6)
         self.assertEqual([], self.zones)
 
@@ -240,15 +242,15 @@
         self.peers.delays_s = dict.fromkeys("bcdef")
         for key in KEYS[:4]:
             self.zones.clear()
-            kept, took_s = self.store(key)
-            self.assertIsInstance(kept, Kept)
+            stored, took_s = self.store(key)
+            self.assertIsInstance(stored, Stored)
             self.assertLess(took_s, ACCEPTED_WITHIN_S)
             self.assertEqual([["a"]], self.zones)
 
     def test_a_zone_known_to_be_gone_is_not_waited_for(self) -> None:
         self.live = [member for member in self.members if member.zone == "a"]
-        kept, took_s = self.store("job")
-        self.assertIsInstance(kept, Kept)
+        stored, took_s = self.store("job")
+        self.assertIsInstance(stored, Stored)
         self.assertLess(took_s, 0.1)
         self.assertEqual([["a"]], self.zones)
 
@@ -257,22 +259,22 @@
         for key in KEYS[:4]:
             ranked = rank_across_zones(key, self.members)
             self.peers.refusing = {one.name for one in ranked[:4] if one.zone != "a"}
-            kept, _ = self.store(key)
-            self.assertIsInstance(kept, Kept)
+            stored, _ = self.store(key)
+            self.assertIsInstance(stored, Stored)
         self.assertEqual([], self.zones)
 
     def test_too_few_disks_are_too_few_in_any_zone(self) -> None:
         self.live = [*nodes(a=1), *nodes(b=1)]
-        kept, _ = self.store("job")
-        self.assertIsInstance(kept, NotKept)
+        stored, _ = self.store("job")
+        self.assertIsInstance(stored, NotStored)
 
     def test_where_no_zone_may_be_lost_calls_are_as_they_were(self) -> None:
         """Zone b is silent: the next ones in the ranking are called, one after the other."""
         self.peers.delays_s = {"b": None}
         for key in KEYS[:4]:
             self.peers.asked.clear()
-            kept, _ = self.store(key, zones=1)
-            self.assertIsInstance(kept, Kept)
+            stored, _ = self.store(key, zones=1)
+            self.assertIsInstance(stored, Stored)
             ranked = [member.name for member in rank_nodes(key, self.members)]
             self.assertEqual(set(ranked[: len(self.peers.asked)]), set(self.peers.asked))
         self.assertEqual([], self.zones)
--- a/tests/test_job_lookup.py
+++ b/tests/test_job_lookup.py
@@ -7,11 +7,11 @@
 from nose2.tools import params
 
 from quaymill.connection.job_storage_messages import JobFound
-from quaymill.process.jobs.job_lookup import CERTAIN_AFTER_S, JobLookup, NoSuchJob
+from quaymill.process.jobs.job_lookup import DISCOVERY_TIME_S, JobLookup, NoSuchJob
 from quaymill.process.jobs.listing import Listing, ListingDocument, ListingUnknown
 from quaymill.process.jobs.storage_client import NotFound
 
-OLD_S = CERTAIN_AFTER_S + 1.0
+OLD_S = DISCOVERY_TIME_S + 1.0
 ALL_SAY_NO = NotFound(certain=True)
 SOME_SILENT = NotFound(certain=False)
 FOUND = JobFound("g#1", False, 3, None)
@@ -56,5 +56,5 @@
         self.assertIs(known, lookup.is_known("job"))
         self.assertIs(over, lookup.is_over("job"))
         if isinstance(found, NotFound):
-            absent = isinstance(lookup.absence("job", found), NoSuchJob)
+            absent = isinstance(lookup.check_absence("job", found), NoSuchJob)
             self.assertIs(known is False, absent)
--- a/tests/test_job_orders.py
+++ b/tests/test_job_orders.py
@@ -129,16 +129,16 @@
     """What a coordinator takes for the newest order."""
 
     def test_a_new_job_is_not_known_to_have_no_results(self) -> None:
-        self.assertFalse(CoordinatedJob(job(), None, "g#1").order_is_certain())
+        self.assertFalse(CoordinatedJob(job(), None, "g#1").listing_is_current())
 
     def test_an_order_is_as_old_as_the_call_that_brought_it(self) -> None:
-        held = CoordinatedJob(job(), None, "g#1", order_term_s=1000.0)
+        held = CoordinatedJob(job(), None, "g#1", listing_valid_s=1000.0)
         listing = Listing(ListingDocument("g#1", 3), 1)
-        held.take_listing(listing, as_of=-1e9)
-        self.assertFalse(held.order_is_certain())
+        held.update_listing(listing, as_of=-1e9)
+        self.assertFalse(held.listing_is_current())
 
     def test_known_order_names_the_listed_items(self) -> None:
         held = CoordinatedJob(job(), None, "g#1")
         results = tuple(ListedResult(index, "d", ResultState.SUCCEEDED) for index in (2, 0))
-        held.take_listing(Listing(ListingDocument("g#1", 3, results), 1), as_of=0.0)
-        self.assertEqual(KnownOrder("job", "5"), held.known_order())
+        held.update_listing(Listing(ListingDocument("g#1", 3, results), 1), as_of=0.0)
+        self.assertEqual(KnownOrder("job", "5"), held.known_listing())
--- a/tests/test_ledger_contention.py
+++ b/tests/test_ledger_contention.py
@@ -7,7 +7,7 @@
 
 from nose2.tools import params
 
-from quaymill.process.jobs.batch_quota import SETTLE_PAUSE_S
+from quaymill.process.jobs.batch_quota import RECONCILE_PAUSE_S
 from quaymill.process.jobs.quota_ledger import (
     FIRST_CONFLICT_PAUSE_S,
     MAX_CONFLICTS,
@@ -33,7 +33,7 @@
 
     @params(
         ("admissions", 20, FIRST_CONFLICT_PAUSE_S),
-        ("entries of running jobs", 40, SETTLE_PAUSE_S),
+        ("entries of running jobs", 40, RECONCILE_PAUSE_S),
     )
     def test_changes_begun_together(self, _, gateways, first_pause_s) -> None:
         rig = LedgerRig()
--- a/tests/test_submission_relay.py
+++ b/tests/test_submission_relay.py
@@ -14,13 +14,13 @@
 from quaymill.connection.peer_link import PeerNoReply, PeerUnreachable
 from quaymill.process.jobs.route_quota import OverQuota
 from quaymill.process.jobs.storage_client import _agreed_coordinator
-from quaymill.process.jobs.submission_relay import RELAYS, SubmissionRelay, Submitted
+from quaymill.process.jobs.submission_relay import MAX_RELAYS, SubmissionOutcome, SubmissionRelay
 
 JOB = Job("job", "h", "/jobs/x", JobDocument(()))
 SOMEWHERE = Endpoint("127.0.0.1", 1)
-ACCEPTED = Submitted(True)
-NOT_RUN = Submitted(False, "too few storage nodes")
-MAY_RUN = Submitted(False, "one storage node has it", may_run=True)
+ACCEPTED = SubmissionOutcome(True)
+NOT_RUN = SubmissionOutcome(False, "too few storage nodes")
+MAY_RUN = SubmissionOutcome(False, "one storage node has it", may_run=True)
 PEER_ACCEPTS = JobSubmitted(True)
 PEER_REFUSES = JobSubmitted(False, "no room")
 UNREACHABLE = PeerUnreachable(SOMEWHERE, "cut")
@@ -50,8 +50,10 @@
         self.own_may_end = threading.Event()
         self.addCleanup(self.own_may_end.set)
 
-    def submit(self, gateways: FixedGateways, own: Submitted, can_store: bool = True) -> Submitted:
-        def store() -> Submitted:
+    def submit(
+        self, gateways: FixedGateways, own: SubmissionOutcome, can_store: bool = True
+    ) -> SubmissionOutcome:
+        def store() -> SubmissionOutcome:
             self.own_may_end.wait(5.0)
             return own
 
@@ -78,7 +80,7 @@
         self.assertFalse(first_may_end.is_set())
 
     def test_a_job_over_the_quota_is_told_so_unless_another_way_may_run_it(self) -> None:
-        over = Submitted(False, "full", over_quota=OverQuota(900, 1000, 2.0))
+        over = SubmissionOutcome(False, "full", over_quota=OverQuota(900, 1000, 2.0))
         threading.Timer(0.4, self.own_may_end.set).start()
         outcome = self.submit(FixedGateways(PEER_REFUSES, PEER_REFUSES), over)
         self.assertEqual((over.over_quota, False), (outcome.over_quota, outcome.may_run))
@@ -96,10 +98,10 @@
                 self.assertTrue(self.submit(FixedGateways(first, PEER_ACCEPTS), NOT_RUN).accepted)
 
     def test_without_storage_nodes_the_others_are_asked_at_once(self) -> None:
-        gateways = FixedGateways(*[UNREACHABLE] * RELAYS)
+        gateways = FixedGateways(*[UNREACHABLE] * MAX_RELAYS)
         outcome = self.submit(gateways, ACCEPTED, can_store=False)
         self.assertEqual((False, False), (outcome.accepted, outcome.may_run))
-        self.assertEqual(RELAYS, gateways.asked)
+        self.assertEqual(MAX_RELAYS, gateways.asked)
 
     @params(
         (NOT_RUN, PEER_REFUSES, False),
