--- a/tests/store_rig.py
+++ b/tests/store_rig.py
@@ -1,6 +1,6 @@
-"""Gateways that list results before one store in memory, without a network.
+"""Gateways that list results in one store in memory, without a network.
 
-Each gateway has its circuit, its sharing and its publisher; a job's items end when the test says.
+Each gateway has its own circuit breaker, store sharing and publisher. The test finishes the items.
 """
 
 from __future__ import annotations
@@ -36,14 +36,14 @@
 
 
 class MemoryStore:
-    """Objects under one revision counter, and a count of the calls by their second.
+    """Objects with one revision counter.
 
     Attributes
     ----------
     refused
-        Names of the gateways that are turned away.
+        Names of the gateways whose calls are refused.
     calls, served_at
-        How many calls each gateway made; when the store last answered any.
+        Number of calls by gateway; monotonic time when the store last served a call.
     """
 
     def __init__(self) -> None:
@@ -55,7 +55,7 @@
         self._objects: dict[str, StoredObject] = {}
 
     def call(self, gateway: str, do: Callable[[], Any]) -> Any:
-        """Make one call of a gateway."""
+        """Perform one call of a gateway."""
         time.sleep(CALL_S)
         with self._lock:
             self.calls[gateway] += 1
@@ -65,11 +65,11 @@
             return do()
 
     def find(self, name: str) -> StoredObject | ObjectMissing:
-        """Return an object."""
+        """Return an object by its name."""
         return self._objects.get(name, ObjectMissing())
 
     def write(self, name: str, spec: Any, revision: int) -> StoredObject | RevisionConflict:
-        """Write an object over a revision; 0 to make it."""
+        """Replace an object at a revision; revision 0 creates it."""
         held = self._objects.get(name)
         if (held.revision if held else 0) != revision:
             return RevisionConflict(held)
@@ -78,7 +78,7 @@
 
 
 class _OwnStore:
-    """The store as one gateway calls it."""
+    """The store's interface for one gateway."""
 
     def __init__(self, store: MemoryStore, gateway: str) -> None:
         self._store = store
@@ -95,14 +95,14 @@
 
 
 class _Disks:
-    """Storage nodes that take everything."""
+    """Storage nodes that store all results."""
 
     def store_results(self, job_id: str, results: Any) -> bool:
         return True
 
 
 class ListingGateway:
-    """One gateway."""
+    """One gateway with its publisher."""
 
     def __init__(self, name: str, fleet: ListingFleet) -> None:
         self.name = name
@@ -123,12 +123,12 @@
         self.publisher = ResultPublisher(parts, lambda: None, lambda job_id: None)
 
     def register(self, message_type: type, handler: Callable[[Any], Any]) -> None:
-        """As ``PeerServer`` does."""
+        """Register a handler as ``PeerServer`` does."""
         self.handlers[message_type] = handler
 
 
 class ListingFleet:
-    """Gateways before one store; calls of peers are made in process."""
+    """Gateways that share one store; peers call each other in process."""
 
     def __init__(
         self,
@@ -146,18 +146,18 @@
             self.gateways[f"g{number}"] = ListingGateway(f"g{number}", self)
 
     def others(self, name: str) -> tuple[Member, ...]:
-        """Return all gateways but one."""
+        """Return all gateways except one."""
         return tuple(one.member for one in self.gateways.values() if one.name != name)
 
     def call(self, endpoint: Endpoint, message: Any, reply_type: type, timeout_s: float) -> Any:
-        """As ``PeerClient`` does."""
+        """Call a peer as ``PeerClient`` does."""
         peer = self.gateways.get(endpoint.host)
         if peer is None:
             return PeerUnreachable(endpoint, "no such gateway")
         return peer.handlers[type(message)](message)
 
     def open_job(self, gateway: str, name: str, items: int) -> CoordinatedJob:
-        """Open a job at a gateway; nothing of it is done."""
+        """Open a job at a gateway; none of its items is finished."""
         document = JobDocument(
             tuple(JobItem(f"{name}-{index}", "/x", {}, b"") for index in range(items))
         )
@@ -166,24 +166,24 @@
         return job
 
     def listed(self, name: str) -> list[int]:
-        """Return which items of a job the store lists, in their order."""
+        """Return the indexes of a job's listed items, in the order of the listing."""
         found = self.store.find(name)
         return [] if isinstance(found, ObjectMissing) else [one[0] for one in found.spec["results"]]
 
 
 def finish(job: CoordinatedJob, index: int) -> None:
-    """End an item of a job."""
+    """Finish an item of a job."""
     job.finish(job.items[index], ResultState.SUCCEEDED, f"text {index}")
 
 
 class LedgerRig:
-    """Gateways that change one ledger of the store in memory."""
+    """Gateways that change one ledger in the store in memory."""
 
     def __init__(self) -> None:
         self.store = MemoryStore()
 
     def enter(self, gateway: str, tokens: int, first_pause_s: float) -> Ledger | LedgerUnknown:
-        """Enter a job of a gateway that knows nothing of the ledger yet."""
+        """Enter a job of a gateway that has not read the ledger yet."""
         ledgers = QuotaLedgers(_OwnStore(self.store, gateway))
         return ledgers.change(
             "route", Ledger(), lambda held: held.with_job(f"job-{gateway}", tokens), first_pause_s
--- a/tests/test_batch_quota.py
+++ b/tests/test_batch_quota.py
@@ -1,4 +1,4 @@
-"""The quota of a batch route: two gateways, one store, and what goes wrong between them."""
+"""The quota of a batch route must hold across gateways, failures and outages of the store."""
 
 from __future__ import annotations
 
@@ -71,7 +71,7 @@
 
 
 class Gateway:
-    """One gateway's counting, with jobs and storage nodes as the test says."""
+    """The quota of one gateway, with jobs and storage nodes set by the test."""
 
     def __init__(self, case: QuotaCase, name: str, sweeps: bool = False) -> None:
         self.case = case
@@ -90,7 +90,7 @@
         )
 
     def admit(self, job_id: str, items: int = 5, tenant: str | None = None):
-        """Count a job; one that is admitted runs here."""
+        """Count a job; if admitted, it runs here."""
         decision = self.quota.admit(job_id, self.case.route, items * ITEM_TOKENS, tenant)
         if isinstance(decision, Admitted):
             self.jobs[job_id] = coordinated(job_id, items, self.case.route, tenant)
@@ -102,7 +102,7 @@
 
 
 class QuotaCase(unittest.TestCase):
-    """Time is the test's own."""
+    """Base of tests with two gateways and a store; the clock is simulated."""
 
     quota = SMALL
     tenants: dict[str, RequestTenant] | None = None
@@ -126,7 +126,7 @@
 
 
 class LedgerTest(QuotaCase):
-    """Jobs that are counted one by one, in the store."""
+    """Jobs that are counted in the ledger."""
 
     def test_two_gateways_do_not_both_promise_the_last_room(self) -> None:
         self.assertIsInstance(self.one.admit("a", 6), Admitted)
@@ -153,7 +153,7 @@
         for item in job.items[:2]:
             job.finish(item, ResultState.SUCCEEDED, "")
         self.one.quota.reconcile()
-        # Two items in ten seconds, and one is missing: half of that time, within the bounds.
+        # Two items were freed in ten seconds and one is missing: 5 s, which is also the maximum.
         self.assertEqual(MAX_RETRY_AFTER_S, slow)
         self.assertAlmostEqual(MAX_RETRY_AFTER_S, self.one.admit("b", 3).retry_after_s)
         for item in job.items[2:9]:
@@ -192,7 +192,7 @@
         self.assertEqual({}, self.held())
 
     def test_a_job_that_another_gateway_has_accepted_stays_counted(self) -> None:
-        """One gateway could not keep it, and another one, asked to help, could."""
+        """One gateway could not store the job, but the one it relayed the job to could."""
         admitted = self.one.admit("a", 6)
         del self.one.jobs["a"]
         self.two.admit("a", 6)
@@ -222,7 +222,7 @@
     def test_an_adopted_job_is_entered_and_then_followed(self) -> None:
         self.two.jobs["a"] = coordinated("a", 12, self.route)
         self.two.quota.reconcile()
-        # It was accepted once: it counts even where it does not fit.
+        # It was accepted before, so it counts even if it does not fit.
         self.assertEqual({"a": 1200}, self.held())
 
     def test_a_job_handed_over_is_left_to_who_took_it(self) -> None:
@@ -249,14 +249,14 @@
         gateways = [Gateway(self, f"g{n}") for n in range(4)]
         for gateway in gateways:
             gateway.admit(f"warm-{gateway.quota._name}", 1)
-        # Each knows an older ledger by now, and writes on top of what stands.
+        # By now each gateway knows an old ledger and must apply its change to a newer one.
         for gateway in gateways:
             gateway.admit(f"job-{gateway.quota._name}", 1)
         self.assertEqual(8, len(self.held()))
 
 
 class AllowanceTest(QuotaCase):
-    """Jobs that are counted without asking the store."""
+    """Jobs that are counted under an allowance, without a call of the store."""
 
     quota = LARGE
 
@@ -266,7 +266,7 @@
         self.assertEqual(Admitted("allowance"), self.one.admit("a", 100))
         self.store.faults = FleetStoreFaults()
         self.one.quota.reconcile()
-        # Counted either way: under the allowance until that is renewed, then as itself.
+        # Counted under the allowance until this is renewed, then as an entry of its own.
         self.assertGreaterEqual(self.allowance_of("one"), 10_000)
         self.one.take_allowance()
         self.assertEqual({"a": 10_000}, self.held())
@@ -287,7 +287,7 @@
         self.assertEqual(remaining, self.one.quota._state_of(self.route.name).remaining)
 
     def test_an_old_ledger_is_looked_up_before_it_is_changed(self) -> None:
-        """The look costs a tenth of a call; a change that meets another one costs a second call."""
+        """A change on an old ledger would conflict and need a second write."""
         self.one.take_allowance()
         self.two.take_allowance()
         self.now += ALLOWANCE_RENEWAL_S
@@ -369,7 +369,7 @@
 
 
 class SweepTest(QuotaCase):
-    """What dead gateways leave behind."""
+    """Entries that dead gateways leave in a ledger."""
 
     quota = LARGE
 
@@ -409,7 +409,7 @@
 
 
 class LedgerRulesTest(unittest.TestCase):
-    """The rules by which room is given."""
+    """The rules by which jobs and allowances fit a quota."""
 
     @params((1000, True), (1001, False))
     def test_a_job_fits_up_to_the_quota(self, tokens: int, expected: bool) -> None:
@@ -439,7 +439,7 @@
 
 
 class ConfigurationTest(unittest.TestCase):
-    """Where the platform's configuration tells the quota."""
+    """How the platform's configuration gives the quota."""
 
     def test_the_routes_field_counts_and_not_the_engines(self) -> None:
         route = {
@@ -469,7 +469,7 @@
 
 
 class TenantQuotaTest(QuotaCase):
-    """Where there are tenants, each has the quota for itself."""
+    """If there are tenants, each has a quota of its own."""
 
     tenants = {name: RequestTenant(name) for name in ("office", "kiosk", "idle")}
 
--- a/tests/test_empty_pages.py
+++ b/tests/test_empty_pages.py
@@ -1,22 +1,8 @@
-"""A position of a job that was read is never told to be empty afterwards.
-
-The story. Callers of a batch job read a result, and seconds later another gateway answered 200
-with nothing at that position; later the result was there again. A gateway that coordinates a job
-answers from its own copy of the order. It took that copy for the newest while its leases were
-renewed at all storage nodes. But a lease tells who runs a job's items, not what the order is:
-
-1.  The coordinator appends; the store does it, and its answer is late. Another gateway, which
-    cannot reach the coordinator, reads the order from the store and shows the new position.
-    The coordinator still answers from the copy of before.
-2.  A gateway adopts a job while it cannot read the store. Its leases are renewed, and from then
-    on it takes its empty copy for the order.
-3.  Two gateways run one job: leases are kept in memory, so that a storage node which has given
-    the job to the second one, and starts again, grants the first one's next renewal. The second
-    appends, the first answers from the copy of before. A gateway that accepts a job which was
-    sent again does so at once.
-
-The evidence: each of the three is brought about below by what happened in that order, and on the
-code that trusted leases each answered 200 with an empty page.
+"""A result that was read at one gateway must not be missing at another one afterwards.
+
+A coordinator must not treat its copy of the listing as the newest just because it holds the leases
+of the job: its own append may be unanswered, it may have adopted the job without reading the
+store, or a second coordinator may have listed results.
 """
 
 from __future__ import annotations
@@ -37,13 +23,13 @@
 from test_fleet_faults import FaultCase
 
 SETTLE_S = 1.0
-"""Time after which a position that was read must be there at every gateway."""
+"""Time after which a position that was read must be visible at every gateway."""
 READ_FOR_S = 1.2 * LEASE_S
-"""Long enough for several renewals of every lease."""
+"""Covers several renewals of every lease."""
 
 
 class _LateAnswers:
-    """A store whose writes are done at once and answered when ``answer`` is set."""
+    """A store that writes at once but answers writes only after ``answer`` is set."""
 
     def __init__(self, store: Any) -> None:
         self._store = store
@@ -67,7 +53,7 @@
 
 
 class _SilentStore:
-    """A store that answers nothing."""
+    """A store that does not answer."""
 
     def list(self, kind):
         return StoreUnanswered("nothing came")
@@ -83,7 +69,7 @@
 
 
 class EmptyPageTest(FaultCase):
-    """One gateway shows a position, the other must not say that nothing is there."""
+    """After one gateway returned a result, the other one must not return an empty page."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -91,37 +77,37 @@
         self.second = self.rig.gateways["gateway-1"]
 
     def read(self, gateway: str, since: int) -> list[dict[str, Any]] | None:
-        """Return what a gateway shows from a position on; ``None`` where it is not sure."""
+        """Return the results at a gateway from a position on; ``None`` if it answers 503."""
         answer = self.rig.read_results(gateway, "job", since)
         self.assertIn(answer.status, (200, 503))
         return json.loads(answer.data)["results"] if answer.status == 200 else None
 
     def check_never_empty(self, gateway: str, since: int) -> None:
-        """Read a position that was read elsewhere, through several renewals of the leases."""
+        """Read a position that was read elsewhere, during several renewals of the leases."""
         time.sleep(SETTLE_S)
         until = time.monotonic() + READ_FOR_S
         while time.monotonic() < until:
-            self.assertNotEqual([], self.read(gateway, since), "a read position is told empty")
+            self.assertNotEqual([], self.read(gateway, since), "a read position is reported empty")
             time.sleep(0.1)
 
     def replace_store(self, gateway: Any, make: Callable[[Any], Any]) -> Any:
-        """Put another store under the jobs of one gateway; others do not help it."""
+        """Replace the store of one gateway's jobs, without help by other gateways."""
         shared = gateway.jobs._reader._listings._store
         shared._own = make(shared._own)
         shared._helpers = lambda: ()
         return shared._own
 
     def cut(self, source: Any, target: Any) -> None:
-        """Cut one direction between two gateways; both reach everybody else."""
+        """Block one direction between two gateways; both reach all other processes."""
         peer = target.network.membership.local().peer
         source.network.client._link_filter.set_blocked(frozenset({peer}))
 
     def holder(self, node: Any) -> str:
-        """Return who renewed the job's lease last at a storage node."""
+        """Return the coordinator that holds the job's lease at a storage node."""
         return node._orphans._leases.holder("job")
 
     def starve(self, gateway: Any) -> None:
-        """Grant a gateway no more room, and wait until its running items have ended."""
+        """Grant a gateway no more slots, and wait until its running items have finished."""
         dispatcher = gateway.coordinator._dispatcher
         claim_slots = dispatcher._parts.claim_slots
         dispatcher._parts = attrs.evolve(
@@ -129,7 +115,9 @@
             claim_slots=lambda claim: claim_slots(msgspec.structs.replace(claim, wanted=())),
         )
         job = gateway.coordinator.get("job")
-        wait_until(lambda: not job.running() and not job.unlisted(), "nothing is under way")
+        wait_until(
+            lambda: not job.running() and not job.unlisted(), "no item is running or unlisted"
+        )
 
     def test_append_whose_answer_is_late(self) -> None:
         late = self.replace_store(self.first, _LateAnswers)
@@ -167,7 +155,7 @@
         self.starve(self.first)
         since = len(self.first.coordinator.get("job").listing.document.results)
         self.assertLess(since, 24)
-        # As a storage node gives it away that hears neither the first gateway nor its peers.
+        # As if an isolated storage node assigned the job to the second gateway.
         self.second.coordinator.adopt(self.rig.storage["storage-0"]._database.job("job"))
         wait_until(lambda: self.read("gateway-1", since), "the second one appends")
         self.check_never_empty("gateway-0", since)
@@ -180,11 +168,11 @@
         time.sleep(SETTLE_S)
         self.slow_engines(30.0)
         self.second.coordinator.accept(job)
-        self.assertNotEqual([], self.read("gateway-1", 0), "a read position is told empty")
+        self.assertNotEqual([], self.read("gateway-1", 0), "a read position is reported empty")
 
 
 class EmptyBodyTest(FaultCase):
-    """An item whose body has no bytes has a body, at every gateway."""
+    """The empty body of an item must not be reported as missing."""
 
     def test_empty_body_is_not_missing(self) -> None:
         self.slow_engines(30.0)
--- a/tests/test_job_copies.py
+++ b/tests/test_job_copies.py
@@ -1,4 +1,4 @@
-"""On which storage nodes copies lie where a zone may be lost, and who acknowledges in time."""
+"""Copies of a job must survive the loss of a zone, and jobs must still be acknowledged in time."""
 
 from __future__ import annotations
 
@@ -30,11 +30,11 @@
 
 KEYS = [f"job-{number}" for number in range(400)]
 ACCEPTED_WITHIN_S = 0.8
-"""Shortest time within which callers want to know that their job is accepted."""
+"""Time within which a client must learn that its job is accepted."""
 
 
 def nodes(**sizes: int) -> list[Member]:
-    """Return storage nodes: as many in each zone as is said."""
+    """Return storage nodes; ``sizes`` gives their number by zone."""
     endpoint = Endpoint("127.0.0.1", 1)
     return [
         Member(f"{zone}{index}", zone, "r", Endpoint(f"{zone}{index}", 1), endpoint, has_disk=True)
@@ -44,14 +44,14 @@
 
 
 class RankingTest(unittest.TestCase):
-    """Ten nodes in three zones, and other fleets."""
+    """The ranking of storage nodes that decides where copies are stored."""
 
     @params(
         ("three zones", {"a": 4, "b": 3, "c": 3}),
         ("one node in a zone", {"a": 1, "b": 5, "c": 2}),
         ("six zones", {"a": 2, "b": 2, "c": 2, "d": 2, "e": 2, "f": 1}),
         ("one zone", {"a": 5}),
-        ("nobody", {}),
+        ("no nodes", {}),
     )
     def test_no_zone_twice_before_each_has_one(self, name, sizes) -> None:
         members = nodes(**sizes)
@@ -71,7 +71,7 @@
         for key in KEYS:
             ranked = rank_across_zones(key, reversed(members))
             self.assertEqual(rank_across_zones(key, members), ranked)
-            # Builds that do not spread agree with those that do on who gives a job away.
+            # With and without spreading across zones, the same node assigns orphaned jobs.
             self.assertEqual(rank_nodes(key, members)[0], ranked[0])
 
     def test_in_one_zone_it_is_as_without_zones(self) -> None:
@@ -115,7 +115,7 @@
 
 
 class SettingsTest(unittest.TestCase):
-    """How many zones may be lost is told by the settings file."""
+    """The settings file gives the number of disks and zones that may be lost."""
 
     def load(self, text: str) -> ServingSettings | SettingsError:
         required = "\n".join(
@@ -151,12 +151,12 @@
 
 
 class SlowPeers:
-    """Storage nodes that take a job after a time, or never.
+    """Storage nodes that store a job after a delay, or never.
 
     Attributes
     ----------
     delays_s
-        By zone or node; silent until the end of the test where it is ``None``.
+        Delay by zone or node; ``None`` for nodes that do not reply during the test.
     """
 
     def __init__(self) -> None:
@@ -178,7 +178,7 @@
 
 
 class AcknowledgementTest(unittest.TestCase):
-    """Three copies are needed, in two zones; the gateway is in zone a."""
+    """Acknowledgements from three nodes in two zones are needed; the gateway is in zone a."""
 
     def setUp(self) -> None:
         self.members = nodes(a=4, b=3, c=3)
@@ -211,14 +211,14 @@
 
     @params(
         ("all answer", {}, 0.1, []),
-        ("another zone is silent", {"b": None}, 0.3, []),
+        ("another zone is unresponsive", {"b": None}, 0.3, []),
         ("a slow disk", {"a1": 0.3, "b0": 0.3, "c2": 0.3}, 0.5, []),
-        ("both others are silent", {"b": None, "c": None}, 0.6, [["a"]]),
-        ("both others are late", {"b": 0.3, "c": 0.3}, 0.5, []),
-        ("both others are far too late", {"b": 0.7, "c": 0.7}, 0.6, [["a"]]),
+        ("both other zones are unresponsive", {"b": None, "c": None}, 0.6, [["a"]]),
+        ("both other zones are slow", {"b": 0.3, "c": 0.3}, 0.5, []),
+        ("both other zones are too slow", {"b": 0.7, "c": 0.7}, 0.6, [["a"]]),
     )
     def test_a_caller_hears_in_time(self, name, delays_s, within_s, kept_in_one_zone) -> None:
-        """At most two thirds of a caller's time pass, whatever is silent."""
+        """Unresponsive zones must not delay the answer beyond the time that a client waits."""
         self.assertLess(within_s, ACCEPTED_WITHIN_S)
         self.peers.delays_s = delays_s
         for key in KEYS[:4]:
@@ -237,7 +237,7 @@
         self.assertEqual([], self.zones)
 
     def test_own_zone_may_come_late_in_the_ranking(self) -> None:
-        """Of six zones the first four are called at first; the own one may not be among them."""
+        """The four nodes that are called first may all be in other, unresponsive zones."""
         self.members = self.live = nodes(a=3, b=2, c=2, d=2, e=2, f=2)
         self.peers.delays_s = dict.fromkeys("bcdef")
         for key in KEYS[:4]:
@@ -255,7 +255,7 @@
         self.assertEqual([["a"]], self.zones)
 
     def test_copies_in_one_zone_are_not_enough_while_another_answers(self) -> None:
-        """The nodes of the other zones that are called first refuse; the next ones are called."""
+        """If the first nodes of other zones refuse, the next ones must be called."""
         for key in KEYS[:4]:
             ranked = rank_across_zones(key, self.members)
             self.peers.refusing = {one.name for one in ranked[:4] if one.zone != "a"}
@@ -269,7 +269,7 @@
         self.assertIsInstance(stored, NotStored)
 
     def test_where_no_zone_may_be_lost_calls_are_as_they_were(self) -> None:
-        """Zone b is silent: the next ones in the ranking are called, one after the other."""
+        """Zone b is unresponsive: the next nodes of the ranking are called one by one."""
         self.peers.delays_s = {"b": None}
         for key in KEYS[:4]:
             self.peers.asked.clear()
--- a/tests/test_job_leases.py
+++ b/tests/test_job_leases.py
@@ -1,4 +1,4 @@
-"""Leases of coordinators on a storage node."""
+"""A storage node must not grant the lease of a job to two coordinators at the same time."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class LeasesTest(unittest.TestCase):
-    """Time is the test's own."""
+    """Leases in memory; the clock is simulated."""
 
     def setUp(self) -> None:
         self.now = 1000.0
@@ -48,7 +48,7 @@
         self.assertEqual(0.0, self.leases.left_s("job"))
 
     def test_a_process_known_to_have_ended_is_not_waited_for_after_a_start(self) -> None:
-        """Nodes that never had the job answer alike: else one of them holds its adoption up."""
+        """Nodes without the job must also report no lease, or they would delay its adoption."""
         self.assertEqual(0.0, self.leases.left_s("job", ended_holder="a"))
 
     def test_a_process_known_to_have_ended_does_not_hide_a_newer_holder(self) -> None:
--- a/tests/test_job_lookup.py
+++ b/tests/test_job_lookup.py
@@ -1,4 +1,4 @@
-"""Every answer that a job is not there rests on the same certainty."""
+"""A job must be reported as missing only if it certainly does not exist."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 SOME_SILENT = NotFound(certain=False)
 FOUND = JobFound("g#1", False, 3, None)
 ORDER = Listing(ListingDocument("g#1", 3), 1)
-UNREAD = ListingUnknown("the store is silent")
+UNREAD = ListingUnknown("the store does not answer")
 
 
 class _Fixed:
-    """Storage nodes and a store that always answer alike."""
+    """Storage nodes and a store with fixed answers."""
 
     def __init__(self, found, listing) -> None:
         self._found = found
@@ -41,15 +41,15 @@
 
 
 class AbsenceTest(unittest.TestCase):
-    """404 for a job, a job that is refused as over the quota, a count that is removed."""
+    """The decision behind 404 responses, quota refusals and removed quota entries."""
 
     @params(
-        ("nobody has it", ALL_SAY_NO, None, OLD_S, False, True),
-        ("a storage node is silent", SOME_SILENT, None, OLD_S, None, False),
+        ("no storage node has it", ALL_SAY_NO, None, OLD_S, False, True),
+        ("a storage node does not answer", SOME_SILENT, None, OLD_S, None, False),
         ("the gateway has just started", ALL_SAY_NO, None, 0.0, None, False),
-        ("it has an order in the store", ALL_SAY_NO, ORDER, OLD_S, None, False),
+        ("it has a listing in the store", ALL_SAY_NO, ORDER, OLD_S, None, False),
         ("the store cannot be read", ALL_SAY_NO, UNREAD, OLD_S, None, False),
-        ("it is there", FOUND, None, OLD_S, True, False),
+        ("a storage node has it", FOUND, None, OLD_S, True, False),
     )
     def test_absence(self, _, found, listing, age_s, known, over) -> None:
         lookup = lookup_of(found, listing, age_s)
--- a/tests/test_job_orders.py
+++ b/tests/test_job_orders.py
@@ -1,4 +1,4 @@
-"""What proves that a job's order is the newest: no storage node has a result beyond it."""
+"""A listing is confirmed as the newest only if no storage node has a result missing in it."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class HeldResultsTest(unittest.TestCase):
-    """What a storage node has beyond an order."""
+    """A storage node must notice every result that a coordinator does not know to be listed."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -48,11 +48,11 @@
         self.addCleanup(lambda: self.database.close())
 
     @params(
-        ("nothing is here", (), 0b000, False),
-        ("all that is here is listed", (0, 2), 0b101, False),
-        ("less is here than is listed", (0,), 0b111, False),
-        ("one more is here", (0, 2), 0b001, True),
-        ("another one is here", (1,), 0b101, True),
+        ("no results", (), 0b000, False),
+        ("all results are listed", (0, 2), 0b101, False),
+        ("fewer results than listed", (0,), 0b111, False),
+        ("one more result than listed", (0, 2), 0b001, True),
+        ("another result than listed", (1,), 0b101, True),
     )
     def test_results_beyond_an_order(self, _, here, listed, beyond) -> None:
         self.database.store_job(job(), "g#1")
@@ -78,7 +78,7 @@
 
 
 class _Answers:
-    """Peers of which each answers as the test says."""
+    """Peers with fixed replies."""
 
     def __init__(self, replies: dict[str, object]) -> None:
         self._replies = replies
@@ -92,7 +92,7 @@
 TAKEN = JobsRenewed(taken_jobs=("job",), confirmed_jobs=("job",))
 SILENT = PeerNoReply(Endpoint("host", 1), "nothing came")
 DEAD = None
-"""In the place of a reply: the node is not asked."""
+"""Instead of a reply: the node is dead and not called."""
 
 
 def _storage_node(name: str, state: MemberState) -> Member:
@@ -101,18 +101,18 @@
 
 
 class ConfirmedOrderTest(unittest.TestCase):
-    """An order is confirmed by every storage node that may have more, or not at all."""
+    """A listing is confirmed only if all storage nodes that may hold results confirm it."""
 
     @params(
-        ("all have nothing beyond", (CONFIRMED,) * 4, 4, True),
-        ("one has something beyond", (CONFIRMED, BEYOND, CONFIRMED, CONFIRMED), 4, False),
-        ("one that keeps no lease has", (CONFIRMED, CONFIRMED, CONFIRMED, BEYOND), 4, False),
-        ("one does not answer", (CONFIRMED, CONFIRMED, SILENT, CONFIRMED), 4, False),
-        ("one is known as dead", (CONFIRMED, CONFIRMED, CONFIRMED, DEAD), 3, False),
-        ("one that is leaving has nothing", (CONFIRMED,) * 4, 3, True),
-        ("one that is leaving has more", (CONFIRMED, CONFIRMED, CONFIRMED, BEYOND), 3, False),
-        ("another has the lease", (CONFIRMED, TAKEN, CONFIRMED, CONFIRMED), 4, True),
-        ("there is no storage node", (), 0, False),
+        ("no unlisted results", (CONFIRMED,) * 4, 4, True),
+        ("unlisted result at one node", (CONFIRMED, BEYOND, CONFIRMED, CONFIRMED), 4, False),
+        ("unlisted, node without lease", (CONFIRMED, CONFIRMED, CONFIRMED, BEYOND), 4, False),
+        ("one node does not answer", (CONFIRMED, CONFIRMED, SILENT, CONFIRMED), 4, False),
+        ("one node is dead", (CONFIRMED, CONFIRMED, CONFIRMED, DEAD), 3, False),
+        ("leaving node without results", (CONFIRMED,) * 4, 3, True),
+        ("leaving node, unlisted result", (CONFIRMED, CONFIRMED, CONFIRMED, BEYOND), 3, False),
+        ("lease of another coordinator", (CONFIRMED, TAKEN, CONFIRMED, CONFIRMED), 4, True),
+        ("no storage nodes", (), 0, False),
     )
     def test_confirmed(self, _, replies, live, confirmed) -> None:
         members = tuple(
@@ -126,7 +126,7 @@
 
 
 class CoordinatedOrderTest(unittest.TestCase):
-    """What a coordinator takes for the newest order."""
+    """When a coordinator may treat its copy of the listing as the newest."""
 
     def test_a_new_job_is_not_known_to_have_no_results(self) -> None:
         self.assertFalse(CoordinatedJob(job(), None, "g#1").listing_is_current())
--- a/tests/test_job_progress.py
+++ b/tests/test_job_progress.py
@@ -1,4 +1,4 @@
-"""What outlives a coordinator: the progress of its items, and how soon another goes on."""
+"""After a coordinator dies, progress must not be lost and the job must be adopted in time."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 
 class DatabaseCase(unittest.TestCase):
-    """A storage node's disk with one job."""
+    """Base of tests with the database of a storage node that has one job."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -64,7 +64,7 @@
 
 
 class KeptProgressTest(DatabaseCase):
-    """Parts of progress on a disk."""
+    """Stored progress must never have gaps or mix events of two coordinators."""
 
     @params(
         ((part(0, "ab"), part(2, "cd")), "abcd"),
@@ -80,7 +80,7 @@
         self.assertEqual(str(len(expected)) if expected else None, found.last_event_id)
 
     def test_texts_of_two_coordinators_are_never_joined(self) -> None:
-        # The second one went on after event 1, the first one after event 2.
+        # The second coordinator resumed after event 1, the first one after event 2.
         self.database.store_progress(JOB, "one", [part(0, "ab")])
         self.database.store_progress(JOB, "two", [part(0, "a"), part(1, "BC")])
         self.database.store_progress(JOB, "two", [part(3, "D")])
@@ -106,7 +106,7 @@
 
 
 class FixedStorage:
-    """One storage node that keeps what it is told."""
+    """A storage node that records the progress sent to it."""
 
     def __init__(self) -> None:
         self.node = "storage-0"
@@ -124,7 +124,7 @@
 
 
 class SaverTest(unittest.TestCase):
-    """What a coordinator tells, and when it tells it again."""
+    """Which progress a coordinator sends, and when it sends it again."""
 
     def setUp(self) -> None:
         self.storage = FixedStorage()
@@ -174,7 +174,7 @@
 
 
 class FixedPeers:
-    """Peers that answer as the test says, and what they were asked."""
+    """Peers with fixed replies that record the messages they receive."""
 
     def __init__(self) -> None:
         self.left_s = 0.0
@@ -190,7 +190,7 @@
 
 
 class AdoptionTest(DatabaseCase):
-    """When a job is given to another gateway; time is the test's own."""
+    """When a storage node assigns a job to another gateway; the clock is simulated."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -214,7 +214,7 @@
             CopyRules(2),
             may_have_ended=lambda name: name not in self.out_of_reach,
         )
-        # Which of the two acts is drawn by the job's id.
+        # Otherwise the job's id decides which of the two storage nodes acts.
         patch = mock.patch.object(self.watch, "_acts_for", lambda job_id: True)
         patch.start()
         self.addCleanup(patch.stop)
--- a/tests/test_ledger_contention.py
+++ b/tests/test_ledger_contention.py
@@ -1,4 +1,4 @@
-"""Many gateways that change one ledger at the same moment, as after an outage of the store."""
+"""Gateways that change one ledger at once, as after a store outage, must all succeed."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class PauseTest(unittest.TestCase):
-    """The decision by itself."""
+    """Pauses after conflicts."""
 
     @params((1, 0.0), (2, 0.1), (3, 0.0), (4, 0.2), (5, 0.0), (6, 0.4), (8, 0.4))
     def test_every_second_conflict_is_followed_by_a_longer_pause(self, conflicts, longest) -> None:
@@ -29,7 +29,7 @@
 
 
 class ContentionTest(unittest.TestCase):
-    """What becomes of changes that are begun together."""
+    """Changes that start at the same time."""
 
     @params(
         ("admissions", 20, FIRST_CONFLICT_PAUSE_S),
@@ -44,8 +44,8 @@
                 )
             )
         done = [ledger for ledger in entered if isinstance(ledger, Ledger)]
-        self.assertEqual(gateways, len(done), "some were told that it is too busy")
+        self.assertEqual(gateways, len(done), "some gateways gave up after too many conflicts")
         newest = max(done, key=lambda ledger: ledger.revision)
         self.assertEqual(gateways * TOKENS, newest.document.job_tokens)
-        # Where all try again together each makes as many calls as it may.
+        # If all gateways retried in step, each would use up its attempts.
         self.assertLess(rig.store.calls.total(), gateways * MAX_CONFLICTS * 0.6)
--- a/tests/test_submission_relay.py
+++ b/tests/test_submission_relay.py
@@ -1,4 +1,4 @@
-"""Ways by which a job is accepted: the own one, and by another gateway."""
+"""A job must be accepted in time through another gateway if this one cannot store it."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class FixedGateways:
-    """Answers of other gateways, in the order in which they are asked."""
+    """Fixed replies of other gateways, in the order in which they are called."""
 
     def __init__(self, *replies) -> None:
         self.replies = list(replies)
@@ -44,7 +44,7 @@
 
 
 class RelayTest(unittest.TestCase):
-    """The own way is told to last until the test lets it end."""
+    """The local attempt lasts until the test lets it finish."""
 
     def setUp(self) -> None:
         self.own_may_end = threading.Event()
@@ -116,7 +116,7 @@
 
 
 class AgreedCoordinatorTest(unittest.TestCase):
-    """Who runs a job that several gateways have stored."""
+    """Storage nodes that name different coordinators must not leave a job without one."""
 
     @params((["a", "a"], "a"), (["b", "a"], "a"), (["a", "b"], "a"), (["b", "a", "b"], "b"))
     def test_most_named_then_the_first_by_name(self, named, expected) -> None:
--- a/tests/test_zone_copies.py
+++ b/tests/test_zone_copies.py
@@ -1,7 +1,7 @@
-"""A zone's storage nodes are lost or cut off: what was accepted is read, goes on, and ends.
+"""Accepted jobs must survive the loss or isolation of a zone.
 
-Two zones with three storage nodes each; two copies are needed and three kept, so that by a
-ranking that knows no zones all copies of some jobs lie in one. The jobs here are such ones.
+There are two zones of three storage nodes. The jobs of these tests would have all copies in one
+zone if the ranking ignored zones.
 """
 
 from __future__ import annotations
@@ -25,15 +25,15 @@
 LOST = ZONES[0]
 RULES = CopyRules(2, zones=2)
 ACCEPTED_WITHIN_S = 0.8
-"""Shortest time within which callers want to know that their job is accepted."""
+"""Time within which a client must learn that its job is accepted."""
 SETTLE_S = 1.0
-"""Time after which a position that was read must be there at every gateway."""
+"""Time after which a position that was read must be visible at every gateway."""
 NOTICED_WITHIN_S = 10.0
-"""Until then nodes that are cut off are known as dead, or as alive again."""
+"""Time within which isolated nodes are detected as dead, and later as alive again."""
 
 
 class ZoneCase(unittest.TestCase):
-    """Gateway 0 and half of the storage nodes are in the zone that is lost."""
+    """Base of the tests: gateway 0 and half of the storage nodes are in the lost zone."""
 
     SETTINGS = {"zones_lost_at_once": 1}
 
@@ -48,7 +48,7 @@
         return [node.network.membership.local() for node in self.rig.storage.values()]
 
     def job_in_one_zone(self, zone: str = LOST) -> str:
-        """Return the id of a job whose copies would all lie in one zone if zones did not count."""
+        """Return the id of a job whose copies would all be in one zone if zones were ignored."""
         for number in itertools.count():
             ranked = rank_nodes(f"job-{number}", self.members())
             if {member.zone for member in ranked[: RULES.kept]} == {zone}:
@@ -63,7 +63,7 @@
         return sum(len(replica.runs) for replica in self.rig.replicas.values())
 
     def read_on(self, gateway: str, job_id: str, count: int) -> list[dict]:
-        """Read page after page until ``count`` results have come, and return them."""
+        """Read pages until there are ``count`` results, and return these."""
         results: list[dict] = []
 
         def read_one() -> bool:
@@ -79,7 +79,7 @@
         return {name for name, node in self.rig.storage.items() if job_id in node._database.by_id}
 
     def wait_spread(self, job_id: str) -> None:
-        """Wait until a job is whole on each node that it belongs to."""
+        """Wait until each holder of a job has the job with all its results."""
 
         def is_spread() -> bool:
             names = {member.name for member in RULES.holders(job_id, self.members())}
@@ -93,26 +93,26 @@
         wait_until(is_spread, f"copies of {job_id} lie in both zones")
 
     def wait_apart(self) -> None:
-        """Wait until each side knows the other as dead."""
+        """Wait until each side has detected that the other one is unreachable."""
         nodes = [*self.rig.gateways.values(), *self.rig.storage.values()]
         wait_until(
             lambda: all(len(node.network.storage_nodes()) == 3 for node in nodes),
-            "the cut is known",
+            "each side knows only its own storage nodes",
         )
 
     def wait_together(self) -> None:
         nodes = [*self.rig.gateways.values(), *self.rig.storage.values()]
         wait_until(
             lambda: all(len(node.network.storage_nodes()) == 6 for node in nodes),
-            "the cut is healed",
+            "all storage nodes are known again",
         )
 
 
 class ZoneLostTest(ZoneCase):
-    """All processes of a zone die, and its disks are lost."""
+    """All processes and disks of a zone are lost."""
 
     def lose_zone(self) -> None:
-        # Cut off first: what the nodes say and give away while they stop reaches nobody.
+        # Isolated first, so that nothing that the nodes send while stopping arrives.
         self.rig.cut_zone(LOST)
         self.rig.gateways.pop("gateway-0").kill()
         for name in self.nodes(LOST):
@@ -158,7 +158,7 @@
 
 
 class ZoneCutTest(ZoneCase):
-    """A zone is cut off from the others; store, engines and callers reach both sides."""
+    """A zone is isolated from the other; store, engines and clients reach both sides."""
 
     def test_job_and_its_results_are_there_on_both_sides(self) -> None:
         self.slow_engines()
@@ -169,7 +169,7 @@
         for gateway in self.rig.gateways:
             during = self.rig.wait_results(gateway, job_id, len(before))
             self.assertEqual(before, during[: len(before)])
-        # What is listed from now on has its contents on the coordinator's side only.
+        # The contents of results listed from now on are only on the coordinator's side.
         self.rig.wait_results("gateway-0", job_id, 8)
         self.wait_apart()
         for gateway in self.rig.gateways:
@@ -183,7 +183,7 @@
         self.wait_spread(job_id)
 
     def test_read_positions_are_never_told_to_be_empty(self) -> None:
-        """Both sides run the job and list results; a side may be unsure of what it cannot fetch."""
+        """Both sides run the job and list results; 503 is allowed for results out of reach."""
         self.slow_engines(0.2)
         job_id = self.job_in_one_zone()
         self.rig.submit("gateway-0", job_id, 24)
@@ -201,7 +201,7 @@
                 self.assertIn(answer.status, (200, 503))
                 if answer.status == 200:
                     results = json.loads(answer.data)["results"]
-                    self.assertTrue(results, f"{gateway}: position {since} is told empty")
+                    self.assertTrue(results, f"{gateway}: position {since} is reported empty")
                     read_at_by_count.setdefault(since + len(results), time.monotonic())
                     seen_by_gateway[gateway] = since + len(results)
         self.assertEqual(24, max(seen_by_gateway.values()))
@@ -233,7 +233,7 @@
                 self.rig.wait_results(gateway, job_id, 2)
 
     def test_end_is_acknowledged_only_once_it_holds_for_both_sides(self) -> None:
-        """Beyond the cut the job's coordinator goes on, and cannot know of the end."""
+        """The job's coordinator on the other side does not learn of the end and continues."""
         self.slow_engines(0.3)
         job_id = self.job_in_one_zone()
         self.rig.submit("gateway-0", job_id, 40)
@@ -258,7 +258,7 @@
         self.assertEqual(runs, self.runs())
 
     def test_order_is_not_confirmed_by_one_side_alone_however_long_the_cut(self) -> None:
-        """Nodes that are dead for long count while they may be a zone that is cut off."""
+        """Nodes that have been dead for long still count if they may be an isolated zone."""
         self.rig.cut_zone(LOST)
         self.wait_apart()
         network = self.rig.gateways["gateway-1"].network
@@ -268,15 +268,15 @@
 
 
 class UpgradeTest(ZoneCase):
-    """Builds that do not spread copies run beside those that do.
+    """Processes that spread copies across zones must work with earlier ones that do not.
 
-    The earlier build is one whose settings say that no zone may be lost: it ranks as before.
+    Settings by which no zone may be lost stand for the earlier build.
     """
 
     SETTINGS = {"zones_lost_at_once": 0}
 
     def upgrade(self, *names: str) -> None:
-        """Replace processes by ones that spread copies; disks and addresses stay."""
+        """Replace processes by ones that spread copies; disks and addresses are kept."""
         for name in names:
             settings = self.rig.settings[name]
             self.rig.settings[name] = msgspec.structs.replace(settings, zones_lost_at_once=1)
@@ -303,7 +303,7 @@
         self.assertEqual(200, self.rig.call("gateway-1", "DELETE", f"/v1/lots/{ended}").status)
         for gateway, job_id in itertools.product(self.rig.gateways, (by_old, by_new)):
             self.rig.wait_results(gateway, job_id, 1)
-        # The coordinator of either build is killed; one of the other build goes on.
+        # The coordinator of each build is killed; a gateway of the other build continues.
         for victim, other, job_id in (
             ("gateway-0", "gateway-1", by_old),
             ("gateway-1", "gateway-0", by_new),
@@ -313,7 +313,7 @@
             self.assertEqual(8, len({result["id"] for result in results}))
             self.rig.start_gateway(victim, self.rig.settings[victim].zone)
             self.rig.wait_ready()
-        # A disk that is lost meanwhile takes nothing with it.
+        # Losing a disk during the upgrade must not lose data.
         self.rig.storage.pop("storage-2").stop()
         self.rig.wipe("storage-2")
         self.rig.start_storage("storage-2", LOST)
