--- a/tests/store_rig.py
+++ b/tests/store_rig.py
@@ -77,7 +77,7 @@
         return self._objects[name]
 
 
-class _OwnStore:
+class _GatewayStore:
     """The store's interface for one gateway."""
 
     def __init__(self, store: MemoryStore, gateway: str) -> None:
@@ -94,7 +94,7 @@
         return self._store.call(self._gateway, lambda: self._store.write(name, spec, revision))
 
 
-class _Disks:
+class _StorageNodes:
     """Storage nodes that store all results."""
 
     def store_results(self, job_id: str, results: Any) -> bool:
@@ -114,11 +114,11 @@
             fleet.writes_per_s,
             fleet.settle_s,
         )
-        own = _OwnStore(fleet.store, name)
+        own = _GatewayStore(fleet.store, name)
         self.circuit = CircuitStore(own, StoreCircuit(fleet.longest_probe_s), rules)
         shared = SharingStore(self.circuit, fleet, self, lambda: fleet.others(name))
         parts = PublisherParts(
-            name, _Disks(), JobListings(shared), lambda other: True, self.circuit.await_turn
+            name, _StorageNodes(), JobListings(shared), lambda other: True, self.circuit.await_turn
         )
         self.publisher = ResultPublisher(parts, lambda: None, lambda job_id: None)
 
@@ -184,7 +184,7 @@
 
     def enter(self, gateway: str, tokens: int, first_pause_s: float) -> Ledger | LedgerUnknown:
         """Enter a job of a gateway that has not read the ledger yet."""
-        ledgers = QuotaLedgers(_OwnStore(self.store, gateway))
+        ledgers = QuotaLedgers(_GatewayStore(self.store, gateway))
         return ledgers.change(
             "route", Ledger(), lambda held: held.with_job(f"job-{gateway}", tokens), first_pause_s
         )
--- a/tests/test_batch_quota.py
+++ b/tests/test_batch_quota.py
@@ -128,7 +128,7 @@
 class LedgerTest(QuotaCase):
     """Jobs that are counted in the ledger."""
 
-    def test_two_gateways_do_not_both_promise_the_last_room(self) -> None:
+    def test_two_gateways_do_not_both_assign_the_last_tokens(self) -> None:
         self.assertIsInstance(self.one.admit("a", 6), Admitted)
         self.assertIsInstance(self.two.admit("b", 4), Admitted)
         for gateway in (self.one, self.two):
@@ -137,7 +137,7 @@
             self.assertGreater(decision.retry_after_s, 0)
         self.assertEqual({"a": 600, "b": 400}, self.held())
 
-    def test_room_follows_items_that_end(self) -> None:
+    def test_finished_items_free_their_tokens(self) -> None:
         self.one.admit("a", 10)
         job = self.one.jobs["a"]
         self.assertIsInstance(self.two.admit("b", 3), OverQuota)
@@ -146,7 +146,7 @@
         self.one.quota.reconcile()
         self.assertIsInstance(self.two.admit("b", 3), Admitted)
 
-    def test_the_time_to_come_back_follows_what_has_become_free(self) -> None:
+    def test_retry_time_follows_the_rate_of_freed_tokens(self) -> None:
         self.one.admit("a", 10)
         slow = self.one.admit("b", 3).retry_after_s
         job = self.one.jobs["a"]
@@ -162,7 +162,7 @@
         self.assertAlmostEqual(100 / 90, self.one.admit("c", 10).retry_after_s, places=2)
 
     @params("ended", "dead")
-    def test_a_job_that_is_over_holds_nothing(self, how: str) -> None:
+    def test_a_job_that_is_over_holds_no_tokens(self, how: str) -> None:
         self.one.admit("a", 10)
         job = self.one.jobs["a"]
         if how == "ended":
@@ -173,18 +173,18 @@
         self.one.quota.reconcile()
         self.assertEqual({}, self.held())
 
-    def test_a_job_sent_again_counts_once(self) -> None:
+    def test_a_job_submitted_again_counts_once(self) -> None:
         self.one.admit("a", 6)
         self.assertIsInstance(self.two.admit("a", 6), Admitted)
         self.assertEqual({"a": 600}, self.held())
 
     @params((True, Admitted), (None, QuotaUnknown), (False, OverQuota))
-    def test_a_job_that_storage_nodes_have_is_never_refused(self, known, expected) -> None:
+    def test_a_stored_job_is_never_refused(self, known, expected) -> None:
         self.one.admit("a", 10)
         self.two.known = known
         self.assertIsInstance(self.two.admit("b", 1), expected)
 
-    def test_a_job_that_was_not_kept_is_withdrawn(self) -> None:
+    def test_a_job_that_was_not_stored_is_withdrawn(self) -> None:
         admitted = self.one.admit("a", 10)
         del self.one.jobs["a"]
         self.one.quota.withdraw("a", self.route, admitted)
@@ -200,7 +200,7 @@
         self.one.quota.reconcile()
         self.assertEqual({"a": 600}, self.held())
 
-    def test_who_only_helped_takes_no_count_back(self) -> None:
+    def test_a_relay_gateway_does_not_withdraw_the_count(self) -> None:
         self.one.admit("a", 6)
         helped = self.two.admit("a", 6)
         del self.two.jobs["a"]
@@ -208,7 +208,7 @@
         self.two.quota.reconcile()
         self.assertEqual({"a": 600}, self.held())
 
-    def test_a_lowered_quota_holds_at_once(self) -> None:
+    def test_a_lowered_quota_applies_at_once(self) -> None:
         self.one.admit("a", 6)
         self.route = batch_route(500)
         self.assertIsInstance(self.one.admit("b", 1), OverQuota)
@@ -219,25 +219,25 @@
         self.one.quota.reconcile()
         self.assertEqual(0, sum(self.store.calls.values()))
 
-    def test_an_adopted_job_is_entered_and_then_followed(self) -> None:
+    def test_an_adopted_job_is_entered(self) -> None:
         self.two.jobs["a"] = coordinated("a", 12, self.route)
         self.two.quota.reconcile()
         # It was accepted before, so it counts even if it does not fit.
         self.assertEqual({"a": 1200}, self.held())
 
-    def test_a_job_handed_over_is_left_to_who_took_it(self) -> None:
+    def test_a_job_that_was_handed_over_keeps_its_entry(self) -> None:
         self.one.admit("a", 6)
         self.one.jobs["a"].stop(ended=False)
         self.one.quota.reconcile()
         self.assertEqual({"a": 600}, self.held())
 
-    def test_store_that_is_down_decides_nothing(self) -> None:
+    def test_no_job_is_counted_while_the_store_is_down(self) -> None:
         self.store.faults = FleetStoreFaults(down=True)
         self.assertIsInstance(self.one.admit("a", 1), QuotaUnknown)
         self.store.faults = FleetStoreFaults()
         self.assertEqual({}, self.held())
 
-    def test_an_answer_that_is_lost_counts_the_job_once(self) -> None:
+    def test_a_job_counts_once_if_the_answer_of_the_store_is_lost(self) -> None:
         self.one.admit("first", 1)
         self.store.faults = FleetStoreFaults(lose_writes=True)
         with mock.patch("quaymill.platform.object_store.CALL_TIMEOUT_S", 0.2):
@@ -245,7 +245,7 @@
         self.assertIsInstance(decision, Admitted)
         self.assertEqual({"first": 100, "a": 500}, self.held())
 
-    def test_changes_of_many_gateways_at_once_are_all_kept(self) -> None:
+    def test_no_change_of_several_gateways_is_lost(self) -> None:
         gateways = [Gateway(self, f"g{n}") for n in range(4)]
         for gateway in gateways:
             gateway.admit(f"warm-{gateway.quota._name}", 1)
@@ -260,7 +260,7 @@
 
     quota = LARGE
 
-    def test_an_allowance_bridges_an_outage(self) -> None:
+    def test_jobs_are_admitted_under_the_allowance_during_an_outage(self) -> None:
         self.one.take_allowance()
         self.store.faults = FleetStoreFaults(down=True)
         self.assertEqual(Admitted("allowance"), self.one.admit("a", 100))
@@ -275,7 +275,7 @@
         ledgers = QuotaLedgers(PlatformObjectStore(Endpoint("127.0.0.1", self.store.port)))
         return ledgers.read(self.route.name).document.allowances[gateway].tokens
 
-    def test_a_job_that_is_over_soon_costs_no_call_and_gives_its_part_back(self) -> None:
+    def test_a_short_job_costs_no_call_and_returns_its_tokens(self) -> None:
         self.one.take_allowance()
         calls = sum(self.store.calls.values())
         remaining = self.one.quota._state_of(self.route.name).remaining
@@ -286,7 +286,7 @@
         self.assertEqual(calls, sum(self.store.calls.values()))
         self.assertEqual(remaining, self.one.quota._state_of(self.route.name).remaining)
 
-    def test_an_old_ledger_is_looked_up_before_it_is_changed(self) -> None:
+    def test_an_old_ledger_is_read_before_it_is_changed(self) -> None:
         """A change on an old ledger would conflict and need a second write."""
         self.one.take_allowance()
         self.two.take_allowance()
@@ -295,14 +295,14 @@
         self.one.quota.reconcile()
         self.assertEqual(1, self.store.calls["PUT"] - writes)
 
-    def test_a_look_that_fails_leaves_the_change_to_decide(self) -> None:
+    def test_a_failed_read_returns_the_known_ledger(self) -> None:
         self.one.take_allowance()
         ledgers = self.one.quota._ledgers
         known = self.one.quota._state_of(self.route.name).ledger
         self.store.faults = FleetStoreFaults(down=True)
         self.assertIs(known, ledgers.newer(self.route.name, known))
 
-    def test_a_job_that_was_handed_away_stays_counted(self) -> None:
+    def test_a_charged_job_that_was_handed_over_stays_counted(self) -> None:
         self.one.take_allowance()
         remaining = self.one.quota._state_of(self.route.name).remaining
         self.one.admit("a", 100)
@@ -311,7 +311,7 @@
         self.one.quota.reconcile()
         self.assertEqual(remaining - 10_000, self.one.quota._state_of(self.route.name).remaining)
 
-    def test_jobs_are_entered_once_half_of_the_allowance_is_used(self) -> None:
+    def test_jobs_are_entered_once_enough_of_the_allowance_is_used(self) -> None:
         self.one.take_allowance()
         allowed = self.allowance_of("one")
         items = int(ENTER_FROM_SHARE * allowed) // ITEM_TOKENS
@@ -323,7 +323,7 @@
         self.assertEqual({"a": items * ITEM_TOKENS, "b": ITEM_TOKENS}, self.held())
         self.assertEqual(allowed, self.one.quota._state_of(self.route.name).remaining)
 
-    def test_an_allowance_gives_no_more_than_it_has(self) -> None:
+    def test_no_more_jobs_are_admitted_than_the_allowance_fits(self) -> None:
         self.one.take_allowance()
         self.store.faults = FleetStoreFaults(down=True)
         decisions = [self.one.admit(f"job-{n}", 300) for n in range(10)]
@@ -342,12 +342,12 @@
         self.route = batch_route(LARGE // 2)
         self.assertIsInstance(self.one.admit("a", 1), QuotaUnknown)
 
-    def test_none_is_taken_right_after_the_start(self) -> None:
+    def test_no_allowance_is_taken_right_after_the_start(self) -> None:
         self.one.quota.reconcile()
         self.store.faults = FleetStoreFaults(down=True)
         self.assertIsInstance(self.one.admit("a", 1), QuotaUnknown)
 
-    def test_a_job_of_a_dead_gateway_is_entered_by_who_adopts_it(self) -> None:
+    def test_a_job_of_a_dead_gateway_is_entered_by_its_adopter(self) -> None:
         self.one.take_allowance()
         self.one.admit("a", 100)
         self.two.jobs["a"] = self.one.jobs["a"]
@@ -377,30 +377,30 @@
         super().setUp()
         self.sweeper = Gateway(self, "sweeper", sweeps=True)
 
-    def look_for(self, time_s: float) -> None:
+    def sweep_for(self, time_s: float) -> None:
         until = self.now + time_s
         while self.now < until:
             self.now += SWEEP_INTERVAL_S
             self.sweeper.quota.reconcile()
 
-    def test_an_entry_that_nobody_cares_for_goes_once_its_job_is_over(self) -> None:
+    def test_an_orphaned_entry_is_removed_once_its_job_is_over(self) -> None:
         self.one.admit("a", 5)
-        self.look_for(ORPHANED_AFTER_S / 2)
+        self.sweep_for(ORPHANED_AFTER_S / 2)
         self.assertEqual({"a": 500}, self.held())
-        self.look_for(2 * ORPHANED_AFTER_S)
+        self.sweep_for(2 * ORPHANED_AFTER_S)
         self.assertEqual({}, self.held())
 
-    def test_an_entry_of_a_job_that_may_run_stays(self) -> None:
+    def test_an_entry_of_a_job_that_may_run_is_not_removed(self) -> None:
         self.one.admit("a", 5)
         self.sweeper.over = False
-        self.look_for(5 * ORPHANED_AFTER_S)
+        self.sweep_for(5 * ORPHANED_AFTER_S)
         self.assertEqual({"a": 500}, self.held())
 
-    def test_a_lost_allowance_is_taken_back_long_after_its_term(self) -> None:
+    def test_an_orphaned_allowance_is_removed_long_after_its_term(self) -> None:
         self.one.take_allowance()
-        self.look_for(ALLOWANCE_TERM_S + ORPHANED_AFTER_S)
+        self.sweep_for(ALLOWANCE_TERM_S + ORPHANED_AFTER_S)
         self.assertIn("one", self._allowances())
-        self.look_for(ALLOWANCE_LOST_AFTER_S)
+        self.sweep_for(ALLOWANCE_LOST_AFTER_S)
         self.assertNotIn("one", self._allowances())
 
     def _allowances(self) -> dict[str, Allowance]:
@@ -415,22 +415,22 @@
     def test_a_job_fits_up_to_the_quota(self, tokens: int, expected: bool) -> None:
         self.assertEqual(expected, fits(LedgerDocument(), tokens, 1000, 0.1))
 
-    def test_allowances_lie_in_the_tolerated_overrun_first(self) -> None:
+    def test_allowances_use_the_tolerated_overrun_first(self) -> None:
         document = LedgerDocument({}, {"one": Allowance(80)})
         self.assertTrue(fits(document, 1000, 1000, 0.1))
         self.assertFalse(fits(document.with_allowance("two", 1), 1000, 1000, 0.1))
 
-    def test_allowances_take_a_bounded_part(self) -> None:
+    def test_all_allowances_together_are_bounded(self) -> None:
         document = LedgerDocument()
         for name in "abcdefgh":
             document = document.with_allowance(name, allowance_for(document, name, 2, LARGE))
         self.assertLessEqual(document.allowance_tokens, 0.25 * LARGE)
 
-    def test_no_allowance_while_jobs_hold_much(self) -> None:
+    def test_no_allowance_while_jobs_hold_many_tokens(self) -> None:
         document = LedgerDocument({"a": JobTokens(LARGE // 3)})
         self.assertEqual(0, allowance_for(document, "one", 2, LARGE))
 
-    def test_an_item_that_runs_counts_until_it_is_finished(self) -> None:
+    def test_a_running_item_counts_until_it_is_finished(self) -> None:
         job = coordinated("a", 3, batch_route(SMALL))
         job.items[0].state = ItemState.RUNNING
         self.assertEqual(300, job.unfinished_tokens())
@@ -441,7 +441,7 @@
 class ConfigurationTest(unittest.TestCase):
     """How the platform's configuration gives the quota."""
 
-    def test_the_routes_field_counts_and_not_the_engines(self) -> None:
+    def test_quota_comes_from_the_route_and_not_from_the_engine(self) -> None:
         route = {
             "name": "jobs",
             "host": "h",
@@ -460,7 +460,7 @@
         )
         self.assertEqual([1200, 0], [one.max_unfinished_tokens for one in decoded.routes])
 
-    def test_ledgers_are_a_kind_of_the_systems_own(self) -> None:
+    def test_ledgers_have_an_object_kind_of_their_own(self) -> None:
         self.assertIn(ObjectKind.QUOTA_LEDGERS, ObjectKind)
 
 
@@ -479,12 +479,12 @@
     def held_by(self, tenant: str) -> int:
         return self.ledgers().read(ledger_name("jobs", tenant)).document.job_tokens
 
-    def test_one_tenants_jobs_take_no_room_from_anothers(self) -> None:
+    def test_jobs_of_one_tenant_use_no_quota_of_another(self) -> None:
         self.assertIsInstance(self.one.admit("office~a", 10, "office"), Admitted)
         self.assertIsInstance(self.two.admit("office~b", 3, "office"), OverQuota)
         self.assertIsInstance(self.two.admit("kiosk~a", 10, "kiosk"), Admitted)
 
-    def test_what_ends_makes_room_for_its_tenant(self) -> None:
+    def test_finished_items_free_tokens_of_their_tenant(self) -> None:
         self.one.admit("office~a", 10, "office")
         job = self.one.jobs["office~a"]
         for item in job.items:
@@ -493,12 +493,12 @@
         self.assertEqual(0, self.held_by("office"))
         self.assertIsInstance(self.two.admit("office~b", 10, "office"), Admitted)
 
-    def test_tenants_without_jobs_cost_nothing(self) -> None:
+    def test_tenants_without_jobs_have_no_ledger(self) -> None:
         self.one.admit("office~a", 1, "office")
         self.one.take_allowance()
         self.assertEqual((ledger_name("jobs", "office"),), self.ledgers().names())
 
-    def test_a_dead_gateways_entries_of_any_tenant_are_swept(self) -> None:
+    def test_orphaned_entries_of_any_tenant_are_removed(self) -> None:
         self.one.admit("office~a", 10, "office")
         sweeper = Gateway(self, "three", sweeps=True)
         for _ in range(4):
@@ -506,7 +506,7 @@
             self.now += max(SWEEP_INTERVAL_S, ORPHANED_AFTER_S)
         self.assertEqual(0, self.held_by("office"))
 
-    def test_names_of_ledgers_do_not_meet(self) -> None:
+    def test_names_of_ledgers_are_unique(self) -> None:
         routes = ("jobs", "jobs~a", "jobs/a", "")
         names = {ledger_name(route, name) for route in routes for name in ("", "a", "a~b")}
         self.assertEqual(12, len(names))
--- a/tests/test_empty_pages.py
+++ b/tests/test_empty_pages.py
@@ -22,13 +22,13 @@
 from quaymill_bench.fleet_world import item_id, job_body
 from test_fleet_faults import FaultCase
 
-SETTLE_S = 1.0
+VISIBLE_WITHIN_S = 1.0
 """Time after which a position that was read must be visible at every gateway."""
 READ_FOR_S = 1.2 * LEASE_S
 """Covers several renewals of every lease."""
 
 
-class _LateAnswers:
+class _LateStore:
     """A store that writes at once but answers writes only after ``answer`` is set."""
 
     def __init__(self, store: Any) -> None:
@@ -52,7 +52,7 @@
         return result
 
 
-class _SilentStore:
+class _UnresponsiveStore:
     """A store that does not answer."""
 
     def list(self, kind):
@@ -84,7 +84,7 @@
 
     def check_never_empty(self, gateway: str, since: int) -> None:
         """Read a position that was read elsewhere, during several renewals of the leases."""
-        time.sleep(SETTLE_S)
+        time.sleep(VISIBLE_WITHIN_S)
         until = time.monotonic() + READ_FOR_S
         while time.monotonic() < until:
             self.assertNotEqual([], self.read(gateway, since), "a read position is reported empty")
@@ -97,16 +97,16 @@
         shared._helpers = lambda: ()
         return shared._own
 
-    def cut(self, source: Any, target: Any) -> None:
+    def block_link(self, source: Any, target: Any) -> None:
         """Block one direction between two gateways; both reach all other processes."""
         peer = target.network.membership.local().peer
         source.network.client._link_filter.set_blocked(frozenset({peer}))
 
-    def holder(self, node: Any) -> str:
+    def lease_holder(self, node: Any) -> str:
         """Return the coordinator that holds the job's lease at a storage node."""
         return node._orphans._leases.holder("job")
 
-    def starve(self, gateway: Any) -> None:
+    def stop_slot_grants(self, gateway: Any) -> None:
         """Grant a gateway no more slots, and wait until its running items have finished."""
         dispatcher = gateway.coordinator._dispatcher
         claim_slots = dispatcher._parts.claim_slots
@@ -119,10 +119,10 @@
             lambda: not job.running() and not job.unlisted(), "no item is running or unlisted"
         )
 
-    def test_append_whose_answer_is_late(self) -> None:
-        late = self.replace_store(self.first, _LateAnswers)
+    def test_append_with_a_late_answer(self) -> None:
+        late = self.replace_store(self.first, _LateStore)
         self.addCleanup(late.answer.set)
-        self.cut(self.second, self.first)
+        self.block_link(self.second, self.first)
         self.rig.submit("gateway-0", "job", 3)
         wait_until(lambda: self.read("gateway-1", 0), "a result is shown from the store")
         self.check_never_empty("gateway-0", 0)
@@ -136,11 +136,11 @@
         self.slow_engines(30.0)
         shared = self.second.jobs._reader._listings._store
         own = shared._own
-        self.replace_store(self.second, lambda _: _SilentStore())
+        self.replace_store(self.second, lambda _: _UnresponsiveStore())
         self.rig.gateways.pop("gateway-0").kill()
         name = self.second.coordinator.name
         wait_until(
-            lambda: all(self.holder(node) == name for node in self.rig.storage.values()),
+            lambda: all(self.lease_holder(node) == name for node in self.rig.storage.values()),
             "the second gateway has the leases",
         )
         self.check_never_empty("gateway-1", 0)
@@ -148,11 +148,11 @@
         after = wait_until(lambda: self.read("gateway-1", 0), "the order is read")
         self.assertEqual(before, after[: len(before)])
 
-    def test_two_coordinators_one_with_the_leases(self) -> None:
+    def test_two_coordinators_of_one_job(self) -> None:
         self.slow_engines(0.1)
         self.rig.submit("gateway-0", "job", 24)
         self.rig.wait_results("gateway-0", "job", 2)
-        self.starve(self.first)
+        self.stop_slot_grants(self.first)
         since = len(self.first.coordinator.get("job").listing.document.results)
         self.assertLess(since, 24)
         # As if an isolated storage node assigned the job to the second gateway.
@@ -160,12 +160,12 @@
         wait_until(lambda: self.read("gateway-1", since), "the second one appends")
         self.check_never_empty("gateway-0", since)
 
-    def test_job_sent_again_and_accepted_twice(self) -> None:
+    def test_job_accepted_again_at_another_gateway(self) -> None:
         self.slow_engines(0.05)
         self.rig.submit("gateway-0", "job", 12)
         self.rig.wait_results("gateway-0", "job", 2)
         job = self.rig.storage["storage-0"]._database.job("job")
-        time.sleep(SETTLE_S)
+        time.sleep(VISIBLE_WITHIN_S)
         self.slow_engines(30.0)
         self.second.coordinator.accept(job)
         self.assertNotEqual([], self.read("gateway-1", 0), "a read position is reported empty")
@@ -174,7 +174,7 @@
 class EmptyBodyTest(FaultCase):
     """The empty body of an item must not be reported as missing."""
 
-    def test_empty_body_is_not_missing(self) -> None:
+    def test_empty_body_is_returned(self) -> None:
         self.slow_engines(30.0)
         name = item_id("job", 0)
         submission = json.loads(job_body("job", 1))
--- a/tests/test_job_copies.py
+++ b/tests/test_job_copies.py
@@ -53,7 +53,7 @@
         ("one zone", {"a": 5}),
         ("no nodes", {}),
     )
-    def test_no_zone_twice_before_each_has_one(self, name, sizes) -> None:
+    def test_ranking_spreads_evenly_across_zones(self, name, sizes) -> None:
         members = nodes(**sizes)
         for key in KEYS:
             ranked = rank_across_zones(key, members)
@@ -66,7 +66,7 @@
                 taken[member.zone] += 1
 
     @params({"a": 4, "b": 3, "c": 3}, {"a": 1, "b": 5}, {"a": 5})
-    def test_whoever_sees_the_same_nodes_ranks_them_alike(self, sizes) -> None:
+    def test_ranking_does_not_depend_on_the_order_of_nodes(self, sizes) -> None:
         members = nodes(**sizes)
         for key in KEYS:
             ranked = rank_across_zones(key, reversed(members))
@@ -74,43 +74,43 @@
             # With and without spreading across zones, the same node assigns orphaned jobs.
             self.assertEqual(rank_nodes(key, members)[0], ranked[0])
 
-    def test_in_one_zone_it_is_as_without_zones(self) -> None:
+    def test_ranking_in_one_zone_equals_ranking_without_zones(self) -> None:
         members = nodes(a=6)
         for key in KEYS:
             self.assertEqual(rank_nodes(key, members), rank_across_zones(key, members))
 
     @params({"a": 4, "b": 3, "c": 3}, {"a": 2, "b": 5, "c": 1}, {"a": 6})
-    def test_one_node_less_moves_only_the_jobs_that_it_held(self, sizes) -> None:
+    def test_removing_a_node_moves_only_its_jobs(self, sizes) -> None:
         members = nodes(**sizes)
         rules = CopyRules(3, zones=2)
-        for gone in members:
-            staying = [member for member in members if member is not gone]
+        for removed in members:
+            remaining = [member for member in members if member is not removed]
             moved = 0
             for key in KEYS:
                 before = set(rules.holders(key, members))
-                after = set(rules.holders(key, staying))
-                self.assertEqual(before - {gone}, before & after)
-                self.assertEqual(gone in before, before != after)
+                after = set(rules.holders(key, remaining))
+                self.assertEqual(before - {removed}, before & after)
+                self.assertEqual(removed in before, before != after)
                 moved += before != after
             if sizes == {"a": 4, "b": 3, "c": 3}:
                 self.assertLess(moved, 0.6 * len(KEYS))
 
-    def test_each_node_of_equal_zones_has_its_part(self) -> None:
+    def test_nodes_of_equal_zones_hold_equal_shares(self) -> None:
         members = nodes(a=3, b=3, c=3)
-        held = Counter(one for key in KEYS for one in CopyRules(2, 2).holders(key, members))
+        jobs_by_node = Counter(one for key in KEYS for one in CopyRules(2, 2).holders(key, members))
         share = len(KEYS) * 3 / len(members)
         for member in members:
-            self.assertAlmostEqual(share, held[member], delta=0.25 * share)
+            self.assertAlmostEqual(share, jobs_by_node[member], delta=0.25 * share)
 
     @params((1, False), (2, True))
-    def test_rules_spread_only_where_a_zone_may_be_lost(self, zones, spreads) -> None:
+    def test_rules_spread_copies_only_if_a_zone_may_be_lost(self, zones, spreads) -> None:
         members = nodes(a=4, b=3, c=3)
         rank = rank_across_zones if spreads else rank_nodes
         for key in KEYS:
             self.assertEqual(rank(key, members), CopyRules(3, zones).rank(key, members))
 
     @params(({"a": 1}, 1), ({"a": 1, "b": 1}, 2), ({"a": 1, "b": 1, "c": 1}, 2), ({}, 0))
-    def test_zones_that_are_not_there_are_not_asked_for(self, sizes, zones) -> None:
+    def test_no_more_zones_are_needed_than_exist(self, sizes, zones) -> None:
         self.assertEqual(zones, CopyRules(3, zones=2).zones_needed(nodes(**sizes)))
 
 
@@ -140,14 +140,14 @@
         ("disks_lost_at_once = 2", CopyRules(3, 1)),
         ("disks_lost_at_once = 2\nzones_lost_at_once = 1", CopyRules(3, 2)),
     )
-    def test_copies_follow_the_losses_to_be_borne(self, text, rules) -> None:
+    def test_copies_follow_the_number_of_tolerated_losses(self, text, rules) -> None:
         self.assertEqual(rules, CopyRules.from_settings(self.load(text)))
 
     @params("disks_lost_at_once", "zones_lost_at_once")
-    def test_fewer_than_none_is_a_fault(self, key) -> None:
-        fault = self.load(f"{key} = -1")
-        self.assertIsInstance(fault, SettingsError)
-        self.assertEqual(key, fault.key)
+    def test_negative_number_of_losses_is_refused(self, key) -> None:
+        error = self.load(f"{key} = -1")
+        self.assertIsInstance(error, SettingsError)
+        self.assertEqual(key, error.key)
 
 
 class SlowPeers:
@@ -161,18 +161,18 @@
 
     def __init__(self) -> None:
         self.delays_s: dict[str, float | None] = {}
-        self.refusing: set[str] = set()
+        self.refusing_nodes: set[str] = set()
         self.release = threading.Event()
-        self.asked: list[str] = []
+        self.called: list[str] = []
 
     def call(self, endpoint, message, reply_type, timeout_s):
         name = endpoint.host
-        self.asked.append(name)
+        self.called.append(name)
         delay_s = self.delays_s.get(name, self.delays_s.get(name[0], 0.0))
         if delay_s is None or self.release.wait(delay_s):
             self.release.wait(timeout_s)
             return PeerNoReply(endpoint, "silent")
-        if name in self.refusing:
+        if name in self.refusing_nodes:
             return PeerRefusal("this node is being emptied")
         return JobStored("gateway")
 
@@ -186,11 +186,11 @@
         self.peers = SlowPeers()
         self.addCleanup(self.peers.release.set)
         self.zones: list[list[str]] = []
-        patch = mock.patch.object(storage_client_module, "log_message", self.note)
+        patch = mock.patch.object(storage_client_module, "log_message", self.record_log)
         patch.start()
         self.addCleanup(patch.stop)
 
-    def note(self, event: str, **fields) -> None:
+    def record_log(self, event: str, **fields) -> None:
         self.assertEqual("job:kept_in_one_zone", event)
         self.zones.append(fields["zones"])
 
@@ -217,7 +217,7 @@
         ("both other zones are slow", {"b": 0.3, "c": 0.3}, 0.5, []),
         ("both other zones are too slow", {"b": 0.7, "c": 0.7}, 0.6, [["a"]]),
     )
-    def test_a_caller_hears_in_time(self, name, delays_s, within_s, kept_in_one_zone) -> None:
+    def test_job_is_acknowledged_in_time(self, name, delays_s, within_s, kept_in_one_zone) -> None:
         """Unresponsive zones must not delay the answer beyond the time that a client waits."""
         self.assertLess(within_s, ACCEPTED_WITHIN_S)
         self.peers.delays_s = delays_s
@@ -228,7 +228,7 @@
             self.assertLess(took_s, within_s)
             self.assertEqual(kept_in_one_zone, self.zones)
 
-    def test_silent_own_zone_holds_nothing_up(self) -> None:
+    def test_unresponsive_local_zone_causes_no_delay(self) -> None:
         self.peers.delays_s = {"a": None}
         for key in KEYS[:4]:
             stored, took_s = self.store(key)
@@ -236,7 +236,7 @@
             self.assertLess(took_s, 0.6)
         self.assertEqual([], self.zones)
 
-    def test_own_zone_may_come_late_in_the_ranking(self) -> None:
+    def test_local_zone_is_used_even_if_it_ranks_last(self) -> None:
         """The four nodes that are called first may all be in other, unresponsive zones."""
         self.members = self.live = nodes(a=3, b=2, c=2, d=2, e=2, f=2)
         self.peers.delays_s = dict.fromkeys("bcdef")
@@ -247,7 +247,7 @@
             self.assertLess(took_s, ACCEPTED_WITHIN_S)
             self.assertEqual([["a"]], self.zones)
 
-    def test_a_zone_known_to_be_gone_is_not_waited_for(self) -> None:
+    def test_dead_zone_is_not_waited_for(self) -> None:
         self.live = [member for member in self.members if member.zone == "a"]
         stored, took_s = self.store("job")
         self.assertIsInstance(stored, Stored)
@@ -258,25 +258,25 @@
         """If the first nodes of other zones refuse, the next ones must be called."""
         for key in KEYS[:4]:
             ranked = rank_across_zones(key, self.members)
-            self.peers.refusing = {one.name for one in ranked[:4] if one.zone != "a"}
+            self.peers.refusing_nodes = {one.name for one in ranked[:4] if one.zone != "a"}
             stored, _ = self.store(key)
             self.assertIsInstance(stored, Stored)
         self.assertEqual([], self.zones)
 
-    def test_too_few_disks_are_too_few_in_any_zone(self) -> None:
+    def test_too_few_nodes_are_refused_in_any_zone(self) -> None:
         self.live = [*nodes(a=1), *nodes(b=1)]
         stored, _ = self.store("job")
         self.assertIsInstance(stored, NotStored)
 
-    def test_where_no_zone_may_be_lost_calls_are_as_they_were(self) -> None:
+    def test_calls_follow_the_ranking_if_no_zone_may_be_lost(self) -> None:
         """Zone b is unresponsive: the next nodes of the ranking are called one by one."""
         self.peers.delays_s = {"b": None}
         for key in KEYS[:4]:
-            self.peers.asked.clear()
+            self.peers.called.clear()
             stored, _ = self.store(key, zones=1)
             self.assertIsInstance(stored, Stored)
             ranked = [member.name for member in rank_nodes(key, self.members)]
-            self.assertEqual(set(ranked[: len(self.peers.asked)]), set(self.peers.asked))
+            self.assertEqual(set(ranked[: len(self.peers.called)]), set(self.peers.called))
         self.assertEqual([], self.zones)
 
 
--- a/tests/test_job_lookup.py
+++ b/tests/test_job_lookup.py
@@ -11,15 +11,15 @@
 from quaymill.process.jobs.listing import Listing, ListingDocument, ListingUnknown
 from quaymill.process.jobs.storage_client import NotFound
 
-OLD_S = DISCOVERY_TIME_S + 1.0
-ALL_SAY_NO = NotFound(certain=True)
-SOME_SILENT = NotFound(certain=False)
+LATER_S = DISCOVERY_TIME_S + 1.0
+NOT_FOUND = NotFound(certain=True)
+MAYBE_FOUND = NotFound(certain=False)
 FOUND = JobFound("g#1", False, 3, None)
-ORDER = Listing(ListingDocument("g#1", 3), 1)
-UNREAD = ListingUnknown("the store does not answer")
+LISTING = Listing(ListingDocument("g#1", 3), 1)
+LISTING_UNKNOWN = ListingUnknown("the store does not answer")
 
 
-class _Fixed:
+class _FixedAnswers:
     """Storage nodes and a store with fixed answers."""
 
     def __init__(self, found, listing) -> None:
@@ -34,7 +34,7 @@
 
 
 def lookup_of(found, listing, age_s: float) -> JobLookup:
-    fixed = _Fixed(found, listing)
+    fixed = _FixedAnswers(found, listing)
     lookup = JobLookup(fixed, fixed)
     lookup._started_at -= age_s
     return lookup
@@ -44,14 +44,35 @@
     """The decision behind 404 responses, quota refusals and removed quota entries."""
 
     @params(
-        ("no storage node has it", ALL_SAY_NO, None, OLD_S, False, True),
-        ("a storage node does not answer", SOME_SILENT, None, OLD_S, None, False),
-        ("the gateway has just started", ALL_SAY_NO, None, 0.0, None, False),
-        ("it has a listing in the store", ALL_SAY_NO, ORDER, OLD_S, None, False),
-        ("the store cannot be read", ALL_SAY_NO, UNREAD, OLD_S, None, False),
-        ("a storage node has it", FOUND, None, OLD_S, True, False),
+        ("no storage node has it", NOT_FOUND, None, LATER_S, False, True),
+        (
+            "a storage node does not answer",
+            MAYBE_FOUND,
+            None,
+            LATER_S,
+            None,
+            False,
+        ),
+        ("the gateway has just started", NOT_FOUND, None, 0.0, None, False),
+        (
+            "it has a listing in the store",
+            NOT_FOUND,
+            LISTING,
+            LATER_S,
+            None,
+            False,
+        ),
+        (
+            "the store cannot be read",
+            NOT_FOUND,
+            LISTING_UNKNOWN,
+            LATER_S,
+            None,
+            False,
+        ),
+        ("a storage node has it", FOUND, None, LATER_S, True, False),
     )
-    def test_absence(self, _, found, listing, age_s, known, over) -> None:
+    def test_job_is_missing_only_if_certain(self, _, found, listing, age_s, known, over) -> None:
         lookup = lookup_of(found, listing, age_s)
         self.assertIs(known, lookup.is_known("job"))
         self.assertIs(over, lookup.is_over("job"))
--- a/tests/test_job_orders.py
+++ b/tests/test_job_orders.py
@@ -37,7 +37,7 @@
     return Job("job", "host", "/jobs/x", document)
 
 
-class HeldResultsTest(unittest.TestCase):
+class UnlistedResultsTest(unittest.TestCase):
     """A storage node must notice every result that a coordinator does not know to be listed."""
 
     def setUp(self) -> None:
@@ -54,18 +54,18 @@
         ("one more result than listed", (0, 2), 0b001, True),
         ("another result than listed", (1,), 0b101, True),
     )
-    def test_results_beyond_an_order(self, _, here, listed, beyond) -> None:
+    def test_results_that_are_not_listed(self, _, stored, listed, has_unlisted) -> None:
         self.database.store_job(job(), "g#1")
-        self.database.store_results("job", [keyed(index) for index in here])
-        self.assertEqual(beyond, self.database.has_results_beyond("job", listed))
+        self.database.store_results("job", [keyed(index) for index in stored])
+        self.assertEqual(has_unlisted, self.database.has_results_beyond("job", listed))
 
-    def test_results_count_also_before_the_job_is_here(self) -> None:
+    def test_results_stored_before_their_job_count(self) -> None:
         self.database.store_results("job", [keyed(1)])
         self.assertTrue(self.database.has_results_beyond("job", 0))
         record = self.database.store_job(job(), "g#1")
         self.assertNotEqual(0, record.results.digest)
 
-    def test_results_count_after_a_start(self) -> None:
+    def test_results_count_after_a_restart(self) -> None:
         record = self.database.store_job(job(), "g#1")
         self.database.store_results("job", [keyed(1), keyed(2)])
         self.database.store_results("job", [keyed(2), keyed(1)])
@@ -77,7 +77,7 @@
         self.assertFalse(self.database.has_results_beyond("job", 0b110))
 
 
-class _Answers:
+class _FixedPeers:
     """Peers with fixed replies."""
 
     def __init__(self, replies: dict[str, object]) -> None:
@@ -88,9 +88,9 @@
 
 
 CONFIRMED = JobsRenewed(confirmed_jobs=("job",))
-BEYOND = JobsRenewed()
+UNLISTED = JobsRenewed()
 TAKEN = JobsRenewed(taken_jobs=("job",), confirmed_jobs=("job",))
-SILENT = PeerNoReply(Endpoint("host", 1), "nothing came")
+NO_REPLY = PeerNoReply(Endpoint("host", 1), "nothing came")
 DEAD = None
 """Instead of a reply: the node is dead and not called."""
 
@@ -100,45 +100,60 @@
     return Member(name, "zone", "region", place, place, state, has_disk=True)
 
 
-class ConfirmedOrderTest(unittest.TestCase):
+class ConfirmedListingTest(unittest.TestCase):
     """A listing is confirmed only if all storage nodes that may hold results confirm it."""
 
     @params(
         ("no unlisted results", (CONFIRMED,) * 4, 4, True),
-        ("unlisted result at one node", (CONFIRMED, BEYOND, CONFIRMED, CONFIRMED), 4, False),
-        ("unlisted, node without lease", (CONFIRMED, CONFIRMED, CONFIRMED, BEYOND), 4, False),
-        ("one node does not answer", (CONFIRMED, CONFIRMED, SILENT, CONFIRMED), 4, False),
+        (
+            "unlisted result at one node",
+            (CONFIRMED, UNLISTED, CONFIRMED, CONFIRMED),
+            4,
+            False,
+        ),
+        (
+            "unlisted, node without lease",
+            (CONFIRMED, CONFIRMED, CONFIRMED, UNLISTED),
+            4,
+            False,
+        ),
+        ("one node does not answer", (CONFIRMED, CONFIRMED, NO_REPLY, CONFIRMED), 4, False),
         ("one node is dead", (CONFIRMED, CONFIRMED, CONFIRMED, DEAD), 3, False),
         ("leaving node without results", (CONFIRMED,) * 4, 3, True),
-        ("leaving node, unlisted result", (CONFIRMED, CONFIRMED, CONFIRMED, BEYOND), 3, False),
+        (
+            "leaving node, unlisted result",
+            (CONFIRMED, CONFIRMED, CONFIRMED, UNLISTED),
+            3,
+            False,
+        ),
         ("lease of another coordinator", (CONFIRMED, TAKEN, CONFIRMED, CONFIRMED), 4, True),
         ("no storage nodes", (), 0, False),
     )
-    def test_confirmed(self, _, replies, live, confirmed) -> None:
+    def test_all_result_holders_must_confirm(self, _, replies, live, confirmed) -> None:
         members = tuple(
             _storage_node(f"s{index}", MemberState.DEAD if reply is DEAD else MemberState.ALIVE)
             for index, reply in enumerate(replies)
         )
-        peers = _Answers({f"s{index}": reply for index, reply in enumerate(replies)})
+        peers = _FixedPeers({f"s{index}": reply for index, reply in enumerate(replies)})
         renewal = LeaseRenewal(peers, lambda: members[:live], lambda: members, CopyRules(2))
         outcome = renewal.renew(RenewJobs("g#1", ("job",), orders=(KnownOrder("job", "0"),)))
         self.assertEqual({"job"} if confirmed else set(), outcome.confirmed)
 
 
-class CoordinatedOrderTest(unittest.TestCase):
+class CurrentListingTest(unittest.TestCase):
     """When a coordinator may treat its copy of the listing as the newest."""
 
-    def test_a_new_job_is_not_known_to_have_no_results(self) -> None:
+    def test_listing_of_a_new_job_is_not_current(self) -> None:
         self.assertFalse(CoordinatedJob(job(), None, "g#1").listing_is_current())
 
-    def test_an_order_is_as_old_as_the_call_that_brought_it(self) -> None:
-        held = CoordinatedJob(job(), None, "g#1", listing_valid_s=1000.0)
+    def test_age_of_a_listing_counts_from_the_start_of_its_read(self) -> None:
+        coordinated = CoordinatedJob(job(), None, "g#1", listing_valid_s=1000.0)
         listing = Listing(ListingDocument("g#1", 3), 1)
-        held.update_listing(listing, as_of=-1e9)
-        self.assertFalse(held.listing_is_current())
+        coordinated.update_listing(listing, as_of=-1e9)
+        self.assertFalse(coordinated.listing_is_current())
 
-    def test_known_order_names_the_listed_items(self) -> None:
-        held = CoordinatedJob(job(), None, "g#1")
+    def test_known_listing_names_the_listed_items(self) -> None:
+        coordinated = CoordinatedJob(job(), None, "g#1")
         results = tuple(ListedResult(index, "d", ResultState.SUCCEEDED) for index in (2, 0))
-        held.update_listing(Listing(ListingDocument("g#1", 3, results), 1), as_of=0.0)
-        self.assertEqual(KnownOrder("job", "5"), held.known_listing())
+        coordinated.update_listing(Listing(ListingDocument("g#1", 3, results), 1), as_of=0.0)
+        self.assertEqual(KnownOrder("job", "5"), coordinated.known_listing())
--- a/tests/test_job_progress.py
+++ b/tests/test_job_progress.py
@@ -38,7 +38,7 @@
     return Job(JOB, "h", "/jobs/x", document)
 
 
-def part(first: int, texts: str, index: int = 0) -> ItemProgress:
+def progress_of(first: int, texts: str, index: int = 0) -> ItemProgress:
     return ItemProgress(index, str(first + len(texts)), tuple(texts), 0, first)
 
 
@@ -63,111 +63,111 @@
         return database
 
 
-class KeptProgressTest(DatabaseCase):
+class StoredProgressTest(DatabaseCase):
     """Stored progress must never have gaps or mix events of two coordinators."""
 
     @params(
-        ((part(0, "ab"), part(2, "cd")), "abcd"),
-        ((part(0, "ab"), part(1, "bcd")), "ab"),
-        ((part(0, "ab"), part(3, "d")), "ab"),
-        ((part(2, "cd"),), ""),
+        ((progress_of(0, "ab"), progress_of(2, "cd")), "abcd"),
+        ((progress_of(0, "ab"), progress_of(1, "bcd")), "ab"),
+        ((progress_of(0, "ab"), progress_of(3, "d")), "ab"),
+        ((progress_of(2, "cd"),), ""),
     )
-    def test_only_what_is_known_without_a_gap_counts(self, parts, expected) -> None:
+    def test_progress_ends_at_the_first_gap(self, parts, expected) -> None:
         for one in parts:
             self.database.store_progress(JOB, "one", [one])
         found = self.database.progress(JOB)[0]
         self.assertEqual(expected, "".join(found.texts))
         self.assertEqual(str(len(expected)) if expected else None, found.last_event_id)
 
-    def test_texts_of_two_coordinators_are_never_joined(self) -> None:
+    def test_events_of_two_coordinators_are_never_joined(self) -> None:
         # The second coordinator resumed after event 1, the first one after event 2.
-        self.database.store_progress(JOB, "one", [part(0, "ab")])
-        self.database.store_progress(JOB, "two", [part(0, "a"), part(1, "BC")])
-        self.database.store_progress(JOB, "two", [part(3, "D")])
-        self.database.store_progress(JOB, "one", [part(2, "c")])
+        self.database.store_progress(JOB, "one", [progress_of(0, "ab")])
+        self.database.store_progress(JOB, "two", [progress_of(0, "a"), progress_of(1, "BC")])
+        self.database.store_progress(JOB, "two", [progress_of(3, "D")])
+        self.database.store_progress(JOB, "one", [progress_of(2, "c")])
         (found,) = self.database.progress(JOB)
         self.assertEqual(("a", "B", "C", "D"), found.texts)
 
-    def test_progress_outlives_the_process(self) -> None:
-        self.database.store_progress(JOB, "one", [part(0, "ab", 1)])
-        self.assertEqual((part(0, "ab", 1),), self.open().progress(JOB))
+    def test_progress_survives_a_restart(self) -> None:
+        self.database.store_progress(JOB, "one", [progress_of(0, "ab", 1)])
+        self.assertEqual((progress_of(0, "ab", 1),), self.open().progress(JOB))
 
-    def test_progress_goes_with_the_result(self) -> None:
-        self.database.store_progress(JOB, "one", [part(0, "ab"), part(0, "xy", 1)])
+    def test_progress_is_deleted_when_the_result_is_stored(self) -> None:
+        self.database.store_progress(JOB, "one", [progress_of(0, "ab"), progress_of(0, "xy", 1)])
         result = JobResult("i0", ResultState.SUCCEEDED, "a\nb")
         self.database.store_results(JOB, [KeyedResult(ResultKey(0, "d"), result)])
         self.assertEqual([1], [one.index for one in self.database.progress(JOB)])
 
-    def test_nothing_is_kept_of_jobs_that_are_over_or_unknown(self) -> None:
-        self.database.store_progress("other", "one", [part(0, "ab")])
+    def test_no_progress_is_stored_for_ended_or_unknown_jobs(self) -> None:
+        self.database.store_progress("other", "one", [progress_of(0, "ab")])
         self.database.end_job(JOB)
-        self.database.store_progress(JOB, "one", [part(0, "ab")])
+        self.database.store_progress(JOB, "one", [progress_of(0, "ab")])
         self.assertEqual((), self.database.progress("other") + self.database.progress(JOB))
 
 
-class FixedStorage:
+class RecordingStorage:
     """A storage node that records the progress sent to it."""
 
     def __init__(self) -> None:
         self.node = "storage-0"
         self.fails = False
         self.lineages: set[str] = set()
-        self.told: list[tuple[str, ItemProgress]] = []
+        self.sent: list[tuple[str, ItemProgress]] = []
 
     def progress_node(self, job_id: str) -> str:
         return self.node
 
     def store_progress(self, job_id: str, lineage: str, progress, node: str) -> bool:
         self.lineages.add(lineage)
-        self.told += [(node, one) for one in progress]
+        self.sent += [(node, one) for one in progress]
         return not self.fails
 
 
-class SaverTest(unittest.TestCase):
+class ProgressSaverTest(unittest.TestCase):
     """Which progress a coordinator sends, and when it sends it again."""
 
     def setUp(self) -> None:
-        self.storage = FixedStorage()
+        self.storage = RecordingStorage()
         self.job = CoordinatedJob(job(), None, "g#1")
         self.item = self.job.items[0]
         self.item.state = ItemState.RUNNING
         self.saver = ProgressSaver(self.storage, lambda: [self.job])
 
     def save(self) -> list[tuple[str, ItemProgress]]:
-        self.storage.told = []
+        self.storage.sent = []
         self.saver.save()
-        return self.storage.told
+        return self.storage.sent
 
-    def test_each_event_is_told_once(self) -> None:
+    def test_each_event_is_sent_once(self) -> None:
         self.item.take_events(["a", "b"], "2")
-        self.assertEqual([("storage-0", part(0, "ab"))], self.save())
+        self.assertEqual([("storage-0", progress_of(0, "ab"))], self.save())
         self.assertEqual([], self.save())
         self.item.take_events(["c"], "3")
-        self.assertEqual([("storage-0", part(2, "c"))], self.save())
+        self.assertEqual([("storage-0", progress_of(2, "c"))], self.save())
 
-    def test_what_was_not_kept_is_told_again(self) -> None:
+    def test_progress_that_was_not_stored_is_sent_again(self) -> None:
         self.storage.fails = True
         self.item.take_events(["a"], "1")
         self.save()
         self.storage.fails = False
         self.item.take_events(["b"], "2")
-        self.assertEqual([("storage-0", part(0, "ab"))], self.save())
+        self.assertEqual([("storage-0", progress_of(0, "ab"))], self.save())
 
-    def test_another_node_is_told_everything(self) -> None:
+    def test_all_progress_is_sent_to_a_new_node(self) -> None:
         self.item.take_events(["a"], "1")
         self.save()
         self.storage.node = "storage-1"
-        self.assertEqual([("storage-1", part(0, "a"))], self.save())
+        self.assertEqual([("storage-1", progress_of(0, "a"))], self.save())
 
-    def test_a_job_that_was_adopted_anew_begins_a_lineage_of_its_own(self) -> None:
+    def test_a_job_that_is_adopted_again_starts_a_new_lineage(self) -> None:
         self.item.take_events(["a"], "1")
         self.save()
         self.job = CoordinatedJob(job(), None, "g#1")
-        self.job.items[0].resume_from(part(0, "xyz"))
-        self.assertEqual([("storage-0", part(0, "xyz"))], self.save())
+        self.job.items[0].resume_from(progress_of(0, "xyz"))
+        self.assertEqual([("storage-0", progress_of(0, "xyz"))], self.save())
         self.assertEqual(2, len(self.storage.lineages))
 
-    def test_finished_items_are_not_told(self) -> None:
+    def test_progress_of_finished_items_is_not_sent(self) -> None:
         self.item.take_events(["a"], "1")
         self.job.finish(self.item, ResultState.SUCCEEDED, "a")
         self.assertEqual([], self.save())
@@ -178,14 +178,14 @@
 
     def __init__(self) -> None:
         self.left_s = 0.0
-        self.asked: list[FetchLeases] = []
+        self.lease_queries: list[FetchLeases] = []
         self.adopted: list[AdoptJob] = []
 
     def call(self, endpoint, message, reply_type, timeout_s):
         if isinstance(message, AdoptJob):
             self.adopted.append(message)
             return JobAdopted("g#2")
-        self.asked.append(message)
+        self.lease_queries.append(message)
         return Leases(tuple(self.left_s for _ in message.job_ids))
 
 
@@ -198,8 +198,8 @@
         patch = mock.patch.object(boot_clock, "now", lambda: self.now)
         patch.start()
         self.addCleanup(patch.stop)
-        self.replaced: set[str] = set()
-        self.out_of_reach: set[str] = set()
+        self.replaced_processes: set[str] = set()
+        self.unreachable_processes: set[str] = set()
         self.peers = FixedPeers()
         self.leases = LeaseTable()
         self.leases.renew([JOB], "g#1")
@@ -210,9 +210,9 @@
             self.peers,
             lambda: (member("storage-0"), member("storage-1")),
             lambda: (member("g"), member("h")),
-            lambda name: name in self.replaced,
+            lambda name: name in self.replaced_processes,
             CopyRules(2),
-            may_have_ended=lambda name: name not in self.out_of_reach,
+            may_have_ended=lambda name: name not in self.unreachable_processes,
         )
         # Otherwise the job's id decides which of the two storage nodes acts.
         patch = mock.patch.object(self.watch, "_acts_for", lambda job_id: True)
@@ -224,42 +224,42 @@
         self.watch.check()
         return bool(self.peers.adopted)
 
-    def test_a_lease_that_runs_out(self) -> None:
+    def test_job_is_adopted_after_its_lease_expires(self) -> None:
         self.assertFalse(self.check_after(LEASE_S - 0.1))
         self.assertTrue(self.check_after(0.2))
 
-    def test_jobs_of_processes_beyond_a_cut_stay_their_own(self) -> None:
-        self.out_of_reach.add("g#1")
+    def test_jobs_of_unreachable_processes_are_not_adopted(self) -> None:
+        self.unreachable_processes.add("g#1")
         self.assertFalse(self.check_after(10 * LEASE_S))
-        self.out_of_reach.clear()
+        self.unreachable_processes.clear()
         self.assertTrue(self.check_after(0.1))
 
-    def test_a_process_known_to_have_ended_is_not_waited_for(self) -> None:
-        self.database.store_progress(JOB, "one", [part(0, "ab")])
-        self.replaced.add("g#1")
+    def test_jobs_of_an_ended_process_are_adopted_early(self) -> None:
+        self.database.store_progress(JOB, "one", [progress_of(0, "ab")])
+        self.replaced_processes.add("g#1")
         self.assertFalse(self.check_after(0.1))
         self.assertTrue(self.check_after(REPLACED_FOR_S + 0.05))
-        self.assertEqual(("g#1",), self.peers.asked[0].ended_holders)
-        self.assertEqual((part(0, "ab"),), self.peers.adopted[0].progress)
+        self.assertEqual(("g#1",), self.peers.lease_queries[0].ended_holders)
+        self.assertEqual((progress_of(0, "ab"),), self.peers.adopted[0].progress)
         self.assertEqual("g#2", self.leases.holder(JOB))
         self.assertEqual("g#2", self.open().by_id[JOB].coordinator)
 
-    def test_one_that_renews_afterwards_is_the_newer_process(self) -> None:
-        self.replaced.add("g#1")
+    def test_renewal_after_a_restart_prevents_early_adoption(self) -> None:
+        self.replaced_processes.add("g#1")
         self.check_after(0.1)
         self.now += 0.1
         self.leases.renew([JOB], "g#1")
         self.assertFalse(self.check_after(REPLACED_FOR_S + 0.05))
 
-    def test_a_lease_that_another_storage_node_knows_of_counts(self) -> None:
+    def test_lease_at_another_storage_node_prevents_adoption(self) -> None:
         self.peers.left_s = 1.0
-        self.replaced.add("g#1")
+        self.replaced_processes.add("g#1")
         self.check_after(0.1)
         self.assertFalse(self.check_after(REPLACED_FOR_S + 0.05))
 
-    def test_after_a_start_the_disk_tells_who_ran_the_job(self) -> None:
+    def test_coordinator_is_read_from_disk_after_a_restart(self) -> None:
         self.leases.forget(JOB)
-        self.replaced.add("g#1")
+        self.replaced_processes.add("g#1")
         self.check_after(0.1)
         self.assertTrue(self.check_after(REPLACED_FOR_S + 0.05))
 
--- a/tests/test_zone_copies.py
+++ b/tests/test_zone_copies.py
@@ -22,13 +22,13 @@
 from quaymill_standins.fleet_replica import ReplicaBehaviour
 
 ZONES = ("zone-a", "zone-b")
-LOST = ZONES[0]
+LOST_ZONE = ZONES[0]
 RULES = CopyRules(2, zones=2)
 ACCEPTED_WITHIN_S = 0.8
 """Time within which a client must learn that its job is accepted."""
-SETTLE_S = 1.0
+VISIBLE_WITHIN_S = 1.0
 """Time after which a position that was read must be visible at every gateway."""
-NOTICED_WITHIN_S = 10.0
+DETECTED_WITHIN_S = 10.0
 """Time within which isolated nodes are detected as dead, and later as alive again."""
 
 
@@ -47,7 +47,7 @@
     def members(self) -> list:
         return [node.network.membership.local() for node in self.rig.storage.values()]
 
-    def job_in_one_zone(self, zone: str = LOST) -> str:
+    def job_in_one_zone(self, zone: str = LOST_ZONE) -> str:
         """Return the id of a job whose copies would all be in one zone if zones were ignored."""
         for number in itertools.count():
             ranked = rank_nodes(f"job-{number}", self.members())
@@ -62,7 +62,7 @@
     def runs(self) -> int:
         return sum(len(replica.runs) for replica in self.rig.replicas.values())
 
-    def read_on(self, gateway: str, job_id: str, count: int) -> list[dict]:
+    def read_all(self, gateway: str, job_id: str, count: int) -> list[dict]:
         """Read pages until there are ``count`` results, and return these."""
         results: list[dict] = []
 
@@ -78,10 +78,10 @@
     def holders(self, job_id: str) -> set[str]:
         return {name for name, node in self.rig.storage.items() if job_id in node._database.by_id}
 
-    def wait_spread(self, job_id: str) -> None:
+    def wait_until_copied(self, job_id: str) -> None:
         """Wait until each holder of a job has the job with all its results."""
 
-        def is_spread() -> bool:
+        def is_copied() -> bool:
             names = {member.name for member in RULES.holders(job_id, self.members())}
             if not names <= self.holders(job_id):
                 return False
@@ -90,9 +90,9 @@
             most = {node._database.by_id[job_id].results.digest for node in everywhere}
             return {one.results.digest for one in records} == most and len(most) == 1
 
-        wait_until(is_spread, f"copies of {job_id} lie in both zones")
+        wait_until(is_copied, f"copies of {job_id} lie in both zones")
 
-    def wait_apart(self) -> None:
+    def wait_until_isolated(self) -> None:
         """Wait until each side has detected that the other one is unreachable."""
         nodes = [*self.rig.gateways.values(), *self.rig.storage.values()]
         wait_until(
@@ -100,7 +100,7 @@
             "each side knows only its own storage nodes",
         )
 
-    def wait_together(self) -> None:
+    def wait_until_reunited(self) -> None:
         nodes = [*self.rig.gateways.values(), *self.rig.storage.values()]
         wait_until(
             lambda: all(len(node.network.storage_nodes()) == 6 for node in nodes),
@@ -108,19 +108,19 @@
         )
 
 
-class ZoneLostTest(ZoneCase):
+class LostZoneTest(ZoneCase):
     """All processes and disks of a zone are lost."""
 
     def lose_zone(self) -> None:
         # Isolated first, so that nothing that the nodes send while stopping arrives.
-        self.rig.cut_zone(LOST)
+        self.rig.cut_zone(LOST_ZONE)
         self.rig.gateways.pop("gateway-0").kill()
-        for name in self.nodes(LOST):
+        for name in self.nodes(LOST_ZONE):
             self.rig.storage.pop(name).stop()
             self.rig.wipe(name)
         self.rig.heal()
 
-    def test_accepted_jobs_go_on_and_results_stay_at_their_positions(self) -> None:
+    def test_accepted_jobs_continue_and_results_keep_their_positions(self) -> None:
         self.slow_engines()
         job_id = self.job_in_one_zone()
         self.assertEqual(202, self.rig.submit("gateway-0", job_id, 8).status)
@@ -130,7 +130,7 @@
         self.assertEqual(before, after[: len(before)])
         self.assertEqual(8, len({result["id"] for result in after}))
 
-    def test_end_is_honoured(self) -> None:
+    def test_ended_job_does_not_run_again(self) -> None:
         self.slow_engines(0.3)
         job_id = self.job_in_one_zone()
         self.assertEqual(202, self.rig.submit("gateway-0", job_id, 8).status)
@@ -141,61 +141,63 @@
         time.sleep(4.0)
         self.assertEqual(runs, self.runs())
 
-    def test_zone_that_comes_back_empty_gets_its_copies(self) -> None:
+    def test_zone_that_returns_without_data_gets_its_copies(self) -> None:
         job_id = self.job_in_one_zone()
         self.rig.submit("gateway-0", job_id, 3)
         results = self.rig.wait_results("gateway-1", job_id, 3)
-        lost = self.nodes(LOST)
+        lost = self.nodes(LOST_ZONE)
         self.lose_zone()
         for name in lost:
-            self.rig.start_storage(name, LOST)
-        self.rig.start_gateway("gateway-0", LOST)
-        self.wait_together()
-        self.wait_spread(job_id)
+            self.rig.start_storage(name, LOST_ZONE)
+        self.rig.start_gateway("gateway-0", LOST_ZONE)
+        self.wait_until_reunited()
+        self.wait_until_copied(job_id)
         for name in self.nodes(ZONES[1]):
             self.rig.storage.pop(name).stop()
         self.assertEqual(results, self.rig.wait_results("gateway-0", job_id, 3))
 
 
-class ZoneCutTest(ZoneCase):
+class IsolatedZoneTest(ZoneCase):
     """A zone is isolated from the other; store, engines and clients reach both sides."""
 
-    def test_job_and_its_results_are_there_on_both_sides(self) -> None:
+    def test_job_and_its_results_are_readable_on_both_sides(self) -> None:
         self.slow_engines()
         job_id = self.job_in_one_zone()
         self.rig.submit("gateway-0", job_id, 8)
         before = self.rig.wait_results("gateway-1", job_id, 2)
-        self.rig.cut_zone(LOST)
+        self.rig.cut_zone(LOST_ZONE)
         for gateway in self.rig.gateways:
             during = self.rig.wait_results(gateway, job_id, len(before))
             self.assertEqual(before, during[: len(before)])
         # The contents of results listed from now on are only on the coordinator's side.
         self.rig.wait_results("gateway-0", job_id, 8)
-        self.wait_apart()
+        self.wait_until_isolated()
         for gateway in self.rig.gateways:
             during = self.rig.wait_results(gateway, job_id, len(before))
             self.assertEqual(before, during[: len(before)])
         self.rig.heal()
-        self.wait_together()
-        pages = [self.read_on(gateway, job_id, 8) for gateway in self.rig.gateways]
+        self.wait_until_reunited()
+        pages = [self.read_all(gateway, job_id, 8) for gateway in self.rig.gateways]
         self.assertEqual(pages[0], pages[1])
         self.assertEqual(8, len({result["id"] for result in pages[0]}))
-        self.wait_spread(job_id)
+        self.wait_until_copied(job_id)
 
-    def test_read_positions_are_never_told_to_be_empty(self) -> None:
+    def test_read_positions_are_never_reported_empty(self) -> None:
         """Both sides run the job and list results; 503 is allowed for results out of reach."""
         self.slow_engines(0.2)
         job_id = self.job_in_one_zone()
         self.rig.submit("gateway-0", job_id, 24)
         self.rig.wait_results("gateway-1", job_id, 1)
-        self.rig.cut_zone(LOST)
+        self.rig.cut_zone(LOST_ZONE)
         read_at_by_count: dict[int, float] = {}
         seen_by_gateway: dict[str, int] = {}
         began = time.monotonic()
-        while time.monotonic() - began < NOTICED_WITHIN_S + 5.0:
+        while time.monotonic() - began < DETECTED_WITHIN_S + 5.0:
             for gateway in self.rig.gateways:
                 sent_at = time.monotonic()
-                due = [one for one, at in read_at_by_count.items() if sent_at - at > SETTLE_S]
+                due = [
+                    one for one, at in read_at_by_count.items() if sent_at - at > VISIBLE_WITHIN_S
+                ]
                 since = max(due, default=1) - 1
                 answer = self.rig.read_results(gateway, job_id, since)
                 self.assertIn(answer.status, (200, 503))
@@ -207,12 +209,12 @@
         self.assertEqual(24, max(seen_by_gateway.values()))
         self.rig.heal()
         for gateway in self.rig.gateways:
-            results = self.read_on(gateway, job_id, 24)
+            results = self.read_all(gateway, job_id, 24)
             self.assertEqual(24, len({result["id"] for result in results}))
 
-    def test_each_side_accepts_in_time_and_copies_are_spread_afterwards(self) -> None:
+    def test_each_side_accepts_in_time_and_copies_are_completed_afterwards(self) -> None:
         self.rig.submit("gateway-0", "before", 1)
-        self.rig.cut_zone(LOST)
+        self.rig.cut_zone(LOST_ZONE)
         with mock.patch.object(storage_client_module, "log_message") as log:
             for gateway in self.rig.gateways:
                 began = time.monotonic()
@@ -223,30 +225,30 @@
         self.assertEqual({1}, {len(one["zones"]) for one in kept})
         for gateway in self.rig.gateways:
             self.rig.wait_results(gateway, f"at-{gateway}", 2)
-        self.wait_apart()
+        self.wait_until_isolated()
         self.assertEqual(202, self.rig.submit("gateway-0", "later", 2).status)
         self.rig.heal()
-        self.wait_together()
+        self.wait_until_reunited()
         for job_id in ("at-gateway-0", "at-gateway-1", "later"):
-            self.wait_spread(job_id)
+            self.wait_until_copied(job_id)
             for gateway in self.rig.gateways:
                 self.rig.wait_results(gateway, job_id, 2)
 
-    def test_end_is_acknowledged_only_once_it_holds_for_both_sides(self) -> None:
+    def test_end_is_acknowledged_only_once_both_sides_know_it(self) -> None:
         """The job's coordinator on the other side does not learn of the end and continues."""
         self.slow_engines(0.3)
         job_id = self.job_in_one_zone()
         self.rig.submit("gateway-0", job_id, 40)
         wait_until(self.runs, "an item runs")
-        self.rig.cut_zone(LOST)
-        self.wait_apart()
+        self.rig.cut_zone(LOST_ZONE)
+        self.wait_until_isolated()
 
         def end() -> int:
             return self.rig.call("gateway-1", "DELETE", f"/v1/lots/{job_id}").status
 
         self.assertEqual(503, end())
         self.rig.heal()
-        self.wait_together()
+        self.wait_until_reunited()
         wait_until(lambda: end() == 200, "the end is acknowledged")
         coordinators = [gateway.coordinator for gateway in self.rig.gateways.values()]
         wait_until(
@@ -257,10 +259,10 @@
         time.sleep(2.0)
         self.assertEqual(runs, self.runs())
 
-    def test_order_is_not_confirmed_by_one_side_alone_however_long_the_cut(self) -> None:
+    def test_listing_is_never_confirmed_by_one_side_alone(self) -> None:
         """Nodes that have been dead for long still count if they may be an isolated zone."""
-        self.rig.cut_zone(LOST)
-        self.wait_apart()
+        self.rig.cut_zone(LOST_ZONE)
+        self.wait_until_isolated()
         network = self.rig.gateways["gateway-1"].network
         with mock.patch.object(type(network.membership), "dead_for_s", return_value=1000.0):
             self.assertEqual(6, len(network.result_holders()))
@@ -290,7 +292,7 @@
                 self.rig.start_storage(name, settings.zone)
         self.rig.wait_ready()
 
-    def test_jobs_of_either_build_are_found_adopted_ended_and_spread_at_last(self) -> None:
+    def test_jobs_of_both_builds_are_found_adopted_ended_and_copied(self) -> None:
         self.slow_engines(0.15)
         by_old = self.job_in_one_zone()
         by_new = self.job_in_one_zone(ZONES[1])
@@ -316,11 +318,11 @@
         # Losing a disk during the upgrade must not lose data.
         self.rig.storage.pop("storage-2").stop()
         self.rig.wipe("storage-2")
-        self.rig.start_storage("storage-2", LOST)
+        self.rig.start_storage("storage-2", LOST_ZONE)
         self.upgrade("gateway-0", "storage-2", "storage-3", "storage-4", "storage-5")
         for job_id in (by_old, by_new):
-            self.wait_spread(job_id)
-        for name in self.nodes(LOST):
+            self.wait_until_copied(job_id)
+        for name in self.nodes(LOST_ZONE):
             self.rig.storage.pop(name).stop()
         for job_id in (by_old, by_new):
             self.rig.wait_results("gateway-1", job_id, 8)
