--- a/src/quaymill/process/jobs/batch_quota.py
+++ b/src/quaymill/process/jobs/batch_quota.py
@@ -203,7 +203,7 @@
                 return document
             return document.with_job(job_id, tokens)
 
-        current: Ledger | LedgerUnknown = self._newer(ledger, state)
+        current: Ledger | LedgerUnknown = self._ledger_to_change(ledger, state)
         if not current.revision or enter(current.document) is current.document:
             current = self._ledgers.read(ledger)
         if isinstance(current, Ledger):
@@ -212,8 +212,10 @@
             return QuotaUnknown(f"the quota ledger cannot be changed: {current.reason}")
         self._update_ledger(state, current)
         if job_id not in current.document.jobs:
-            held = current.document.job_tokens
-            return OverQuota(held, quota, self._retry_after_s(state, held + tokens - quota))
+            held_tokens = current.document.job_tokens
+            return OverQuota(
+                held_tokens, quota, self._retry_after_s(state, held_tokens + tokens - quota)
+            )
         entry = current.document.jobs[job_id]
         with self._lock:
             state.withdrawn.pop(job_id, None)
@@ -342,7 +344,7 @@
             granted = self._next_allowance(state, document, quota) if may_take else 0
             return document.with_allowance(self._name, granted)
 
-        newer = self._newer(ledger, state)
+        newer = self._ledger_to_change(ledger, state)
         known = newer if newer.revision else self._ledgers.read(ledger)
         if isinstance(known, Ledger):
             known = self._ledgers.change(ledger, known, enter_all, RECONCILE_PAUSE_S)
@@ -354,7 +356,7 @@
             state.record_entered(pending, outstanding)
             state.renew_allowance(granted, quota, began)
 
-    def _newer(self, ledger: str, state: RouteQuota) -> Ledger:
+    def _ledger_to_change(self, ledger: str, state: RouteQuota) -> Ledger:
         """Return the ledger to change: the known one if it is fresh, else one from a cheap read."""
         if boot_clock.now() - state.ledger_at < LEDGER_FRESH_S:
             return state.ledger
--- a/src/quaymill/process/jobs/lease_renewal.py
+++ b/src/quaymill/process/jobs/lease_renewal.py
@@ -83,10 +83,10 @@
         holders = self._result_holders()
         asked = tuple(member for member in holders if member.state is not MemberState.DEAD)
         node_messages = list(self._node_messages(message, self._storage_nodes(), asked))
-        answers: list[_NodeReply] = []
+        node_replies: list[_NodeReply] = []
         threads = [
             threading.Thread(
-                target=self._renew_at, args=(member, node_message, answers), daemon=True
+                target=self._renew_at, args=(member, node_message, node_replies), daemon=True
             )
             for member, node_message in node_messages
         ]
@@ -94,14 +94,16 @@
             thread.start()
         for thread in threads:
             thread.join(RENEW_TIMEOUT_S)
-        outcome = _merge(list(answers), len(node_messages))
+        outcome = _merge(list(node_replies), len(node_messages))
         all_asked = bool(holders) and len(asked) == len(holders)
         return outcome if all_asked else attrs.evolve(outcome, confirmed=frozenset())
 
-    def _renew_at(self, member: Member, node_message: RenewJobs, answers: list[_NodeReply]) -> None:
+    def _renew_at(
+        self, member: Member, node_message: RenewJobs, node_replies: list[_NodeReply]
+    ) -> None:
         reply = self._peer_client.call(member.peer, node_message, JobsRenewed, RENEW_TIMEOUT_S)
         if isinstance(reply, JobsRenewed):
-            answers.append(_NodeReply(node_message, reply))
+            node_replies.append(_NodeReply(node_message, reply))
 
     def _node_messages(
         self, message: RenewJobs, live: tuple[Member, ...], asked: tuple[Member, ...]
@@ -133,18 +135,18 @@
                 yield member, node_message
 
 
-def _merge(answers: list[_NodeReply], asked: int) -> RenewalOutcome:
-    ended = {job_id for answer in answers for job_id in answer.reply.ended_jobs}
-    taken = {job_id for answer in answers for job_id in answer.reply.taken_jobs}
+def _merge(node_replies: list[_NodeReply], messages_sent: int) -> RenewalOutcome:
+    ended = {job_id for node_reply in node_replies for job_id in node_reply.reply.ended_jobs}
+    taken = {job_id for node_reply in node_replies for job_id in node_reply.reply.taken_jobs}
     unlisted = {
         order.job_id
-        for answer in answers
-        for order in answer.node_message.orders
-        if order.job_id not in answer.reply.confirmed_jobs
+        for node_reply in node_replies
+        for order in node_reply.node_message.orders
+        if order.job_id not in node_reply.reply.confirmed_jobs
     }
     confirmed = set()
-    if answers and len(answers) == asked:
-        confirmed = {order.job_id for order in answers[0].node_message.orders} - unlisted
+    if node_replies and len(node_replies) == messages_sent:
+        confirmed = {order.job_id for order in node_replies[0].node_message.orders} - unlisted
     return RenewalOutcome(
         frozenset(ended), frozenset(taken), frozenset(unlisted), frozenset(confirmed)
     )
--- a/src/quaymill/process/jobs/result_reader.py
+++ b/src/quaymill/process/jobs/result_reader.py
@@ -98,9 +98,11 @@
         finally:
             if may_wait:
                 self._waiting_reads.release()
-        return page if page.results else self._page_if_current(coordinated, since)
+        return page if page.results else self._page_from_current_listing(coordinated, since)
 
-    def _page_if_current(self, coordinated: CoordinatedJob, since: int) -> ResultsPage | Unsure:
+    def _page_from_current_listing(
+        self, coordinated: CoordinatedJob, since: int
+    ) -> ResultsPage | Unsure:
         """Return the page again, from a listing that is known to be recent enough.
 
         The position may already be listed in the store, and clients may have read it there: by an
--- a/tests/test_job_lookup.py
+++ b/tests/test_job_lookup.py
@@ -45,31 +45,10 @@
 
     @params(
         ("no storage node has it", NOT_FOUND, None, LATER_S, False, True),
-        (
-            "a storage node does not answer",
-            MAYBE_FOUND,
-            None,
-            LATER_S,
-            None,
-            False,
-        ),
+        ("a storage node does not answer", MAYBE_FOUND, None, LATER_S, None, False),
         ("the gateway has just started", NOT_FOUND, None, 0.0, None, False),
-        (
-            "it has a listing in the store",
-            NOT_FOUND,
-            LISTING,
-            LATER_S,
-            None,
-            False,
-        ),
-        (
-            "the store cannot be read",
-            NOT_FOUND,
-            LISTING_UNKNOWN,
-            LATER_S,
-            None,
-            False,
-        ),
+        ("it has a listing in the store", NOT_FOUND, LISTING, LATER_S, None, False),
+        ("the store cannot be read", NOT_FOUND, LISTING_UNKNOWN, LATER_S, None, False),
         ("a storage node has it", FOUND, None, LATER_S, True, False),
     )
     def test_job_is_missing_only_if_certain(self, _, found, listing, age_s, known, over) -> None:
--- a/tests/test_job_orders.py
+++ b/tests/test_job_orders.py
@@ -105,27 +105,12 @@
 
     @params(
         ("no unlisted results", (CONFIRMED,) * 4, 4, True),
-        (
-            "unlisted result at one node",
-            (CONFIRMED, UNLISTED, CONFIRMED, CONFIRMED),
-            4,
-            False,
-        ),
-        (
-            "unlisted, node without lease",
-            (CONFIRMED, CONFIRMED, CONFIRMED, UNLISTED),
-            4,
-            False,
-        ),
+        ("unlisted result at one node", (CONFIRMED, UNLISTED, CONFIRMED, CONFIRMED), 4, False),
+        ("unlisted, node without lease", (CONFIRMED, CONFIRMED, CONFIRMED, UNLISTED), 4, False),
         ("one node does not answer", (CONFIRMED, CONFIRMED, NO_REPLY, CONFIRMED), 4, False),
         ("one node is dead", (CONFIRMED, CONFIRMED, CONFIRMED, DEAD), 3, False),
         ("leaving node without results", (CONFIRMED,) * 4, 3, True),
-        (
-            "leaving node, unlisted result",
-            (CONFIRMED, CONFIRMED, CONFIRMED, UNLISTED),
-            3,
-            False,
-        ),
+        ("leaving node, unlisted result", (CONFIRMED, CONFIRMED, CONFIRMED, UNLISTED), 3, False),
         ("lease of another coordinator", (CONFIRMED, TAKEN, CONFIRMED, CONFIRMED), 4, True),
         ("no storage nodes", (), 0, False),
     )
