--- a/src/quaymill/process/jobs/coordinated_job.py
+++ b/src/quaymill/process/jobs/coordinated_job.py
@@ -33,7 +33,7 @@
 class ItemState(enum.Enum):
     """States of an item at its coordinator.
 
-    WAITING -> RUNNING -> FINISHED -> LISTED; RUNNING -> WAITING when a run brought no result.
+    WAITING -> RUNNING -> FINISHED -> LISTED; RUNNING -> WAITING when a run had no result.
     """
 
     WAITING = enum.auto()
@@ -57,7 +57,7 @@
         Monotonic time before which the item is not run again.
     cancel
         Ends the current run; ``None`` if there is none.
-    giving_way
+    being_preempted
         Whether the current run is being preempted for online requests.
     """
 
