--- a/src/quaymill/process/jobs/batch_quota.py
+++ b/src/quaymill/process/jobs/batch_quota.py
@@ -174,7 +174,7 @@
     # Admission.
 
     def _charge(self, job_id: str, ledger: str, quota: int, tokens: int) -> Admitted | None:
-        """Count a job under the allowance; return ``None`` if it is not valid or too small."""
+        """Count a job under the allowance; return ``None`` if that is expired or too small."""
         state = self._state_of(ledger)
         with self._lock:
             if job_id in state.charged:
--- a/src/quaymill/process/jobs/quota_ledger.py
+++ b/src/quaymill/process/jobs/quota_ledger.py
@@ -189,9 +189,9 @@
     def __init__(self, store: ObjectStore) -> None:
         self._store = store
 
-    def read(self, route: str) -> Ledger | LedgerUnknown:
+    def read(self, name: str) -> Ledger | LedgerUnknown:
         """Return the stored ledger; an empty one at revision 0 if there is none."""
-        found = self._store.get(ObjectKind.QUOTA_LEDGERS, route)
+        found = self._store.get(ObjectKind.QUOTA_LEDGERS, name)
         if isinstance(found, ObjectMissing):
             return Ledger()
         if isinstance(found, StoreRefused | StoreUnanswered):
@@ -206,12 +206,12 @@
             return ()
         return tuple(stored.name for stored in found.objects)
 
-    def newer(self, route: str, known: Ledger) -> Ledger:
+    def newer(self, name: str, known: Ledger) -> Ledger:
         """Return a newer ledger than the known one if a cheap read finds it.
 
         The cheap read may return an old ledger. It makes conflicts of the next change less likely.
         """
-        found = self._store.get(ObjectKind.QUOTA_LEDGERS, route, may_be_old=True)
+        found = self._store.get(ObjectKind.QUOTA_LEDGERS, name, may_be_old=True)
         if isinstance(found, StoredObject) and found.revision > known.revision:
             ledger = _decode_ledger(found)
             return ledger if isinstance(ledger, Ledger) else known
@@ -219,7 +219,7 @@
 
     def change(
         self,
-        route: str,
+        name: str,
         known: Ledger,
         change: Callable[[LedgerDocument], LedgerDocument],
         first_pause_s: float = FIRST_CONFLICT_PAUSE_S,
@@ -245,7 +245,7 @@
             document = change(current.document)
             if document is current.document or document == current.document:
                 return current
-            written = self._write(route, document, current.revision)
+            written = self._write(name, document, current.revision)
             if isinstance(written, StoredObject):
                 return _decode_ledger(written)
             if isinstance(written, RevisionConflict) and written.object is not None:
@@ -260,7 +260,7 @@
                 return LedgerUnknown(written.reason)
             # Not answered, or a conflict without the stored object: read to find out. A write that
             # is still in progress applies to the old revision only, so it fails after another one.
-            found = self.read(route)
+            found = self.read(name)
             if isinstance(found, LedgerUnknown):
                 return found
             if found.document == document:
@@ -268,11 +268,11 @@
             current = found
         return LedgerUnknown("too many gateways change the ledger at the same time")
 
-    def _write(self, route: str, document: LedgerDocument, revision: int) -> object:
+    def _write(self, name: str, document: LedgerDocument, revision: int) -> object:
         spec = msgspec.to_builtins(document)
         if revision:
-            return self._store.replace(ObjectKind.QUOTA_LEDGERS, route, spec, revision)
-        return self._store.create(ObjectKind.QUOTA_LEDGERS, route, spec)
+            return self._store.replace(ObjectKind.QUOTA_LEDGERS, name, spec, revision)
+        return self._store.create(ObjectKind.QUOTA_LEDGERS, name, spec)
 
 
 def _decode_ledger(stored: StoredObject) -> Ledger | LedgerUnknown:
--- a/src/quaymill/process/jobs/quota_sweep.py
+++ b/src/quaymill/process/jobs/quota_sweep.py
@@ -20,7 +20,7 @@
 ORPHANED_AFTER_S = 10.0
 """Time without a change after which the sweep checks whether an entry's job is over. It is longer
 than the adoption of a job by another gateway takes."""
-ALLOWANCE_LOST_AFTER_S = 60.0
+ALLOWANCE_ORPHANED_AFTER_S = 60.0
 """Time without a renewal after which an allowance is removed. It is longer than the term of an
 allowance, because the clock of its gateway may run slower."""
 
@@ -123,7 +123,7 @@
         orphaned = []
         for name, allowance in document.allowances.items():
             seen = self._observe(ledger, f"allowance/{name}", allowance.renewals, now)
-            if now - seen.since >= ALLOWANCE_LOST_AFTER_S:
+            if now - seen.since >= ALLOWANCE_ORPHANED_AFTER_S:
                 orphaned.append(name)
         return orphaned
 
--- a/tests/store_rig.py
+++ b/tests/store_rig.py
@@ -186,5 +186,8 @@
         """Enter a job of a gateway that has not read the ledger yet."""
         ledgers = QuotaLedgers(_GatewayStore(self.store, gateway))
         return ledgers.change(
-            "route", Ledger(), lambda held: held.with_job(f"job-{gateway}", tokens), first_pause_s
+            "route",
+            Ledger(),
+            lambda document: document.with_job(f"job-{gateway}", tokens),
+            first_pause_s,
         )
--- a/tests/test_batch_quota.py
+++ b/tests/test_batch_quota.py
@@ -33,7 +33,7 @@
     ledger_name,
 )
 from quaymill.process.jobs.quota_sweep import (
-    ALLOWANCE_LOST_AFTER_S,
+    ALLOWANCE_ORPHANED_AFTER_S,
     ORPHANED_AFTER_S,
     SWEEP_INTERVAL_S,
     LedgerSweep,
@@ -400,7 +400,7 @@
         self.one.take_allowance()
         self.sweep_for(ALLOWANCE_TERM_S + ORPHANED_AFTER_S)
         self.assertIn("one", self._allowances())
-        self.sweep_for(ALLOWANCE_LOST_AFTER_S)
+        self.sweep_for(ALLOWANCE_ORPHANED_AFTER_S)
         self.assertNotIn("one", self._allowances())
 
     def _allowances(self) -> dict[str, Allowance]:
