--- a/src/quaymill/process/jobs/batch_quota.py
+++ b/src/quaymill/process/jobs/batch_quota.py
@@ -1,10 +1,10 @@
-"""Keeps batch routes within their quota of tokens that wait, over all gateways.
+"""Enforces the quota of unfinished tokens of batch routes across all gateways.
 
-Where there are tenants, each has the quota for itself, and a ledger of its own. A new job is
-counted before it is kept anywhere: under this gateway's allowance if it has one with room, else in
-the ledger (``quota_ledger``). A thread enters what was counted under the allowance once that is
-half used or renewed, corrects jobs by what is left of them, and renews the allowance; at one
-gateway for each route it also removes what nobody cares for any more.
+If there are tenants, each has a quota and a ledger of its own. A new job is counted before it is
+stored: under this gateway's allowance if the job fits there, else in the ledger (see
+``quota_ledger``). A thread reconciles the ledger with the jobs of this gateway: it enters jobs
+counted under the allowance, updates the unfinished tokens of jobs, and renews the allowance. For
+each route, one gateway also removes orphaned entries.
 """
 
 from __future__ import annotations
@@ -38,58 +38,58 @@
 )
 from quaymill.version.request_routes import RequestRoute, RequestRoutes
 
-SETTLE_INTERVAL_S = 0.4
-"""Time between two looks at what has changed; a count is to follow within a second."""
-SETTLE_PAUSE_S = 0.2
-"""Bound of the first pause where others change a ledger as well: no caller waits for this one."""
+RECONCILE_INTERVAL_S = 0.4
+"""Interval at which changes of this gateway's jobs are looked for."""
+RECONCILE_PAUSE_S = 0.2
+"""Maximum first pause after conflicts of a reconciliation; no client waits for it."""
 ALLOWANCE_RENEWAL_S = 20.0
-"""Time between two renewals of an allowance: two thirds of its term, as each costs two calls."""
+"""Interval at which an allowance is renewed; shorter than its term."""
 ALLOWANCE_TERM_S = 30.0
-"""Time after its last renewal until which an allowance may be used: longer than outages of the
-store that are ridden out, and half of what it takes until others take it back."""
-FIRST_ALLOWANCE_S = 5.0
-"""Time after the start until which none is taken: a former process of this gateway may have
-given from its own, and those jobs are entered by whoever adopts them within this time."""
+"""Time after its last renewal during which an allowance may be used. It bridges outages of the
+store, and ends long before the sweep removes the allowance."""
+FIRST_ALLOWANCE_DELAY_S = 5.0
+"""Minimum time from the start to the first allowance. A previous process of this gateway may have
+used its allowance; the gateways that adopt its jobs enter them within this time."""
 FIRST_ALLOWANCE_SPREAD_S = 10.0
-"""Gateways that start together take theirs spread over so long: all change one object."""
+"""Random extra time before the first allowance, so that gateways which start together do not all
+change the ledger at once."""
 LEDGER_FRESH_S = 0.5
-"""Age up to which a ledger is changed without a look at what stands: others change it about once a
-second on the deployments measured."""
+"""Age up to which a known ledger is changed without reading it again."""
 SMALL_CHANGE_SHARE = 0.02
-"""A job's entry is corrected while it runs once this part of the quota has become free."""
-TIGHT_SHARE = 0.5
-"""From this part of the quota on every change is entered at once."""
+"""Share of the quota by which a running job's entry must differ before it is updated."""
+ENTER_ALL_FROM_SHARE = 0.5
+"""Share of the quota from which on every change is entered, however small."""
 DEFAULT_OVERRUN_SHARE = 0.1
-"""Overrun of a quota that is tolerated where the settings do not tell."""
+"""Tolerated overrun of a quota if the settings do not give one."""
 MIN_RETRY_AFTER_S = 0.3
 MAX_RETRY_AFTER_S = 5.0
-"""Bounds of the time after which a caller is told to come back: within a caller's patience."""
+"""Bounds of the time after which a client is asked to retry."""
 FREED_WINDOW_S = 10.0
-"""Time over which the rate at which tokens become free is taken: a few items' runs."""
+"""Time window over which the rate of freed tokens is computed."""
 UNUSED_AFTER_S = 2 * ALLOWANCE_TERM_S
-"""Time without a job after which a tenant's ledger is followed here no more: its allowance, which
-is renewed no more either, has run out by then."""
+"""Time without a job after which a tenant's ledger is no longer tracked here. Its allowance is not
+renewed either, and has expired by then."""
 
 
 class BatchQuota:
-    """Counts the tokens of jobs; safe to use from any thread.
+    """Counts the unfinished tokens of jobs; safe to use from any thread.
 
     Parameters
     ----------
     name
-        Of this gateway; the same after a restart.
+        Name of this gateway; the same after a restart.
     routes
-        Returns the routes in force.
+        Returns the current routes.
     coordinated_jobs
-        Returns the jobs of this gateway, those that are over included.
+        Returns the jobs of this gateway, including those that are over.
     gateways
-        Returns how many gateways live, this one included.
+        Returns the number of live gateways, including this one.
     is_known
-        Whether storage nodes have a job; ``None`` if they cannot tell.
+        Returns whether storage nodes have a job; ``None`` if that is not certain.
     overrun_share
-        Part of a quota by which it may be overrun.
+        Share of a quota by which it may be exceeded.
     sweep
-        Removes entries that nobody cares for, where this gateway does that for a route.
+        Removes orphaned entries of the routes that this gateway sweeps.
     """
 
     def __init__(
@@ -112,24 +112,26 @@
         self._overrun_share = overrun_share
         self._sweep = sweep
         self._lock = threading.Lock()
-        self._by_ledger: dict[str, RouteQuota] = {}
+        self._states_by_ledger: dict[str, RouteQuota] = {}
         self._stopping = threading.Event()
         self._first_allowance_at = (
-            boot_clock.now() + FIRST_ALLOWANCE_S + random.uniform(0.0, FIRST_ALLOWANCE_SPREAD_S)
+            boot_clock.now()
+            + FIRST_ALLOWANCE_DELAY_S
+            + random.uniform(0.0, FIRST_ALLOWANCE_SPREAD_S)
         )
 
     def start(self) -> None:
-        """Begin to enter changes and to renew allowances."""
-        threading.Thread(target=self._settle_again_and_again, name="quota", daemon=True).start()
+        """Start to reconcile ledgers and to renew allowances."""
+        threading.Thread(target=self._reconcile_loop, name="quota", daemon=True).start()
 
     def stop(self) -> None:
-        """Enter nothing more."""
+        """Stop reconciling ledgers."""
         self._stopping.set()
 
     def admit(
         self, job_id: str, route: RequestRoute, tokens: int, tenant: str | None = None
     ) -> QuotaDecision:
-        """Count a new job of a tenant; one that was accepted before is counted once."""
+        """Count a new job of a tenant; a job that is submitted again is counted once."""
         quota = route.max_unfinished_tokens
         if not quota:
             return Admitted("no-quota")
@@ -138,17 +140,17 @@
         decision = self._charge(job_id, ledger, quota, tokens)
         decision = decision or self._enter(job_id, ledger, quota, tokens)
         if isinstance(decision, OverQuota):
-            decision = self._unless_known(job_id, decision)
-        held = self._of(ledger).ledger
+            decision = self._admit_if_known(job_id, decision)
+        newest = self._state_of(ledger).ledger
         log_message(
             "quota:decided",
             job=job_id,
             route=route.name,
             tokens=tokens,
             quota=quota,
-            held=held.document.job_tokens,
-            allowances=held.document.allowance_tokens,
-            revision=held.revision,
+            held=newest.document.job_tokens,
+            allowances=newest.document.allowance_tokens,
+            revision=newest.revision,
             outcome=type(decision).__name__,
             by=getattr(decision, "by", ""),
             reason=getattr(decision, "reason", ""),
@@ -159,35 +161,35 @@
     def withdraw(
         self, job_id: str, route: RequestRoute, admitted: Admitted, tenant: str | None = None
     ) -> None:
-        """Take back the count of a job that was certainly not kept."""
+        """Undo the count of a job that was certainly not stored."""
         if not route.max_unfinished_tokens:
             return
-        state = self._of(ledger_name(route.name, tenant))
+        state = self._state_of(ledger_name(route.name, tenant))
         with self._lock:
             if admitted.by == "allowance":
-                state.left += state.charged.pop(job_id, 0)
+                state.remaining += state.charged.pop(job_id, 0)
             elif admitted.created is not None:
                 state.withdrawn[job_id] = admitted.created
 
     # Admission.
 
     def _charge(self, job_id: str, ledger: str, quota: int, tokens: int) -> Admitted | None:
-        """Count a job under the allowance, if that may be used and has room."""
-        state = self._of(ledger)
+        """Count a job under the allowance; return ``None`` if that is expired or too small."""
+        state = self._state_of(ledger)
         with self._lock:
             if job_id in state.charged:
                 return Admitted("allowance")
             age_s = boot_clock.now() - state.renewed_at
             usable = state.quota <= quota and age_s < ALLOWANCE_TERM_S
-            if not usable or tokens > state.left:
+            if not usable or tokens > state.remaining:
                 return None
-            state.left -= tokens
+            state.remaining -= tokens
             state.charged[job_id] = tokens
             return Admitted("allowance")
 
     def _enter(self, job_id: str, ledger: str, quota: int, tokens: int) -> QuotaDecision:
         """Count a job in the ledger, if it fits there."""
-        state = self._of(ledger)
+        state = self._state_of(ledger)
         is_new = False
 
         def enter(document: LedgerDocument) -> LedgerDocument:
@@ -195,38 +197,40 @@
             known = document.jobs.get(job_id)
             is_new = known is None
             if known is not None:
-                # Written again, so that it is not removed as one that nobody cares for.
+                # Written again, so that it is not removed as orphaned.
                 return document.with_job(job_id, known.tokens)
             if not fits(document, tokens, quota, self._overrun_share):
                 return document
             return document.with_job(job_id, tokens)
 
-        standing: Ledger | LedgerUnknown = self._newer(ledger, state)
-        if not standing.revision or enter(standing.document) is standing.document:
-            standing = self._ledgers.read(ledger)
-        if isinstance(standing, Ledger):
-            standing = self._ledgers.change(ledger, standing, enter)
-        if isinstance(standing, LedgerUnknown):
-            return QuotaUnknown(f"the ledger of the quota cannot be changed: {standing.reason}")
-        self._take(state, standing)
-        if job_id not in standing.document.jobs:
-            held = standing.document.job_tokens
-            return OverQuota(held, quota, self._retry_after_s(state, held + tokens - quota))
-        entry = standing.document.jobs[job_id]
+        current: Ledger | LedgerUnknown = self._ledger_to_change(ledger, state)
+        if not current.revision or enter(current.document) is current.document:
+            current = self._ledgers.read(ledger)
+        if isinstance(current, Ledger):
+            current = self._ledgers.change(ledger, current, enter)
+        if isinstance(current, LedgerUnknown):
+            return QuotaUnknown(f"the quota ledger cannot be changed: {current.reason}")
+        self._update_ledger(state, current)
+        if job_id not in current.document.jobs:
+            held_tokens = current.document.job_tokens
+            return OverQuota(
+                held_tokens, quota, self._retry_after_s(state, held_tokens + tokens - quota)
+            )
+        entry = current.document.jobs[job_id]
         with self._lock:
             state.withdrawn.pop(job_id, None)
             state.entered[job_id] = entry.tokens
         return Admitted("ledger", entry if is_new else None)
 
-    def _unless_known(self, job_id: str, over_quota: OverQuota) -> QuotaDecision:
-        """Admit a job that was accepted before and is not entered in the ledger yet."""
+    def _admit_if_known(self, job_id: str, over_quota: OverQuota) -> QuotaDecision:
+        """Admit a job that was accepted before but is not in the ledger yet."""
         known = self._is_known(job_id)
         if known is None:
-            return QuotaUnknown("the storage nodes cannot tell whether the job was accepted before")
+            return QuotaUnknown("storage nodes cannot confirm whether the job was accepted before")
         return Admitted("accepted-before") if known else over_quota
 
     def _retry_after_s(self, state: RouteQuota, missing_tokens: int) -> float:
-        """Return when a job may fit, by the rate at which tokens became free of late."""
+        """Estimate after how many seconds a job may fit, from the recent rate of freed tokens."""
         oldest = boot_clock.now() - FREED_WINDOW_S
         with self._lock:
             while state.freed and state.freed[0][0] < oldest:
@@ -235,17 +239,17 @@
         wait_s = missing_tokens / rate if rate > 0 else MAX_RETRY_AFTER_S
         return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait_s))
 
-    # Settling.
+    # Reconciliation.
 
-    def _settle_again_and_again(self) -> None:
-        while not self._stopping.wait(SETTLE_INTERVAL_S):
+    def _reconcile_loop(self) -> None:
+        while not self._stopping.wait(RECONCILE_INTERVAL_S):
             try:
-                self.settle()
-            except Exception as error:  # A bug must not end the counting of this gateway.
+                self.reconcile()
+            except Exception as error:  # A bug must not end the thread.
                 log_message("quota:settle_error", error=repr(error))
 
-    def settle(self) -> None:
-        """Enter what has changed since the last time, for every ledger that is followed here."""
+    def reconcile(self) -> None:
+        """Enter what has changed since the last call, in every ledger that is tracked here."""
         jobs_by_ledger: dict[str, list[CoordinatedJob]] = {}
         for job in self._coordinated_jobs():
             if job.route is not None:
@@ -255,58 +259,60 @@
         for route in routes.routes:
             quota = route.max_unfinished_tokens
             if quota:
-                for ledger in self._followed(route.name, routes, jobs_by_ledger):
+                for ledger in self._tracked_ledgers(route.name, routes, jobs_by_ledger):
                     jobs = jobs_by_ledger.get(ledger, [])
-                    self._settle_ledger(ledger, quota, jobs)
+                    self._reconcile_ledger(ledger, quota, jobs)
                     if self._sweep is not None:
-                        own_jobs = frozenset(job.id for job in jobs if not job.handed_away)
-                        self._sweep.look(ledger, route.name, own_jobs)
+                        own_jobs = frozenset(job.id for job in jobs if not job.handed_over)
+                        self._sweep.sweep(ledger, route.name, own_jobs)
 
-    def _followed(
+    def _tracked_ledgers(
         self, route: str, routes: RequestRoutes, jobs_by_ledger: Mapping[str, object]
     ) -> frozenset[str]:
-        """Return the ledgers of a route to look at: of tenants only those with jobs here of late.
+        """Return the ledgers of a route to reconcile; of tenants only those with recent jobs here.
 
-        Thousands of tenants would else each cost every gateway an allowance to be renewed.
+        Otherwise every gateway would have to renew an allowance for each of thousands of tenants.
         """
         if routes.tenants is None:
-            self._of(route)
+            self._state_of(route)
             return frozenset({route})
         horizon = boot_clock.now() - UNUSED_AFTER_S
         with self._lock:
-            for name, state in list(self._by_ledger.items()):
-                if state.used_at < horizon and name not in jobs_by_ledger and state.is_settled:
-                    del self._by_ledger[name]
-            followed = {name for name in self._by_ledger if is_ledger_of(name, route)}
-        followed |= {name for name in jobs_by_ledger if is_ledger_of(name, route)}
+            for name, state in list(self._states_by_ledger.items()):
+                if state.used_at < horizon and name not in jobs_by_ledger and state.is_reconciled:
+                    del self._states_by_ledger[name]
+            tracked = {name for name in self._states_by_ledger if is_ledger_of(name, route)}
+        tracked |= {name for name in jobs_by_ledger if is_ledger_of(name, route)}
         if self._sweep is not None:
-            followed |= {name for name in self._sweep.ledgers(route) if is_ledger_of(name, route)}
-        return frozenset(followed)
+            tracked |= {name for name in self._sweep.ledgers(route) if is_ledger_of(name, route)}
+        return frozenset(tracked)
 
-    def _settle_ledger(self, ledger: str, quota: int, jobs: list[CoordinatedJob]) -> None:
+    def _reconcile_ledger(self, ledger: str, quota: int, jobs: list[CoordinatedJob]) -> None:
         with self._lock:
-            state = self._by_ledger.get(ledger)
-        outstanding = {job.id: job.unfinished_tokens() for job in jobs if not job.handed_away}
-        handed_away = frozenset(job.id for job in jobs if job.handed_away)
+            state = self._states_by_ledger.get(ledger)
+        outstanding = {job.id: job.unfinished_tokens() for job in jobs if not job.handed_over}
+        handed_over = frozenset(job.id for job in jobs if job.handed_over)
         if state is None and not outstanding:
-            return  # Another gateway's, which is only swept here.
-        state = state or self._of(ledger)
-        self._forget_jobs_over(state, outstanding, handed_away)
-        if self._is_due(state, quota, outstanding):
+            return  # This gateway only sweeps the ledger.
+        state = state or self._state_of(ledger)
+        self._forget_jobs_over(state, outstanding, handed_over)
+        if self._must_write(state, quota, outstanding):
             self._write(ledger, state, quota, outstanding)
 
     def _forget_jobs_over(
-        self, state: RouteQuota, outstanding: dict[str, int], handed_away: frozenset[str]
+        self, state: RouteQuota, outstanding: dict[str, int], handed_over: frozenset[str]
     ) -> None:
         with self._lock:
-            state.release_jobs_over(outstanding, handed_away)
-            for job_id in [one for one in state.entered if one not in outstanding]:
+            state.release_jobs_over(outstanding, handed_over)
+            for job_id in [
+                entered_id for entered_id in state.entered if entered_id not in outstanding
+            ]:
                 del state.entered[job_id]
 
-    def _is_due(self, state: RouteQuota, quota: int, outstanding: dict[str, int]) -> bool:
-        """Return whether there is something to write that cannot wait."""
-        tight = state.ledger.document.job_tokens > TIGHT_SHARE * quota
-        least = 1 if tight else SMALL_CHANGE_SHARE * quota
+    def _must_write(self, state: RouteQuota, quota: int, outstanding: dict[str, int]) -> bool:
+        """Return whether the ledger must be written now."""
+        enter_all_changes = state.ledger.document.job_tokens > ENTER_ALL_FROM_SHARE * quota
+        min_change = 1 if enter_all_changes else SMALL_CHANGE_SHARE * quota
         with self._lock:
             if state.has_many_charged() or state.withdrawn or state.quota > quota:
                 return True
@@ -314,7 +320,7 @@
                 if job_id in state.charged:
                     continue
                 entered = state.entered.get(job_id)
-                if entered is None or abs(entered - tokens) >= least:
+                if entered is None or abs(entered - tokens) >= min_change:
                     return True
                 if entered and not tokens:
                     return True
@@ -325,7 +331,7 @@
     def _write(
         self, ledger: str, state: RouteQuota, quota: int, outstanding: dict[str, int]
     ) -> None:
-        """Write what this gateway knows of its jobs, and its allowance, in one change."""
+        """Write the entries of this gateway's jobs and its allowance in one change."""
         began = boot_clock.now()
         may_take = began >= self._first_allowance_at
         with self._lock:
@@ -334,41 +340,40 @@
 
         def enter_all(document: LedgerDocument) -> LedgerDocument:
             nonlocal granted
-            document = pending.entered_in(document, outstanding)
+            document = pending.apply_to(document, outstanding)
             granted = self._next_allowance(state, document, quota) if may_take else 0
             return document.with_allowance(self._name, granted)
 
-        newer = self._newer(ledger, state)
+        newer = self._ledger_to_change(ledger, state)
         known = newer if newer.revision else self._ledgers.read(ledger)
         if isinstance(known, Ledger):
-            known = self._ledgers.change(ledger, known, enter_all, SETTLE_PAUSE_S)
+            known = self._ledgers.change(ledger, known, enter_all, RECONCILE_PAUSE_S)
         if isinstance(known, LedgerUnknown):
             log_message("quota:not_entered", ledger=ledger, reason=known.reason)
             return
-        self._take(state, known)
+        self._update_ledger(state, known)
         with self._lock:
-            state.note_entered(pending, outstanding)
+            state.record_entered(pending, outstanding)
             state.renew_allowance(granted, quota, began)
 
-    def _newer(self, ledger: str, state: RouteQuota) -> Ledger:
-        """Return the ledger to change: the one known if it is fresh, else one from a cheap read."""
+    def _ledger_to_change(self, ledger: str, state: RouteQuota) -> Ledger:
+        """Return the ledger to change: the known one if it is fresh, else one from a cheap read."""
         if boot_clock.now() - state.ledger_at < LEDGER_FRESH_S:
             return state.ledger
         return self._ledgers.newer(ledger, state.ledger)
 
     def _next_allowance(self, state: RouteQuota, document: LedgerDocument, quota: int) -> int:
-        """Return the allowance to write; nothing more is given from one that shrinks.
+        """Return the allowance to write, and lower what is left of the current one to it.
 
-        Jobs that are counted while the write is under way must lie within the old allowance
-        and within the new one.
+        Jobs that are counted during the write must fit both the old and the new allowance.
         """
         granted = allowance_for(document, self._name, self._gateways(), quota)
         with self._lock:
-            state.left = min(state.left, granted)
+            state.remaining = min(state.remaining, granted)
         return granted
 
-    def _take(self, state: RouteQuota, ledger: Ledger) -> None:
-        """Take a newer ledger, and note what has become free since the one before."""
+    def _update_ledger(self, state: RouteQuota, ledger: Ledger) -> None:
+        """Store a newer ledger, and record the tokens freed since the previous one."""
         with self._lock:
             if ledger.revision <= state.ledger.revision:
                 return
@@ -382,8 +387,8 @@
             state.ledger = ledger
             state.ledger_at = boot_clock.now()
 
-    def _of(self, ledger: str) -> RouteQuota:
+    def _state_of(self, ledger: str) -> RouteQuota:
         with self._lock:
-            state = self._by_ledger.setdefault(ledger, RouteQuota())
+            state = self._states_by_ledger.setdefault(ledger, RouteQuota())
             state.used_at = boot_clock.now()
             return state
--- a/src/quaymill/process/jobs/coordinator.py
+++ b/src/quaymill/process/jobs/coordinator.py
@@ -1,6 +1,7 @@
-"""The jobs that this gateway coordinates, from their acceptance or adoption to their end.
+"""Coordinates the jobs of this gateway from their acceptance or adoption to their end.
 
-Threads: one that renews the leases, beside those of the dispatcher and the publisher.
+Threads: one that renews the leases, in addition to those of the dispatcher, the publisher and the
+progress saver.
 """
 
 from __future__ import annotations
@@ -24,73 +25,80 @@
 from quaymill.process.jobs.coordinated_job import CoordinatedJob, ItemState
 from quaymill.process.jobs.item_dispatcher import DispatcherParts, ItemDispatcher
 from quaymill.process.jobs.lease_renewal import LeaseRenewal
-from quaymill.process.jobs.listing import Listing, told_order
+from quaymill.process.jobs.listing import Listing, shared_listing
 from quaymill.process.jobs.progress_saver import ProgressSaver
 from quaymill.process.jobs.result_publisher import PublisherParts, ResultPublisher
 from quaymill.version.request_routes import RequestRoute
 
 RENEW_INTERVAL_S = 0.6
-RENEW_GATHER_S = 0.05
-"""Pause before each renewal."""
+RENEWAL_DELAY_S = 0.05
+"""Delay before each renewal, so that jobs which arrive together share it."""
 RETAINED_JOBS = 200
+"""Number of stopped jobs that stay in memory."""
 
 
 class JobCoordinator:
-    """Coordinates jobs until all is listed; safe to use from any thread."""
+    """Coordinates jobs until all their results are listed; safe to use from any thread.
+
+    Parameters
+    ----------
+    listing_valid_s
+        For how long a confirmed listing counts as the newest (seconds).
+    """
 
     def __init__(
         self,
         dispatcher: DispatcherParts,
         publisher: PublisherParts,
         leases: LeaseRenewal,
-        order_term_s: float,
+        listing_valid_s: float,
     ) -> None:
         self.name = publisher.name
-        """How storage nodes and gateways know this coordinator; another after a restart."""
+        """Name of this coordinator at storage nodes and gateways; changes at each restart."""
         self._leases = leases
-        self._order_term_s = order_term_s
+        self._listing_valid_s = listing_valid_s
         self._lock = threading.Lock()
         self._jobs_by_id: dict[str, CoordinatedJob] = {}
         self._stopping = threading.Event()
         self._newly_complete: list[str] = []
         self._renew_soon = threading.Event()
         self._dispatcher = ItemDispatcher(dispatcher, self.open_jobs)
-        self._publisher = ResultPublisher(publisher, self._dispatcher.wake, self._note_complete)
+        self._publisher = ResultPublisher(publisher, self._dispatcher.wake, self._record_complete)
         self._progress = ProgressSaver(publisher.storage, self.open_jobs)
 
     def start(self) -> None:
-        """Begin to run items and to renew leases."""
+        """Start to run items, save progress and renew leases."""
         self._dispatcher.start()
         self._progress.start()
         threading.Thread(target=self._renew, name="job-leases", daemon=True).start()
 
     def wake(self) -> None:
-        """Look at once whether items can be started."""
+        """Check at once whether items can be started."""
         self._dispatcher.wake()
 
     def get(self, job_id: str) -> CoordinatedJob | None:
-        """Return a job coordinated here."""
+        """Return a job that is coordinated here; ``None`` if it is not."""
         job = self._jobs_by_id.get(job_id)
         return None if job is None or job.abandoned or job.yielded else job
 
     def open_jobs(self) -> list[CoordinatedJob]:
-        """Return the jobs that are not over."""
+        """Return the jobs that are not stopped."""
         return [job for job in list(self._jobs_by_id.values()) if not job.stopped]
 
     def route_of(self, job: Job) -> RequestRoute | None:
-        """Return the route by which a job came, by the configuration in force."""
+        """Return the job's route in the current configuration; ``None`` if it has none."""
         return self._dispatcher.route_of(job)
 
     def jobs(self) -> list[CoordinatedJob]:
-        """Return all jobs that are held here, those that are over included."""
+        """Return all jobs in memory, including stopped ones."""
         return list(self._jobs_by_id.values())
 
     def give_back(self, items: tuple[ItemsAt, ...]) -> None:
-        """Cut items at once, because online requests wait at their replicas."""
+        """Preempt items at once, because online requests wait at their replicas."""
         self._dispatcher.give_back(items)
 
     def running_items(self) -> int:
-        """Return how many items are in service."""
+        """Return the number of running items."""
         return self._dispatcher.running_items()
 
     def accept(self, job: Job) -> None:
@@ -104,13 +112,17 @@
         unlisted: Iterable[KeyedResult] = (),
         listing: Listing | None = None,
     ) -> bool:
-        """Coordinate a job that another ran before; return whether this gateway takes it.
+        """Coordinate a job that another gateway ran before; return whether it is adopted.
 
         Parameters
         ----------
+        progress
+            What the previous coordinator's runs have produced so far.
+        unlisted
+            Results that the previous coordinator had not listed yet.
         listing
-            As the coordinator before knew it: what is in it is not run again, also where the
-            store cannot be read now.
+            The listing as the previous coordinator knew it. Its items are not run again, even
+            if the store cannot be read now.
         """
         if self._stopping.is_set():
             return False
@@ -119,13 +131,13 @@
             "job:adopted",
             job=job.id,
             items=len(job.document.items),
-            events=sum(len(one.texts) for one in progress),
+            events=sum(len(item_progress.texts) for item_progress in progress),
         )
         self._begin(job, adopted=True, progress=progress, unlisted=unlisted, listing=listing)
         return True
 
     def end(self, job_id: str) -> bool:
-        """Stop a job that was ended; return whether it is coordinated here."""
+        """Stop a job that a client ended; return whether it is coordinated here."""
         job = self.get(job_id)
         if job is None:
             return False
@@ -135,7 +147,7 @@
         return True
 
     def stop(self) -> list[HandOverJob]:
-        """Start nothing more, cut the runs, and return what others need to go on."""
+        """Stop all jobs and return the messages that hand the open ones to other gateways."""
         self._stopping.set()
         self._renew_soon.set()
         self._dispatcher.stop()
@@ -144,7 +156,7 @@
         open_jobs = self.open_jobs()
         for job in open_jobs:
             job.stop(ended=False)
-        return [_hand_over_order(job) for job in open_jobs]
+        return [_hand_over_message(job) for job in open_jobs]
 
     def _begin(
         self,
@@ -156,41 +168,40 @@
         listing: Listing | None = None,
     ) -> None:
         with self._lock:
-            held = self._jobs_by_id.get(job.id)
-            if held is not None and not held.abandoned and not held.yielded:
+            known = self._jobs_by_id.get(job.id)
+            if known is not None and not known.abandoned and not known.yielded:
                 return
             coordinated = CoordinatedJob(
-                job, self._dispatcher.route_of(job), self.name, self._order_term_s
+                job, self._dispatcher.route_of(job), self.name, self._listing_valid_s
             )
-            for one in progress:
-                coordinated.items[one.index].resume_from(one)
+            for item_progress in progress:
+                coordinated.items[item_progress.index].resume_from(item_progress)
             coordinated.add_finished(unlisted)
             if listing is not None:
-                # It may have grown since: that it is the newest is not known.
-                coordinated.take_listing(listing, -math.inf)
+                # It may have grown since, so it is not confirmed as the newest.
+                coordinated.update_listing(listing, -math.inf)
             self._jobs_by_id[job.id] = coordinated
             self._forget_old_jobs()
-        # Its order is confirmed with the first renewal: until then each empty page of it costs a
-        # call of the store.
+        # The first renewal confirms the listing; until then each empty page needs a store call.
         self._renew_soon.set()
         self._publisher.follow(coordinated, adopted=adopted)
 
-    def _note_complete(self, job_id: str) -> None:
+    def _record_complete(self, job_id: str) -> None:
         with self._lock:
             self._newly_complete.append(job_id)
 
     def _forget_old_jobs(self) -> None:
-        """Keep memory bounded: of jobs that are over, storage nodes have all there is."""
+        """Remove the oldest stopped jobs from memory; storage nodes have their results."""
         over = [job for job in self._jobs_by_id.values() if job.stopped]
         for job in over[: max(0, len(over) - RETAINED_JOBS)]:
             del self._jobs_by_id[job.id]
 
     def _renew(self) -> None:
-        beyond: frozenset[str] = frozenset()
+        unlisted_before: frozenset[str] = frozenset()
         while True:
             self._renew_soon.wait(RENEW_INTERVAL_S)
-            # Jobs come in heaps: those of one heap go together.
-            if self._stopping.wait(RENEW_GATHER_S):
+            # Jobs often arrive in bursts: a short delay renews them in one call.
+            if self._stopping.wait(RENEWAL_DELAY_S):
                 return
             self._renew_soon.clear()
             jobs = self.open_jobs()
@@ -200,27 +211,28 @@
             if not open_jobs and not complete:
                 continue
             began = boot_clock.now()
-            orders = tuple(job.known_order() for job in jobs)
+            orders = tuple(job.known_listing() for job in jobs)
             outcome = self._leases.renew(RenewJobs(self.name, open_jobs, complete, orders=orders))
             for job_id in outcome.ended:
                 self.end(job_id)
             self._confirm(outcome.confirmed, began)
-            # An append of our own explains a result beyond the order, but not for two renewals.
-            for job_id in outcome.taken | (outcome.unlisted & beyond):
+            # Our own append in progress can explain an unlisted result, but not in two renewals
+            # in a row.
+            for job_id in outcome.taken | (outcome.unlisted & unlisted_before):
                 job = self.get(job_id)
                 if job is not None:
-                    self._publisher.settle_with_other(job)
-            beyond = outcome.unlisted
+                    self._publisher.yield_if_taken_over(job)
+            unlisted_before = outcome.unlisted
 
     def _confirm(self, job_ids: Iterable[str], at: float) -> None:
         for job_id in job_ids:
             job = self.get(job_id)
             if job is not None:
-                job.confirm_order(at)
+                job.confirm_listing(at)
 
 
-def _hand_over_order(job: CoordinatedJob) -> HandOverJob:
-    """Return what another coordinator needs to go on with a job."""
+def _hand_over_message(job: CoordinatedJob) -> HandOverJob:
+    """Return the message by which another coordinator continues a job."""
     age_s = boot_clock.now() - job.sent_at
     progress = tuple(
         item.progress()
@@ -231,5 +243,5 @@
         msgspec.structs.replace(job.job, age_s=age_s),
         progress,
         job.unlisted(),
-        told_order(job.id, job.listing),
+        shared_listing(job.id, job.listing),
     )
--- a/src/quaymill/process/jobs/lease_renewal.py
+++ b/src/quaymill/process/jobs/lease_renewal.py
@@ -1,8 +1,8 @@
-"""Renews a coordinator's leases with storage nodes, and compares the orders of its jobs.
+"""Renews a coordinator's leases at the storage nodes, and checks that its listings are the newest.
 
-A lease tells who runs a job, and nothing of its order. What tells of the order is that the
-content of a result is on storage nodes before the result is listed: as long as none of them has
-a content that the coordinator does not know to be listed, nobody has listed more.
+A lease says who runs a job, but not whether the coordinator's copy of the listing is the newest.
+The content of a result is on storage nodes before the result is listed. So if no storage node has
+a result which is missing in the copy, no other coordinator has listed more.
 """
 
 from __future__ import annotations
@@ -22,20 +22,20 @@
 
 @attrs.frozen
 class RenewalOutcome:
-    """What the storage nodes said.
+    """The combined answers of the storage nodes; each attribute holds ids of jobs.
 
     Attributes
     ----------
     ended
-        Jobs that were ended.
+        Jobs that clients ended.
     taken
-        Jobs whose lease another coordinator has at some storage node; which of the two is to
-        leave the job, its listing tells.
+        Jobs whose lease another coordinator holds at some storage node. The listing decides which
+        of the two coordinators leaves the job.
     unlisted
-        Jobs of which a storage node has a result beyond the order as it was told.
+        Jobs that have a result at a storage node which is missing in the coordinator's listing.
     confirmed
-        Jobs whose order, as it was told, was the newest when the renewal began: every storage
-        node that may have a result beyond it has answered that it has none.
+        Jobs whose listing was the newest when the renewal began: every storage node that may have
+        a result which is missing in it has answered that it has none.
     """
 
     ended: frozenset[str]
@@ -45,25 +45,25 @@
 
 
 @attrs.frozen
-class _Answer:
-    """What one storage node said to its part of a renewal."""
+class _NodeReply:
+    """The reply of one storage node, and the message it replied to."""
 
-    part: RenewJobs
+    node_message: RenewJobs
     reply: JobsRenewed
 
 
 class LeaseRenewal:
-    """Splits renewals by storage node, sends them at once, and puts the answers together.
+    """Splits renewals by storage node, sends them in parallel, and merges the answers.
 
     Parameters
     ----------
     storage_nodes
-        Returns the live storage nodes, none that is leaving.
+        Returns the live storage nodes, without leaving ones.
     result_holders
-        Returns all that may be the only ones to hold a result, also those that are leaving or do
-        not answer now.
+        Returns all storage nodes that may hold the only copy of a result, including those that
+        are leaving or do not answer now.
     rules
-        On which of the live ones the copies of a job lie.
+        Decide which live storage nodes hold the copies of a job.
     """
 
     def __init__(
@@ -79,32 +79,36 @@
         self._rules = rules
 
     def renew(self, message: RenewJobs) -> RenewalOutcome:
-        """Renew, complete, release and hand over what a message names."""
+        """Renew, complete, release and hand over the leases of the jobs named in a message."""
         holders = self._result_holders()
         asked = tuple(member for member in holders if member.state is not MemberState.DEAD)
-        parts = list(self._parts(message, self._storage_nodes(), asked))
-        answers: list[_Answer] = []
+        node_messages = list(self._node_messages(message, self._storage_nodes(), asked))
+        node_replies: list[_NodeReply] = []
         threads = [
-            threading.Thread(target=self._renew_at, args=(member, part, answers), daemon=True)
-            for member, part in parts
+            threading.Thread(
+                target=self._renew_at, args=(member, node_message, node_replies), daemon=True
+            )
+            for member, node_message in node_messages
         ]
         for thread in threads:
             thread.start()
         for thread in threads:
             thread.join(RENEW_TIMEOUT_S)
-        outcome = _merged(list(answers), len(parts))
+        outcome = _merge(list(node_replies), len(node_messages))
         all_asked = bool(holders) and len(asked) == len(holders)
         return outcome if all_asked else attrs.evolve(outcome, confirmed=frozenset())
 
-    def _renew_at(self, member: Member, part: RenewJobs, answers: list[_Answer]) -> None:
-        reply = self._peer_client.call(member.peer, part, JobsRenewed, RENEW_TIMEOUT_S)
+    def _renew_at(
+        self, member: Member, node_message: RenewJobs, node_replies: list[_NodeReply]
+    ) -> None:
+        reply = self._peer_client.call(member.peer, node_message, JobsRenewed, RENEW_TIMEOUT_S)
         if isinstance(reply, JobsRenewed):
-            answers.append(_Answer(part, reply))
+            node_replies.append(_NodeReply(node_message, reply))
 
-    def _parts(
+    def _node_messages(
         self, message: RenewJobs, live: tuple[Member, ...], asked: tuple[Member, ...]
     ) -> Iterator[tuple[Member, RenewJobs]]:
-        """Yield what concerns each storage node: leases that it keeps, and the orders."""
+        """Yield the message for each storage node: the leases it keeps, and all listings."""
         handed_over = [job.job_id for job in message.handed_over_jobs]
         job_ids = {
             *message.open_jobs,
@@ -119,7 +123,7 @@
                 job_id = job.job_id if isinstance(job, HandedOverJob) else job
                 return member in holders_by_job[job_id]
 
-            part = RenewJobs(
+            node_message = RenewJobs(
                 message.coordinator,
                 tuple(filter(is_held, message.open_jobs)),
                 tuple(filter(is_held, message.complete_jobs)),
@@ -127,22 +131,22 @@
                 tuple(filter(is_held, message.handed_over_jobs)),
                 message.orders,
             )
-            if part != RenewJobs(message.coordinator, ()):
-                yield member, part
+            if node_message != RenewJobs(message.coordinator, ()):
+                yield member, node_message
 
 
-def _merged(answers: list[_Answer], asked: int) -> RenewalOutcome:
-    ended = {job_id for answer in answers for job_id in answer.reply.ended_jobs}
-    taken = {job_id for answer in answers for job_id in answer.reply.taken_jobs}
+def _merge(node_replies: list[_NodeReply], messages_sent: int) -> RenewalOutcome:
+    ended = {job_id for node_reply in node_replies for job_id in node_reply.reply.ended_jobs}
+    taken = {job_id for node_reply in node_replies for job_id in node_reply.reply.taken_jobs}
     unlisted = {
         order.job_id
-        for answer in answers
-        for order in answer.part.orders
-        if order.job_id not in answer.reply.confirmed_jobs
+        for node_reply in node_replies
+        for order in node_reply.node_message.orders
+        if order.job_id not in node_reply.reply.confirmed_jobs
     }
     confirmed = set()
-    if answers and len(answers) == asked:
-        confirmed = {order.job_id for order in answers[0].part.orders} - unlisted
+    if node_replies and len(node_replies) == messages_sent:
+        confirmed = {order.job_id for order in node_replies[0].node_message.orders} - unlisted
     return RenewalOutcome(
         frozenset(ended), frozenset(taken), frozenset(unlisted), frozenset(confirmed)
     )
--- a/src/quaymill/process/jobs/parallel_calls.py
+++ b/src/quaymill/process/jobs/parallel_calls.py
@@ -1,4 +1,4 @@
-"""One message to several peers at once, until enough of them have answered."""
+"""Sends one message to several peers in parallel until enough of them have replied."""
 
 from __future__ import annotations
 
@@ -19,36 +19,38 @@
     PeerUnreachable,
 )
 
-HEDGE_S = 0.2
+HEDGE_DELAY_S = 0.2
+"""Time without a reply after which more members are called."""
 OTHER_ZONE_WAIT_S = 0.4
-"""Time after which enough answers suffice without one from a further zone: half of the shortest
-time within which callers want to know that their job is accepted (0.8 s)."""
+"""Time after which enough replies suffice even if they come from too few zones."""
 
 
 @attrs.frozen
 class ZoneRule:
-    """In how many zones those who answer must lie, where they can be reached in time.
+    """The number of zones that the replying members should cover if reachable in time.
 
     Attributes
     ----------
-    own
-        The caller's zone: members there can be reached when no other zone can.
+    needed
+        Number of zones.
+    local
+        The zone of this process: its members are reachable even if no other zone is.
     """
 
     needed: int
-    own: str
+    local: str
 
 
 @attrs.frozen
 class CallOutcome:
-    """What several calls brought.
+    """The replies to parallel calls.
 
     Attributes
     ----------
     replies
-        The answers, with those who gave them.
+        The replies, each with the member that sent it.
     maybe_acted
-        Whether a peer that gave no answer may have acted all the same.
+        Whether a peer that did not reply may have processed the message anyway.
     """
 
     replies: tuple[tuple[Member, Any], ...]
@@ -56,7 +58,7 @@
 
     @property
     def zones(self) -> frozenset[str]:
-        """The zones of those who answered."""
+        """The zones of the members that replied."""
         return frozenset(_zones_of(self.replies))
 
 
@@ -67,25 +69,27 @@
     reply_type: Any,
     needed: int,
     timeout_s: float,
-    at_once: int | None = None,
+    initial_calls: int | None = None,
     zones: ZoneRule | None = None,
 ) -> CallOutcome:
-    """Call members in their order until ``needed`` have answered or none is left.
+    """Call members in the given order until ``needed`` have replied or none is left.
 
     Parameters
     ----------
-    at_once
-        How many are called together at first, ``needed`` if left out; others follow for each
-        that fails, and when answers are slow.
+    initial_calls
+        Number of members called at first; ``needed`` by default. Another one is called for each
+        failed call, and more if replies are slow.
     zones
-        Left out if it does not matter in which zones those who answer lie.
+        ``None`` if the zones of the replying members do not matter.
     """
-    return _Calls(peer_client, members, message, reply_type, timeout_s, zones).run(
-        needed, at_once or needed
+    return _ParallelCalls(peer_client, members, message, reply_type, timeout_s, zones).run(
+        needed, initial_calls or needed
     )
 
 
-class _Calls:
+class _ParallelCalls:
+    """The calls of one message to several members."""
+
     def __init__(
         self,
         peer_client: PeerClient,
@@ -96,28 +100,28 @@
         zones: ZoneRule | None,
     ) -> None:
         self._peer_client = peer_client
-        self._waiting = list(members)
+        self._uncalled = list(members)
         self._message = message
         self._reply_type = reply_type
         began = boot_clock.now()
         self._deadline = began + timeout_s
         self._other_zone_deadline = began + OTHER_ZONE_WAIT_S
         self._zones = zones
-        self._answers: queue.SimpleQueue[tuple[Member, Any]] = queue.SimpleQueue()
+        self._answer_queue: queue.SimpleQueue[tuple[Member, Any]] = queue.SimpleQueue()
         self._in_flight = 0
 
-    def run(self, needed: int, at_once: int) -> CallOutcome:
+    def run(self, needed: int, initial_calls: int) -> CallOutcome:
         replies: list[tuple[Member, Any]] = []
         maybe_acted = False
-        for _ in range(at_once):
+        for _ in range(initial_calls):
             self._start_next()
-        while self._lacks_answers(replies, needed) and (self._in_flight or self._start_next()):
+        while self._lacks_replies(replies, needed) and (self._in_flight or self._start_next()):
             deadline = self._deadline if len(replies) < needed else self._other_zone_deadline
             remaining_s = deadline - boot_clock.now()
             if remaining_s <= 0:
                 break
             try:
-                member, answer = self._answers.get(timeout=min(HEDGE_S, remaining_s))
+                member, answer = self._answer_queue.get(timeout=min(HEDGE_DELAY_S, remaining_s))
             except queue.Empty:
                 self._hedge(replies, needed)
                 continue
@@ -128,39 +132,39 @@
             else:
                 replies.append((member, answer))
             if len(replies) >= needed:
-                self._leave_out(_zones_of(replies))
+                self._skip_zones(_zones_of(replies))
         return CallOutcome(tuple(replies), maybe_acted or self._in_flight > 0)
 
-    def _lacks_answers(self, replies: list[tuple[Member, Any]], needed: int) -> bool:
+    def _lacks_replies(self, replies: list[tuple[Member, Any]], needed: int) -> bool:
         if len(replies) < needed:
             return True
         return self._zones is not None and len(_zones_of(replies)) < self._zones.needed
 
     def _hedge(self, replies: list[tuple[Member, Any]], needed: int) -> None:
-        """Call more members as answers are slow.
+        """Call more members because replies are slow.
 
-        Silence may mean that a zone is cut off. So as many as are missing are called at once, first
-        those of zones that have answered and of the own one; if only a further zone is missing,
-        first those of the others.
+        A zone may be unreachable. So as many members as replies are missing are called at once,
+        starting with those in the local zone and in zones that have replied. If only another zone
+        is missing, members of other zones come first.
         """
         if self._zones is None:
             self._start_next()
             return
-        heard = _zones_of(replies) | {self._zones.own}
-        reachable = [member for member in self._waiting if member.zone in heard]
-        others = [member for member in self._waiting if member.zone not in heard]
-        self._waiting = reachable + others if len(replies) < needed else others + reachable
+        reached = _zones_of(replies) | {self._zones.local}
+        reachable = [member for member in self._uncalled if member.zone in reached]
+        others = [member for member in self._uncalled if member.zone not in reached]
+        self._uncalled = reachable + others if len(replies) < needed else others + reachable
         for _ in range(max(1, needed - len(replies))):
             self._start_next()
 
-    def _leave_out(self, zones: set[str]) -> None:
-        """Call no more members of these zones: only one of a further zone is missing, if any."""
-        self._waiting = [member for member in self._waiting if member.zone not in zones]
+    def _skip_zones(self, zones: set[str]) -> None:
+        """Do not call more members of these zones: at most a reply from another zone is missing."""
+        self._uncalled = [member for member in self._uncalled if member.zone not in zones]
 
     def _start_next(self) -> bool:
-        if not self._waiting:
+        if not self._uncalled:
             return False
-        member = self._waiting.pop(0)
+        member = self._uncalled.pop(0)
         self._in_flight += 1
         threading.Thread(target=self._call, args=(member,), name="peer-call", daemon=True).start()
         return True
@@ -168,7 +172,7 @@
     def _call(self, member: Member) -> None:
         timeout_s = max(0.05, self._deadline - boot_clock.now())
         answer = self._peer_client.call(member.peer, self._message, self._reply_type, timeout_s)
-        self._answers.put((member, answer))
+        self._answer_queue.put((member, answer))
 
 
 def _zones_of(replies: Iterable[tuple[Member, Any]]) -> set[str]:
--- a/src/quaymill/process/jobs/result_publisher.py
+++ b/src/quaymill/process/jobs/result_publisher.py
@@ -1,6 +1,6 @@
-"""Puts the results of jobs on disks and into their listings.
+"""Stores the results of jobs on storage nodes and appends them to the jobs' listings.
 
-Threads: one for each job that is not over.
+Threads: one for each job until it is over.
 """
 
 from __future__ import annotations
@@ -18,28 +18,29 @@
 from quaymill.process.jobs.storage_client import JobStorageClient
 
 PUBLISH_INTERVAL_S = 0.4
-"""Least time between two appends to a listing: results that end close together share one."""
+"""Minimum time between two appends to a listing; results that finish within it share one append."""
 PUBLISH_RETRY_S = 0.5
-ENTRY_TRIES = 2
-"""Tries to enter a coordinator into a listing that another wrote meanwhile; appends try again."""
-AWAY_RETRY_S = 2.0
-"""Longest time between two tries while the store is away: by another gateway it may be reached
-before this one's circuit closes."""
+MAX_TAKEOVER_WRITES = 2
+"""Attempts to write the new coordinator into a listing that others change at the same time. Later
+appends write it as well."""
+UNAVAILABLE_RETRY_S = 2.0
+"""Maximum time between two attempts while the store is unavailable: another gateway may reach it
+before the circuit breaker of this one closes."""
 
 
 @attrs.frozen
 class PublisherParts:
-    """What a publisher uses.
+    """Dependencies of a publisher.
 
     Attributes
     ----------
     name
-        Of the coordinator whose results it lists.
+        Name of the coordinator whose results are listed.
     is_live
-        Whether a coordinator of that name is known to live.
+        Returns whether a coordinator with the given name is known to be alive.
     await_store
-        Waits up to a time (seconds) while the store is known to be away, until an append should be
-        tried again; returns at once, and ``False``, while it is not.
+        Waits until an append should be tried again, at most the given time (seconds), while the
+        store is known to be unavailable. Returns ``False`` at once if it is not.
     """
 
     name: str
@@ -50,14 +51,14 @@
 
 
 class ResultPublisher:
-    """Lists results in the order in which they end, until a job is over.
+    """Lists results in the order in which they finish, until a job is over.
 
     Parameters
     ----------
     begin_items
-        Called when a job's items may be run.
+        Called when the items of a job may be run.
     complete
-        Called with the id of a job whose last result was listed.
+        Called with the id of a job after its last result is listed.
     """
 
     def __init__(
@@ -72,24 +73,24 @@
         self._stopping = threading.Event()
 
     def stop(self) -> None:
-        """Wait no more between two appends."""
+        """Stop pausing between appends."""
         self._stopping.set()
 
     def follow(self, job: CoordinatedJob, *, adopted: bool) -> None:
-        """Follow a job to its end, in a thread of its own."""
+        """Start a thread that lists the results of a job until it is over."""
         threading.Thread(target=self._publish, args=(job, adopted), name="job", daemon=True).start()
 
-    def settle_with_other(self, job: CoordinatedJob) -> None:
-        """Leave a job to another coordinator if that one stands in the listing and lives."""
+    def yield_if_taken_over(self, job: CoordinatedJob) -> None:
+        """Leave a job to the coordinator named in its listing if that is another, live one."""
         began = boot_clock.now()
         listing = self._parts.listings.read(job.id)
         if isinstance(listing, Listing):
-            job.take_listing(listing, began)
+            job.update_listing(listing, began)
             if listing.document.coordinator not in ("", self._parts.name):
-                self._meet_other(job, listing)
+                self._handle_takeover(job, listing)
 
     def _publish(self, job: CoordinatedJob, adopted: bool) -> None:
-        """Follow one job to its end."""
+        """List the results of one job until it is over."""
         if adopted:
             self._take_over(job)
         self._begin_items()
@@ -98,7 +99,7 @@
                 job.changed.wait_for(lambda: job.over or job.unlisted(), PUBLISH_RETRY_S)
             results = job.unlisted()
             if results and not job.over:
-                listed = self._list(job, results)
+                listed = self._append(job, results)
                 self._pause(listed)
         log_message(
             "job:over",
@@ -114,68 +115,69 @@
             self._complete(job.id)
 
     def _pause(self, listed: bool) -> None:
-        """Wait until the next append of a job; what ends meanwhile goes with it."""
+        """Wait before the next append of a job; results that finish meanwhile are part of it."""
         if listed:
             self._stopping.wait(PUBLISH_INTERVAL_S)
-        elif not self._parts.await_store(AWAY_RETRY_S):
+        elif not self._parts.await_store(UNAVAILABLE_RETRY_S):
             self._stopping.wait(PUBLISH_RETRY_S)
 
     def _take_over(self, job: CoordinatedJob) -> None:
-        """Enter this coordinator into the listing, so that a former one finds out."""
-        # One that was told and has grown since is in the way of the write, and known by that.
+        """Write this coordinator into the listing, so that a previous one notices the takeover."""
+        # A handed-over listing that has grown since causes a write conflict, which returns the
+        # newer one.
         if not job.listing.revision and not self._read_listing(job):
             return
-        for _ in range(ENTRY_TRIES):
+        for _ in range(MAX_TAKEOVER_WRITES):
             began = boot_clock.now()
-            wanted = job.listing.with_results((), job.coordinator)
-            written = self._parts.listings.write(job.id, wanted)
+            proposed = job.listing.with_results((), job.coordinator)
+            written = self._parts.listings.write(job.id, proposed)
             if isinstance(written, ListingUnknown):
                 log_message("job:listing_unknown", job=job.id, reason=written.reason)
                 break
-            job.take_listing(written, began)
+            job.update_listing(written, began)
             if written.document.coordinator == job.coordinator:
                 break
         self._fetch_contents(job)
 
     def _read_listing(self, job: CoordinatedJob) -> bool:
-        """Take the listing that stands, if any; return whether that is known."""
+        """Load the stored listing, if there is one; return whether the store could be read."""
         began = boot_clock.now()
         listing = self._parts.listings.read(job.id)
         if isinstance(listing, ListingUnknown):
             log_message("job:listing_unknown", job=job.id, reason=listing.reason)
             return False
-        job.take_listing(listing or Listing(ListingDocument("", job.total)), began)
+        job.update_listing(listing or Listing(ListingDocument("", job.total)), began)
         return True
 
-    def _list(self, job: CoordinatedJob, results: tuple[KeyedResult, ...]) -> bool:
-        """Put results on disks, then into the listing; return whether they stand there."""
+    def _append(self, job: CoordinatedJob, results: tuple[KeyedResult, ...]) -> bool:
+        """Store results, then append them to the listing; return whether they were appended."""
         if not self._parts.storage.store_results(job.id, results):
             log_message("job:results_not_stored", job=job.id, results=len(results))
             return False
-        wanted = job.listing.with_results(map(listed_result, results), job.coordinator)
+        proposed = job.listing.with_results(map(listed_result, results), job.coordinator)
         began = boot_clock.now()
-        standing = self._parts.listings.write(job.id, wanted)
+        current = self._parts.listings.write(job.id, proposed)
         took_s = round(boot_clock.now() - began, 3)
-        if isinstance(standing, ListingUnknown):
-            log_message("job:listing_unknown", job=job.id, reason=standing.reason, took_s=took_s)
+        if isinstance(current, ListingUnknown):
+            log_message("job:listing_unknown", job=job.id, reason=current.reason, took_s=took_s)
             return False
-        job.take_listing(standing, began)
-        if standing.document != wanted.document:
-            self._meet_other(job, standing)
+        job.update_listing(current, began)
+        if current.document != proposed.document:
+            self._handle_takeover(job, current)
             return False
         log_message(
             "job:listed",
             job=job.id,
             results=len(results),
-            revision=standing.revision,
+            revision=current.revision,
             took_s=took_s,
         )
         return True
 
-    def _meet_other(self, job: CoordinatedJob, standing: Listing) -> None:
-        """Another coordinator wrote in between: leave the job to it if it lives."""
-        other = standing.document.coordinator
-        log_message("job:overtaken", job=job.id, other=other, revision=standing.revision)
+    def _handle_takeover(self, job: CoordinatedJob, current: Listing) -> None:
+        """Leave the job to the other coordinator that changed the listing, if it is alive."""
+        other = current.document.coordinator
+        log_message("job:overtaken", job=job.id, other=other, revision=current.revision)
         self._fetch_contents(job)
         if other != self._parts.name and self._parts.is_live(other):
             job.yield_to(other)
