--- a/src/quaymill/process/membership/dissemination.py
+++ b/src/quaymill/process/membership/dissemination.py
@@ -10,10 +10,10 @@
 from quaymill.connection.member import Member
 from quaymill.process.membership.messages import encoded_size
 
-TRANSMISSIONS_FACTOR = 3
+TRANSMISSIONS_PER_LOG2_MEMBERS = 3
 
 
-class _News(msgspec.Struct):
+class _PendingUpdate(msgspec.Struct):
     record: Member
     size: int
     sent: int = 0
@@ -28,27 +28,27 @@
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._news: dict[str, _News] = {}
+        self._pending: dict[str, _PendingUpdate] = {}
 
     def add(self, record: Member) -> None:
         """Start to spread a record; it takes the place of an older one of that member."""
         with self._lock:
-            self._news.pop(record.name, None)
-            self._news[record.name] = _News(record, encoded_size(record))
+            self._pending.pop(record.name, None)
+            self._pending[record.name] = _PendingUpdate(record, encoded_size(record))
 
     def take(self, budget_bytes: int, members: int) -> list[Member]:
         """Return records for one datagram, at most ``budget_bytes`` of them."""
-        if not self._news:
+        if not self._pending:
             return []
-        limit = TRANSMISSIONS_FACTOR * max(math.ceil(math.log2(members + 1)), 1)
+        limit = TRANSMISSIONS_PER_LOG2_MEMBERS * max(math.ceil(math.log2(members + 1)), 1)
         taken = []
         with self._lock:
-            for news in sorted(reversed(self._news.values()), key=lambda news: news.sent):
-                if news.size > budget_bytes:
+            for update in sorted(reversed(self._pending.values()), key=lambda update: update.sent):
+                if update.size > budget_bytes:
                     break
-                budget_bytes -= news.size
-                taken.append(news.record)
-                news.sent += 1
-                if news.sent >= limit:
-                    del self._news[news.record.name]
+                budget_bytes -= update.size
+                taken.append(update.record)
+                update.sent += 1
+                if update.sent >= limit:
+                    del self._pending[update.record.name]
         return taken
--- a/src/quaymill/process/membership/failure_detector.py
+++ b/src/quaymill/process/membership/failure_detector.py
@@ -17,20 +17,20 @@
 from quaymill.process.settings import MembershipSettings
 
 INDIRECT_PROBES = 3
-PAUSE_THRESHOLD_S = 1.0
+PROCESS_PAUSE_S = 1.0
 MAX_RELAYED_PROBES = 1000
 RELAYED_PROBE_LIFETIME_S = 5.0
-MAX_PATIENCE = 8.0
+MAX_TIMEOUT_FACTOR = 8.0
 """Most by which probes are slowed down: with probes every 0.5 s one goes out every 4 s then, which
 is still within the time in which the largest fleets measured are probed once (195 nodes)."""
-PATIENCE_GROWTH = 2.0
+TIMEOUT_FACTOR_GROWTH = 2.0
 """Factor by which a late reply lengthens patience."""
-PATIENCE_DECAY = 0.8
+TIMEOUT_FACTOR_DECAY = 0.8
 """Factor by which an early reply shortens it: three undo one late reply, so that a fleet that is
 barely quick enough does not swing between the two."""
 EARLY_SHARE = 0.5
 """Part of the time-out within which a reply is early, so that it is in time after a decay too."""
-REMEMBERED_PROBES = 16
+REMEMBERED_ABANDONED_PROBES = 16
 """Probes given up whose replies are still known as late: two each second for MAX_PATIENCE."""
 
 Send = Callable[[Endpoint, Datagram, tuple[Member, ...]], None]
@@ -67,62 +67,66 @@
         table: MemberTable,
         timing: MembershipSettings,
         send: Send,
-        head: Callable[[], dict[str, str | int]],
-        chance: random.Random,
+        header_fields: Callable[[], dict[str, str | int]],
+        random_source: random.Random,
     ) -> None:
         self._table = table
         self._timing = timing
         self._send = send
-        self._head = head
-        self._random = chance
-        self._order: list[str] = []
+        self._header_fields = header_fields
+        self._random = random_source
+        self._probe_order: list[str] = []
         self._replies: dict[int, threading.Event] = {}
-        self._given_up: deque[int] = deque(maxlen=REMEMBERED_PROBES)
-        self._patience = 1.0
+        self._abandoned: deque[int] = deque(maxlen=REMEMBERED_ABANDONED_PROBES)
+        self._timeout_factor = 1.0
         self._relayed: dict[int, _RelayedProbe] = {}
         self._sequence = 0
         self._sequence_lock = threading.Lock()
-        self._last_round = boot_clock.now()
+        self._last_round_at = boot_clock.now()
 
     @property
-    def patience(self) -> float:
+    def timeout_factor(self) -> float:
         """By how much probes are slowed down and time-outs are longer now; 1 in a calm fleet."""
-        return self._patience
+        return self._timeout_factor
 
     def probe_next(self) -> Member | None:
         """Probe the next peer for one period; return its record if it is newly suspect."""
-        target = self._next_target()
+        target = self._next_peer()
         if target is None:
             return None
         began = boot_clock.now()
         if self._is_answered(target):
             return None
-        took_s = boot_clock.now() - began
-        if took_s > self._longest_round_s() + PAUSE_THRESHOLD_S:
+        elapsed_s = boot_clock.now() - began
+        if elapsed_s > self._max_round_s() + PROCESS_PAUSE_S:
             return None  # This process was paused; the reply may wait unread in its socket.
         return self._table.suspect(target.name)
 
-    def bury_suspects(self) -> list[Member]:
+    def expire_suspects(self) -> list[Member]:
         """Mark as dead who did not refute in time; return their records."""
         now = boot_clock.now()
-        pause_s = now - self._last_round - self._longest_round_s()
-        self._last_round = now
-        if pause_s > PAUSE_THRESHOLD_S:
+        pause_s = now - self._last_round_at - self._max_round_s()
+        self._last_round_at = now
+        if pause_s > PROCESS_PAUSE_S:
             # This process was paused: its suspects had no chance to be heard.
             self._table.postpone_suspicions(pause_s)
-        return self._table.bury_suspects(self._timing.suspicion_s * self._patience)
+        return self._table.expire_suspects(self._timing.suspicion_s * self._timeout_factor)
 
     def on_reply(self, reply: ProbeReply) -> None:
         """Take a reply, which may belong to a probe made for another node."""
         answered = self._replies.get(reply.sequence)
         if answered is not None:
             answered.set()
-        elif reply.sequence in self._given_up:
-            self._given_up.remove(reply.sequence)
-            self._patience = min(MAX_PATIENCE, PATIENCE_GROWTH * self._patience)
+        elif reply.sequence in self._abandoned:
+            self._abandoned.remove(reply.sequence)
+            self._timeout_factor = min(
+                MAX_TIMEOUT_FACTOR, TIMEOUT_FACTOR_GROWTH * self._timeout_factor
+            )
         relayed = self._relayed.pop(reply.sequence, None)
         if relayed is not None:
-            passed_on = ProbeReply(**self._head(), sequence=relayed.sequence, subject=reply.subject)
+            passed_on = ProbeReply(
+                **self._header_fields(), sequence=relayed.sequence, subject=reply.subject
+            )
             self._send(relayed.asker, passed_on, ())
 
     def relay(self, request: ProbeRequest, asker: Endpoint) -> None:
@@ -137,7 +141,7 @@
         sequence = self._next_sequence()
         expires = now + RELAYED_PROBE_LIFETIME_S
         self._relayed[sequence] = _RelayedProbe(asker, request.sequence, expires)
-        self._send(request.target, Probe(**self._head(), sequence=sequence), ())
+        self._send(request.target, Probe(**self._header_fields(), sequence=sequence), ())
 
     def _is_answered(self, target: Member) -> bool:
         sequence = self._next_sequence()
@@ -145,18 +149,18 @@
         self._replies[sequence] = answered
         # A suspect is shown its record, so that it can refute it.
         shown = (target,) if target.state is MemberState.SUSPECT else ()
-        timeout_s = self._timing.probe_timeout_s * self._patience
+        timeout_s = self._timing.probe_timeout_s * self._timeout_factor
         try:
-            self._send(target.peer, Probe(**self._head(), sequence=sequence), shown)
+            self._send(target.peer, Probe(**self._header_fields(), sequence=sequence), shown)
             if answered.wait(EARLY_SHARE * timeout_s):
-                self._patience = max(1.0, PATIENCE_DECAY * self._patience)
+                self._timeout_factor = max(1.0, TIMEOUT_FACTOR_DECAY * self._timeout_factor)
                 return True
             if answered.wait((1.0 - EARLY_SHARE) * timeout_s):
                 return True
             self._probe_indirectly(target, sequence)
             if answered.wait(self._indirect_timeout_s()):
                 return True
-            self._given_up.append(sequence)
+            self._abandoned.append(sequence)
             return False
         finally:
             del self._replies[sequence]
@@ -168,29 +172,29 @@
             if member.name != target.name and member.state is not MemberState.SUSPECT
         ]
         for helper in self._random.sample(helpers, min(INDIRECT_PROBES, len(helpers))):
-            request = ProbeRequest(**self._head(), sequence=sequence, target=target.peer)
+            request = ProbeRequest(**self._header_fields(), sequence=sequence, target=target.peer)
             self._send(helper.peer, request, ())
 
-    def _next_target(self) -> Member | None:
+    def _next_peer(self) -> Member | None:
         """Return the next member of a shuffled round over all."""
         while True:
-            if not self._order:
-                self._order = [member.name for member in self._table.peers()]
-                self._random.shuffle(self._order)
-                if not self._order:
+            if not self._probe_order:
+                self._probe_order = [member.name for member in self._table.peers()]
+                self._random.shuffle(self._probe_order)
+                if not self._probe_order:
                     return None
-            member = self._table.get(self._order.pop())
+            member = self._table.get(self._probe_order.pop())
             if member is not None and member.state is not MemberState.DEAD:
                 return member
 
     def _indirect_timeout_s(self) -> float:
         remaining_s = self._timing.probe_interval_s - self._timing.probe_timeout_s
-        return max(remaining_s, self._timing.probe_timeout_s) * self._patience
+        return max(remaining_s, self._timing.probe_timeout_s) * self._timeout_factor
 
-    def _longest_round_s(self) -> float:
+    def _max_round_s(self) -> float:
         """Return how long one probe and the pause after it may take."""
-        direct_s = self._timing.probe_timeout_s * self._patience
-        interval_s = self._timing.probe_interval_s * self._patience
+        direct_s = self._timing.probe_timeout_s * self._timeout_factor
+        interval_s = self._timing.probe_interval_s * self._timeout_factor
         return max(direct_s + self._indirect_timeout_s(), interval_s)
 
     def _next_sequence(self) -> int:
--- a/src/quaymill/process/membership/member_socket.py
+++ b/src/quaymill/process/membership/member_socket.py
@@ -14,7 +14,7 @@
 from quaymill.process.membership.messages import Datagram, decode_datagram, encode_datagram
 
 RECEIVE_BUFFER_BYTES = 4 * 1024 * 1024
-LARGEST_DATAGRAM_BYTES = 65536
+RECEIVE_BYTES = 65536
 STOP_TIMEOUT_S = 5.0
 
 Receiver = Callable[[Datagram, Endpoint], None]
@@ -79,7 +79,7 @@
     def _receive(self, receiver: Receiver) -> None:
         while not self._stopping:
             try:
-                line, address = self._socket.recvfrom(LARGEST_DATAGRAM_BYTES)
+                line, address = self._socket.recvfrom(RECEIVE_BYTES)
             except OSError:
                 continue  # A peer that is gone shows as an error on the socket now and then.
             datagram = decode_datagram(line)
--- a/src/quaymill/process/membership/member_table.py
+++ b/src/quaymill/process/membership/member_table.py
@@ -88,49 +88,49 @@
         with self._lock:
             if record.name == self._local_name:
                 return self._refute(record)
-            held = self._members.get(record.name)
-            if held is not None and not _is_newer(record, held):
-                self._raise_versions(held, record)
+            known = self._members.get(record.name)
+            if known is not None and not _is_newer(record, known):
+                self._raise_versions(known, record)
                 return None
-            if held is not None and record.incarnation == held.incarnation:
-                record = _with_versions(record, held)
+            if known is not None and record.incarnation == known.incarnation:
+                record = _with_versions(record, known)
             self._put(record)
             return record
 
-    def heard_from(self, name: str, incarnation: int, generation: int, machines: int) -> None:
+    def record_versions(self, name: str, incarnation: int, generation: int, machines: int) -> None:
         """Take the versions that a member told in the head of a datagram."""
         with self._lock:
-            held = self._members.get(name)
-            if held is None or name == self._local_name or held.incarnation != incarnation:
+            known = self._members.get(name)
+            if known is None or name == self._local_name or known.incarnation != incarnation:
                 return
             if (generation, machines) == (
-                held.configuration_generation,
-                held.machine_list_version,
+                known.configuration_generation,
+                known.machine_list_version,
             ):
                 return
-            told = msgspec.structs.replace(
-                held, configuration_generation=generation, machine_list_version=machines
+            reported = msgspec.structs.replace(
+                known, configuration_generation=generation, machine_list_version=machines
             )
-            self._raise_versions(held, told)
+            self._raise_versions(known, reported)
 
     def suspect(self, name: str) -> Member | None:
         """Mark an answerless member; return its record if the mark is new."""
-        held = self._members.get(name)
-        if held is None or held.state not in (MemberState.ALIVE, MemberState.DRAINING):
+        known = self._members.get(name)
+        if known is None or known.state not in (MemberState.ALIVE, MemberState.DRAINING):
             return None
-        return self.merge(msgspec.structs.replace(held, state=MemberState.SUSPECT))
+        return self.merge(msgspec.structs.replace(known, state=MemberState.SUSPECT))
 
-    def bury_suspects(self, suspicion_s: float) -> list[Member]:
+    def expire_suspects(self, suspicion_s: float) -> list[Member]:
         """Mark as dead who has been suspect for ``suspicion_s``; return their records."""
         deadline = boot_clock.now() - suspicion_s
         with self._lock:
             names = [name for name, since in self._suspect_since.items() if since <= deadline]
-            buried = []
+            newly_dead = []
             for name in names:
                 record = msgspec.structs.replace(self._members[name], state=MemberState.DEAD)
                 self._put(record)
-                buried.append(record)
-        return buried
+                newly_dead.append(record)
+        return newly_dead
 
     def postpone_suspicions(self, seconds: float) -> None:
         """Give every suspect more time, after this process itself was paused."""
@@ -166,23 +166,23 @@
     def _refute(self, record: Member) -> Member | None:
         """Answer what is said of this node; the caller holds the lock."""
         local = self._members[self._local_name]
-        said_ill = record.state in (MemberState.SUSPECT, MemberState.DEAD)
+        reported_failed = record.state in (MemberState.SUSPECT, MemberState.DEAD)
         if record.incarnation < local.incarnation:
             # Said of a former process of this node: who says so does not know the present one.
             # Unanswered, a member that restarted stayed unknown to some for 10 s in 1 of 27 runs.
-            return local if said_ill else None
-        if record.incarnation == local.incarnation and not said_ill:
+            return local if reported_failed else None
+        if record.incarnation == local.incarnation and not reported_failed:
             return None
         local = msgspec.structs.replace(local, incarnation=record.incarnation + 1)
         self._members[self._local_name] = local
         self.revision += 1
         return local
 
-    def _raise_versions(self, held: Member, told: Member) -> None:
-        if told.incarnation == held.incarnation:
-            raised = _with_versions(held, told)
-            if raised != held:
-                self._members[held.name] = raised
+    def _raise_versions(self, known: Member, reported: Member) -> None:
+        if reported.incarnation == known.incarnation:
+            updated = _with_versions(known, reported)
+            if updated != known:
+                self._members[known.name] = updated
                 self.revision += 1
 
     def _put(self, record: Member) -> None:
@@ -200,10 +200,10 @@
             self._dead_since.pop(record.name, None)
 
 
-def _is_newer(record: Member, held: Member) -> bool:
-    if record.incarnation != held.incarnation:
-        return record.incarnation > held.incarnation
-    return _PRECEDENCE[record.state] > _PRECEDENCE[held.state]
+def _is_newer(record: Member, known: Member) -> bool:
+    if record.incarnation != known.incarnation:
+        return record.incarnation > known.incarnation
+    return _PRECEDENCE[record.state] > _PRECEDENCE[known.state]
 
 
 def _with_versions(record: Member, other: Member) -> Member:
--- a/src/quaymill/process/membership/membership.py
+++ b/src/quaymill/process/membership/membership.py
@@ -50,7 +50,7 @@
 PROCESS_ID_BYTES = 4
 
 MAX_CONFIRMED_AGE_S = 60.0
-TOLD_SUSPENSION_S = 0.2
+MIN_LOGGED_SUSPENSION_S = 0.2
 """A suspension from which on a line is written; below it nothing runs out that others rely on."""
 
 Listener = Callable[[], None]
@@ -79,7 +79,7 @@
         self._timing = settings.membership
         self._random = random.Random(f"{settings.name}/{time.time_ns()}")
         self._table = MemberTable(_local_member(settings))
-        self._news = Dissemination()
+        self._updates = Dissemination()
         self._seeds_lock = threading.Lock()
         self._seeds = {Endpoint.parse(seed) for seed in settings.seeds}
         self._seeds.discard(settings.peer_endpoint)
@@ -88,18 +88,20 @@
         self._confirmed_at: float | None = None
         self._crash_digest = 0
         self._crash_listener: CrashListener | None = None
-        self._word_listener: DatagramListener | None = None
+        self._datagram_listener: DatagramListener | None = None
         self._corrected_at_by_name: dict[str, float] = {}
-        self._told_lock = threading.Lock()
-        self._told_states: dict[str, tuple[MemberState, str]] = {}
+        self._logged_lock = threading.Lock()
+        self._logged_states: dict[str, tuple[MemberState, str]] = {}
         self._suspended_s = boot_clock.suspended_s()
         self._stopping = threading.Event()
         self._prober: threading.Thread | None = None
         self._socket = MemberSocket(settings.peer_endpoint, link_filter or LinkFilter())
         self._detector = FailureDetector(
-            self._table, self._timing, self._send, self._head, self._random
+            self._table, self._timing, self._send, self._header_fields, self._random
+        )
+        self._synchronisation = Synchronisation(
+            self._table, self._socket, self._header_fields, self._random
         )
-        self._synchronisation = Synchronisation(self._table, self._socket, self._head, self._random)
 
     @property
     def traffic(self) -> Traffic:
@@ -155,17 +157,17 @@
 
     def on_datagram(self, listener: DatagramListener) -> None:
         """Call ``listener`` with the sender's name of each datagram; it must not block."""
-        self._word_listener = listener
+        self._datagram_listener = listener
 
     @property
-    def patience(self) -> float:
+    def timeout_factor(self) -> float:
         """By how much answers to probes are waited for longer now; 1 in a calm fleet."""
-        return self._detector.patience
+        return self._detector.timeout_factor
 
-    def ask(self, members: Iterable[Member]) -> None:
+    def probe(self, members: Iterable[Member]) -> None:
         """Probe these members beside the usual probes; a listener hears of their replies."""
         for member in members:
-            self._send(member.peer, Probe(**self._head(), sequence=UNAWAITED_SEQUENCE))
+            self._send(member.peer, Probe(**self._header_fields(), sequence=UNAWAITED_SEQUENCE))
 
     def tell_crash_digest(self, digest: int) -> None:
         """Tell others with each datagram the digest of the crashes known here."""
@@ -184,7 +186,7 @@
     def tell(self, members: Iterable[Member]) -> None:
         """Send a notice to these members at once."""
         for member in members:
-            self._send(member.peer, Notice(**self._head()))
+            self._send(member.peer, Notice(**self._header_fields()))
 
     def add_seeds(self, endpoints: Iterable[Endpoint]) -> None:
         """Add nodes to join through, such as those of the machine list."""
@@ -197,9 +199,9 @@
         local = self._table.update_local(
             state=MemberState.DRAINING, draining=True, incarnation=self.local().incarnation + 1
         )
-        self._news.add(local)
-        self._notify(DRAINING_FANOUT)
-        self._tell_listeners()
+        self._updates.add(local)
+        self._notify_peers(DRAINING_FANOUT)
+        self._notify_listeners()
 
     def publish(
         self, configuration_generation: int | None = None, machine_list_version: int | None = None
@@ -211,29 +213,31 @@
         if machine_list_version is not None:
             fields["machine_list_version"] = machine_list_version
         self._table.update_local(**fields)
-        self._notify(NOTICE_FANOUT)
+        self._notify_peers(NOTICE_FANOUT)
 
     def _handle(self, datagram: Datagram, source: Endpoint) -> None:
         """Take one datagram; runs on the receiving thread."""
-        if self._word_listener is not None:
-            self._word_listener(datagram.sender)
+        if self._datagram_listener is not None:
+            self._datagram_listener(datagram.sender)
         revision = self._table.revision
         for record in datagram.records:
-            news = self._table.merge(record.member())
+            update = self._table.merge(record.member())
             # What a comparison brings is passed on by comparisons; only what its own member
             # says, and what a probe found, is worth a datagram of each node.
-            if news is not None and (
-                not isinstance(datagram, SyncAnswer) or news.name == self.local().name
+            if update is not None and (
+                not isinstance(datagram, SyncAnswer) or update.name == self.local().name
             ):
-                self._news.add(news)
-        self._table.heard_from(
+                self._updates.add(update)
+        self._table.record_versions(
             datagram.sender, datagram.incarnation, datagram.generation, datagram.machines
         )
-        self._take_head(datagram)
+        self._handle_header(datagram)
         match datagram:
             case Probe():
                 name = self.local().name
-                reply = ProbeReply(**self._head(), sequence=datagram.sequence, subject=name)
+                reply = ProbeReply(
+                    **self._header_fields(), sequence=datagram.sequence, subject=name
+                )
                 self._send(source, reply)
             case ProbeReply():
                 self._detector.on_reply(datagram)
@@ -245,9 +249,9 @@
                 self._synchronisation.send_records(source, frozenset(datagram.wanted))
         self._correct_sender(datagram, source)
         if self._table.revision != revision:
-            self._tell_listeners()
+            self._notify_listeners()
 
-    def _take_head(self, datagram: Datagram) -> None:
+    def _handle_header(self, datagram: Datagram) -> None:
         """Pass on what every datagram tells of its sender."""
         if datagram.confirmed_ms_ago >= 0 and self._confirmation_listener is not None:
             at = boot_clock.now() - datagram.confirmed_ms_ago / 1000
@@ -259,8 +263,8 @@
         """Introduce this node to a stranger, and tell a node that it is held for dead."""
         if isinstance(datagram, SyncAnswer):
             return
-        held = self._table.get(datagram.sender)
-        if held is not None and held.state is not MemberState.DEAD:
+        known = self._table.get(datagram.sender)
+        if known is not None and known.state is not MemberState.DEAD:
             return
         # Two nodes that hold each other for dead would else answer each notice with another.
         now = boot_clock.now()
@@ -270,10 +274,10 @@
         ):
             return
         self._corrected_at_by_name[datagram.sender] = now
-        if held is None:
+        if known is None:
             self._synchronisation.begin(source)
         else:
-            self._send(source, Notice(**self._head()), shown=(held,))
+            self._send(source, Notice(**self._header_fields()), shown=(known,))
 
     def _probe_loop(self) -> None:
         interval_s = self._timing.probe_interval_s
@@ -282,7 +286,7 @@
         next_rejoin = next_probe
         while not self._stopping.is_set():
             now = boot_clock.now()
-            self._note_suspension()
+            self._log_suspension()
             if now >= next_rejoin:
                 self._rejoin()
                 next_rejoin = now + self._timing.rejoin_interval_s * self._random.uniform(0.8, 1.2)
@@ -290,11 +294,11 @@
                 self._sync_with_one()
                 next_sync = now + SYNC_INTERVAL_S * self._random.uniform(0.8, 1.2)
             self._probe_once()
-            pause_s = interval_s * self._detector.patience
+            pause_s = interval_s * self._detector.timeout_factor
             next_probe = max(next_probe + pause_s, boot_clock.now() - interval_s)
             self._stopping.wait(max(next_probe - boot_clock.now(), 0.0))
 
-    def _note_suspension(self) -> None:
+    def _log_suspension(self) -> None:
         """Write a line if the machine was suspended since the last look.
 
         Nothing else is to be done: whatever may have run out meanwhile is measured by the clock
@@ -302,35 +306,38 @@
         """
         suspended_s = boot_clock.suspended_s()
         for_s = suspended_s - self._suspended_s
-        if for_s >= TOLD_SUSPENSION_S:
+        if for_s >= MIN_LOGGED_SUSPENSION_S:
             self._suspended_s = suspended_s
             log_message("node:suspended", for_s=round(for_s, 3))
 
     def _probe_once(self) -> None:
         suspect = self._detector.probe_next()
-        buried = self._detector.bury_suspects()
+        newly_dead = self._detector.expire_suspects()
         self._table.forget_dead()
-        for record in buried:
+        for record in newly_dead:
             log_message("membership:dead", node=record.name, zone=record.zone)
-        changed = [*buried] if suspect is None else [suspect, *buried]
+        changed = [*newly_dead] if suspect is None else [suspect, *newly_dead]
         for record in changed:
-            self._news.add(record)
+            self._updates.add(record)
         if changed:
-            self._tell_listeners()
+            self._notify_listeners()
 
     def _log_changes(self) -> None:
         """Write a line for each member that this node sees in another state than before."""
-        with self._told_lock:
+        with self._logged_lock:
             for member in self._table.all():
-                told = (_shown_state(member), member.process_id)
-                if self._told_states.get(member.name) == told or member.name == self.local().name:
+                state_and_process = (_logged_state(member), member.process_id)
+                if (
+                    self._logged_states.get(member.name) == state_and_process
+                    or member.name == self.local().name
+                ):
                     continue
-                self._told_states[member.name] = told
+                self._logged_states[member.name] = state_and_process
                 log_message(
                     "membership:member",
                     member=member.name,
                     zone=member.zone,
-                    state=told[0].value,
+                    state=state_and_process[0].value,
                     process=member.process_id,
                 )
 
@@ -342,29 +349,29 @@
         """
         until = boot_clock.now() + self._timing.join_period_s
         while boot_clock.now() < until and not self._stopping.wait(JOIN_INTERVAL_S):
-            for seed in self._strange_seeds():
+            for seed in self._unknown_seeds():
                 self._synchronisation.begin(seed)
             self._sync_with_one()
 
-    def _strange_seeds(self) -> set[Endpoint]:
+    def _unknown_seeds(self) -> set[Endpoint]:
         """Return the seeds that are no members here."""
-        known = {member.peer for member in self._table.peers()}
+        member_endpoints = {member.peer for member in self._table.peers()}
         with self._seeds_lock:
-            return {seed for seed in self._seeds if seed not in known}
+            return {seed for seed in self._seeds if seed not in member_endpoints}
 
     def _rejoin(self) -> None:
         """Greet a seed that is not a member, or a dead member: it may be back, or reachable."""
-        strangers = self._strange_seeds()
-        strangers.update(member.peer for member in self._table.dead())
-        if strangers:
-            self._synchronisation.begin(self._random.choice(sorted(strangers)))
+        targets = self._unknown_seeds()
+        targets.update(member.peer for member in self._table.dead())
+        if targets:
+            self._synchronisation.begin(self._random.choice(sorted(targets)))
 
     def _sync_with_one(self) -> None:
         peers = self._table.peers()
         if peers:
             self._synchronisation.begin(self._random.choice(peers).peer)
 
-    def _notify(self, fanout: int) -> None:
+    def _notify_peers(self, fanout: int) -> None:
         """Send news at once to some random peers and to the readers of this zone."""
         peers = self._table.peers()
         chosen = {member.name: member for member in reader_nodes(peers, self.local().zone)}
@@ -372,7 +379,7 @@
             chosen[member.name] = member
         self.tell(chosen.values())
 
-    def _head(self) -> dict[str, str | int]:
+    def _header_fields(self) -> dict[str, str | int]:
         local = self._table.local()
         age_s = self.confirmed_age_s()
         return {
@@ -387,21 +394,21 @@
     def _send(self, target: Endpoint, datagram: Datagram, shown: tuple[Member, ...] = ()) -> None:
         """Send a datagram with the records ``shown``, filled with news as far as there is room."""
         datagram.records = tuple(MemberRecord.of(record) for record in shown)
-        room = MAX_DATAGRAM_BYTES - len(encode_datagram(datagram))
+        remaining_bytes = MAX_DATAGRAM_BYTES - len(encode_datagram(datagram))
         names = {record.name for record in shown}
-        news = self._news.take(room, len(self._table.all()))
+        updates = self._updates.take(remaining_bytes, len(self._table.all()))
         datagram.records += tuple(
-            MemberRecord.of(record) for record in news if record.name not in names
+            MemberRecord.of(record) for record in updates if record.name not in names
         )
         self._socket.send(target, datagram)
 
-    def _tell_listeners(self) -> None:
+    def _notify_listeners(self) -> None:
         self._log_changes()
         for listener in self._listeners:
             listener()
 
 
-def _shown_state(member: Member) -> MemberState:
+def _logged_state(member: Member) -> MemberState:
     return MemberState.DRAINING if member.draining else member.state
 
 
--- a/src/quaymill/process/membership/ranking.py
+++ b/src/quaymill/process/membership/ranking.py
@@ -12,7 +12,7 @@
 from quaymill.connection.member import Member
 
 READERS_PER_ZONE = 2
-MIN_STRONGEST = 3
+MIN_STRONGEST_MEMBERS = 3
 """Strong nodes among which work for all others is shared out at least: two may be lost at once."""
 STRONGEST_SHARE = 1 / 16
 """Part of the nodes that are strong enough for such work at least. Of 165 gateways 15 had 2.15
@@ -44,12 +44,12 @@
     for.
     """
     ranked = rank_nodes(key, members)
-    turn_by_name: dict[str, int] = {}
-    taken_by_zone: Counter[str] = Counter()
+    round_by_name: dict[str, int] = {}
+    rounds_by_zone: Counter[str] = Counter()
     for member in ranked:
-        turn_by_name[member.name] = taken_by_zone[member.zone]
-        taken_by_zone[member.zone] += 1
-    return tuple(sorted(ranked, key=lambda member: turn_by_name[member.name]))
+        round_by_name[member.name] = rounds_by_zone[member.zone]
+        rounds_by_zone[member.zone] += 1
+    return tuple(sorted(ranked, key=lambda member: round_by_name[member.name]))
 
 
 def strongest(members: Iterable[Member]) -> tuple[Member, ...]:
@@ -63,9 +63,9 @@
     if not members:
         return ()
     by_cores = sorted((member.cores for member in members), reverse=True)
-    few = max(MIN_STRONGEST, math.ceil(STRONGEST_SHARE * len(members)))
-    least = max(statistics.median(by_cores), by_cores[min(few, len(members)) - 1])
-    return tuple(member for member in members if member.cores >= least)
+    considered = max(MIN_STRONGEST_MEMBERS, math.ceil(STRONGEST_SHARE * len(members)))
+    min_cores = max(statistics.median(by_cores), by_cores[min(considered, len(members)) - 1])
+    return tuple(member for member in members if member.cores >= min_cores)
 
 
 def reader_nodes(members: Iterable[Member], zone: str) -> tuple[Member, ...]:
--- a/src/quaymill/process/membership/synchronisation.py
+++ b/src/quaymill/process/membership/synchronisation.py
@@ -31,17 +31,17 @@
         self,
         table: MemberTable,
         member_socket: MemberSocket,
-        head: Callable[[], dict[str, str | int]],
-        chance: random.Random,
+        header_fields: Callable[[], dict[str, str | int]],
+        random_source: random.Random,
     ) -> None:
         self._table = table
         self._socket = member_socket
-        self._head = head
-        self._random = chance
+        self._header_fields = header_fields
+        self._random = random_source
 
     def begin(self, target: Endpoint) -> None:
         """Show another node the digests of this one's table, and who this one is."""
-        sync = Sync(**self._head(), digests=self._table.digests())
+        sync = Sync(**self._header_fields(), digests=self._table.digests())
         sync.records = (MemberRecord.of(self._table.local()),)
         self._socket.send(target, sync)
 
@@ -59,7 +59,7 @@
         batches = self._batches(buckets, wanted)[:MAX_SYNC_DATAGRAMS]
         for index, batch in enumerate(batches):
             last = index == len(batches) - 1
-            answer = SyncAnswer(**self._head(), wanted=wanted if last else ())
+            answer = SyncAnswer(**self._header_fields(), wanted=wanted if last else ())
             answer.records = tuple(MemberRecord.of(member) for member in batch)
             self._socket.send(target, answer)
 
@@ -67,15 +67,15 @@
         """Share records out over datagrams."""
         members = self._table.in_buckets(buckets)
         self._random.shuffle(members)  # What does not fit now comes with a later exchange.
-        empty = SyncAnswer(**self._head(), wanted=wanted)
-        capacity = MAX_DATAGRAM_BYTES - len(encode_datagram(empty))
+        empty = SyncAnswer(**self._header_fields(), wanted=wanted)
+        capacity_bytes = MAX_DATAGRAM_BYTES - len(encode_datagram(empty))
         batches: list[list[Member]] = [[]]
-        room = capacity
+        remaining_bytes = capacity_bytes
         for member in members:
             size = encoded_size(member)
-            if size > room:
+            if size > remaining_bytes:
                 batches.append([])
-                room = capacity
+                remaining_bytes = capacity_bytes
             batches[-1].append(member)
-            room -= size
+            remaining_bytes -= size
         return batches
--- a/src/quaymill/process/membership/zone_reachability.py
+++ b/src/quaymill/process/membership/zone_reachability.py
@@ -26,38 +26,38 @@
 from quaymill.connection.replica_entry import ReplicaEntry
 
 CHECK_INTERVAL_S = 0.05
-ASK_AFTER_S = 0.03
+PEER_PROBE_AFTER_S = 0.03
 """Silence of a peer that was called after which its zone is asked: several times what an answer
 takes with nothing in its way. To ask for nothing costs a few datagrams."""
-REPLICA_ASK_AFTER_S = 0.1
+REPLICA_PROBE_AFTER_S = 0.1
 """The same of a replica, where the first byte takes tens of milliseconds with nothing wrong."""
-ASK_AGAIN_AFTER_S = 0.25
+REPROBE_AFTER_S = 0.25
 """Silence of a zone after which it is asked while something waits there that had begun before the
 last word: what it waits for may take its time, or the zone was cut off just then."""
 SILENT_AFTER_S = 0.1
 """Silence from which on a peer that was asked counts as silent. With the time until it is asked,
 a request that waits in vain goes elsewhere within callers' shortest objective (0.3 s)."""
-MIN_SILENT_PEERS = 3
+REQUIRED_SILENT_PEERS = 3
 """Different peers that must be silent, all of a smaller zone: two machines may fail at once."""
-LEAST_SILENT_PEERS = 2
+MIN_REQUIRED_SILENT_PEERS = 2
 """A zone with fewer peers is never judged: one silent machine says nothing of its zone."""
-PEERS_ASKED_AT_ONCE = 3
-ASK_UNREACHABLE_S = 0.25
+PEERS_PROBED_AT_ONCE = 3
+UNREACHABLE_PROBE_INTERVAL_S = 0.25
 """Time between two questions to a zone that cannot be reached."""
-FORGET_S = 2.0
+UNANSWERED_RETENTION_S = 2.0
 """How long a call that ended without an answer counts."""
 FAST_FAILURE_S = 0.02
 """A call that fails sooner was refused by a machine that is reached, or not sent at all."""
-HELD_UP_S = 0.1
+PROCESS_PAUSE_S = 0.1
 """Lateness of a check from which on this process itself was held up: what waited for an answer
 meanwhile may have it unread."""
 
 
-class Verdict(enum.Enum):
+class Reachability(enum.Enum):
     """What is known of a zone."""
 
-    CALM = enum.auto()
-    ASK = enum.auto()
+    REACHABLE = enum.auto()
+    UNCERTAIN = enum.auto()
     UNREACHABLE = enum.auto()
 
 
@@ -80,20 +80,20 @@
 
     heard_at: float
     peers: int
-    peers_owe_since: Collection[float] = ()
-    replicas_owe_since: Collection[float] = ()
-    asked_at: Mapping[str, float] = attrs.field(factory=dict)
+    peer_calls_since: Collection[float] = ()
+    replicas_silent_since: Collection[float] = ()
+    probed_at: Mapping[str, float] = attrs.field(factory=dict)
 
     def silent(self, now: float, silent_after_s: float) -> tuple[str, ...]:
         """Return the peers that were asked, with nothing heard from the zone since."""
         return tuple(
             name
-            for name, at in self.asked_at.items()
+            for name, at in self.probed_at.items()
             if at > self.heard_at and now - at >= silent_after_s
         )
 
 
-def judge(evidence: Evidence, now: float, silent_after_s: float = SILENT_AFTER_S) -> Verdict:
+def assess(evidence: Evidence, now: float, silent_after_s: float = SILENT_AFTER_S) -> Reachability:
     """Return what is known of another zone.
 
     Parameters
@@ -103,46 +103,50 @@
     """
     heard_at = evidence.heard_at
     if not evidence.peers:
-        return _judge_by_replicas(evidence, now)
-    needed = max(LEAST_SILENT_PEERS, min(MIN_SILENT_PEERS, evidence.peers))
+        return _assess_by_replicas(evidence, now)
+    needed = max(MIN_REQUIRED_SILENT_PEERS, min(REQUIRED_SILENT_PEERS, evidence.peers))
     if len(evidence.silent(now, silent_after_s)) >= needed:
-        return Verdict.UNREACHABLE
+        return Reachability.UNREACHABLE
     waiting = (
-        (evidence.peers_owe_since, ASK_AFTER_S),
-        (evidence.replicas_owe_since, REPLICA_ASK_AFTER_S),
+        (evidence.peer_calls_since, PEER_PROBE_AFTER_S),
+        (evidence.replicas_silent_since, REPLICA_PROBE_AFTER_S),
     )
-    late = any(
-        _is_overdue(since, heard_at, now, patience_s)
-        for owe_since, patience_s in waiting
-        for since in owe_since
+    overdue = any(
+        _is_overdue(since, heard_at, now, probe_after_s)
+        for pending_since, probe_after_s in waiting
+        for since in pending_since
     )
-    asked = any(at > heard_at for at in evidence.asked_at.values())
-    return Verdict.ASK if late or asked else Verdict.CALM
+    probed = any(at > heard_at for at in evidence.probed_at.values())
+    return Reachability.UNCERTAIN if overdue or probed else Reachability.REACHABLE
 
 
-def _judge_by_replicas(evidence: Evidence, now: float) -> Verdict:
+def _assess_by_replicas(evidence: Evidence, now: float) -> Reachability:
     """Return what is known of a zone all of whose members are dead: its replicas may live."""
     silent = [
         since
-        for since in evidence.replicas_owe_since
-        if since > evidence.heard_at and now - since >= REPLICA_ASK_AFTER_S
+        for since in evidence.replicas_silent_since
+        if since > evidence.heard_at and now - since >= REPLICA_PROBE_AFTER_S
     ]
-    return Verdict.UNREACHABLE if len(silent) >= LEAST_SILENT_PEERS else Verdict.CALM
+    return (
+        Reachability.UNREACHABLE
+        if len(silent) >= MIN_REQUIRED_SILENT_PEERS
+        else Reachability.REACHABLE
+    )
 
 
-def _is_overdue(since: float, heard_at: float, now: float, patience_s: float) -> bool:
+def _is_overdue(since: float, heard_at: float, now: float, probe_after_s: float) -> bool:
     """Return whether what is owed since then is reason to ask the zone for a word."""
     if since > heard_at:
-        return now - since >= patience_s
+        return now - since >= probe_after_s
     # The zone has spoken meanwhile: this one answer may just take long.
-    return now - heard_at >= ASK_AGAIN_AFTER_S
+    return now - heard_at >= REPROBE_AFTER_S
 
 
 class MembershipLink(Protocol):
     """What is needed of the membership."""
 
     @property
-    def patience(self) -> float:
+    def timeout_factor(self) -> float:
         """By how much answers are waited for longer now; 1 in a calm fleet."""
 
     def members(self) -> tuple[Member, ...]:
@@ -154,7 +158,7 @@
     def on_datagram(self, listener: Callable[[str], None]) -> None:
         """Call ``listener`` with the name of each sender of a datagram."""
 
-    def ask(self, members: Iterable[Member]) -> None:
+    def probe(self, members: Iterable[Member]) -> None:
         """Ask members for a word."""
 
 
@@ -192,18 +196,18 @@
 
     members: tuple[Member, ...] = ()
     heard_at: float = -math.inf
-    asked_at_by_name: dict[str, float] = attrs.field(factory=dict)
-    lost_at: float = 0.0
-    asked_at: float = -math.inf
+    probed_at_by_name: dict[str, float] = attrs.field(factory=dict)
+    unreachable_since: float = 0.0
+    probed_at: float = -math.inf
 
-    def expected(self) -> list[Member]:
+    def live_members(self) -> list[Member]:
         """Return the members that should answer: those that are not held for dead."""
         return [member for member in self.members if member.state is not MemberState.DEAD]
 
-    def forget_answered(self) -> None:
+    def discard_answered_probes(self) -> None:
         """Forget what was asked before the zone was heard last."""
-        if any(at <= self.heard_at for at in self.asked_at_by_name.values()):
-            self.asked_at_by_name.clear()
+        if any(at <= self.heard_at for at in self.probed_at_by_name.values()):
+            self.probed_at_by_name.clear()
 
 
 class ZoneReachability:
@@ -218,8 +222,8 @@
         Where this process runs; it is always reachable.
     """
 
-    def __init__(self, own_zone: str, membership: MembershipLink) -> None:
-        self._own_zone = own_zone
+    def __init__(self, local_zone: str, membership: MembershipLink) -> None:
+        self._local_zone = local_zone
         self._membership = membership
         self._replicas: Callable[[], Iterable[WatchedReplica]] = tuple
         self._is_reached: Callable[[Endpoint], bool] = lambda endpoint: False
@@ -253,8 +257,8 @@
 
     def start(self) -> None:
         """Begin to tell which zones can be reached."""
-        self._membership.subscribe(self._note_members_changed)
-        self._membership.on_datagram(self._note_word)
+        self._membership.subscribe(self._on_members_changed)
+        self._membership.on_datagram(self._on_datagram)
         self._checked_at = boot_clock.now()
         threading.Thread(target=self._run, name="zone-reach", daemon=True).start()
 
@@ -297,16 +301,16 @@
         """Note what came of a call."""
         endpoint, began = self._open_calls.pop(token)
         if isinstance(reply, PeerMessage):
-            self._hear(self._members_by_endpoint.get(endpoint))
+            self._record_message(self._members_by_endpoint.get(endpoint))
         elif boot_clock.now() - began >= FAST_FAILURE_S:
             self._unanswered[endpoint] = began
 
     # What is heard otherwise.
 
-    def _note_word(self, name: str) -> None:
-        self._hear(self._members_by_name.get(name))
+    def _on_datagram(self, name: str) -> None:
+        self._record_message(self._members_by_name.get(name))
 
-    def _hear(self, member: Member | None) -> None:
+    def _record_message(self, member: Member | None) -> None:
         """Note a word of a member: its zone is reached, if it was not until now."""
         zone = None if member is None else self._zones.get(member.zone)
         if zone is None:
@@ -316,7 +320,7 @@
             with self._lock:
                 self._set_reachable(member.zone, member.name)
 
-    def _note_members_changed(self) -> None:
+    def _on_members_changed(self) -> None:
         self._members_changed = True
 
     # The check, on a thread of its own.
@@ -331,27 +335,27 @@
     def check(self) -> None:
         """Look at all that was heard and is owed, and decide."""
         now = boot_clock.now()
-        held_up = now - self._checked_at > CHECK_INTERVAL_S + HELD_UP_S
+        was_paused = now - self._checked_at > CHECK_INTERVAL_S + PROCESS_PAUSE_S
         self._checked_at = now
         with self._lock:
-            if held_up:
-                self._forget_questions()
+            if was_paused:
+                self._discard_probes()
                 return
             if self._members_changed:
-                self._take_members()
-            self._hear_replicas()
-            verdicts = {
+                self._update_members()
+            self._record_replica_responses()
+            statuses = {
                 name: self._check_zone(name, zone, now) for name, zone in self._zones.items()
             }
-            if Verdict.ASK in verdicts.values():
-                self._ask_all(verdicts, now)
+            if Reachability.UNCERTAIN in statuses.values():
+                self._probe_zones(statuses, now)
 
-    def _forget_questions(self) -> None:
+    def _discard_probes(self) -> None:
         """Begin anew: answers may have come while this process was held up, and lie unread."""
         for zone in self._zones.values():
-            zone.asked_at_by_name.clear()
+            zone.probed_at_by_name.clear()
 
-    def _take_members(self) -> None:
+    def _update_members(self) -> None:
         self._members_changed = False
         members = self._membership.members()
         self._members_by_name = {member.name: member for member in members}
@@ -360,48 +364,48 @@
         self._members_by_endpoint = {member.peer: member for member in dead_first}
         by_zone: dict[str, list[Member]] = {}
         for member in members:
-            if member.zone != self._own_zone:
+            if member.zone != self._local_zone:
                 by_zone.setdefault(member.zone, []).append(member)
-        for name, found in by_zone.items():
-            self._zones.setdefault(name, _Zone()).members = tuple(found)
+        for name, zone_members in by_zone.items():
+            self._zones.setdefault(name, _Zone()).members = tuple(zone_members)
         for name in self._zones.keys() - by_zone.keys():  # All its members have been forgotten.
             del self._zones[name]
             self._unreachable -= {name}
 
-    def _hear_replicas(self) -> None:
+    def _record_replica_responses(self) -> None:
         """Note by zone when something came from a replica last."""
         for replica in self._replicas():
             zone = self._zones.get(replica.zone)
             if zone is not None and replica.heard_at > zone.heard_at:
                 zone.heard_at = replica.heard_at
 
-    def _check_zone(self, name: str, zone: _Zone, now: float) -> Verdict:
+    def _check_zone(self, name: str, zone: _Zone, now: float) -> Reachability:
         if name in self._unreachable:
-            self._look_for(name, zone, now)
-            return Verdict.UNREACHABLE
-        zone.forget_answered()
+            self._recheck_unreachable(name, zone, now)
+            return Reachability.UNREACHABLE
+        zone.discard_answered_probes()
         evidence = self._evidence(name, zone, now)
-        silent_after_s = SILENT_AFTER_S * self._membership.patience
-        verdict = judge(evidence, now, silent_after_s)
-        if verdict is Verdict.UNREACHABLE:
+        silent_after_s = SILENT_AFTER_S * self._membership.timeout_factor
+        status = assess(evidence, now, silent_after_s)
+        if status is Reachability.UNREACHABLE:
             self._set_unreachable(name, zone, evidence, now, silent_after_s)
-        return verdict
+        return status
 
-    def _look_for(self, name: str, zone: _Zone, now: float) -> None:
+    def _recheck_unreachable(self, name: str, zone: _Zone, now: float) -> None:
         """Ask a zone that is not reached for a word, unless there was one."""
-        if zone.heard_at > zone.lost_at:
+        if zone.heard_at > zone.unreachable_since:
             self._set_reachable(name, "a replica")
-        elif now - zone.asked_at >= ASK_UNREACHABLE_S:
-            zone.asked_at = now
-            self._membership.ask([self._random.choice(zone.members)])
-            if not zone.expected():
+        elif now - zone.probed_at >= UNREACHABLE_PROBE_INTERVAL_S:
+            zone.probed_at = now
+            self._membership.probe([self._random.choice(zone.members)])
+            if not zone.live_members():
                 self._try_replica(name)
 
     def _try_replica(self, zone: str) -> None:
         """Try a connection to a replica of a zone whose members are dead, and may stay so."""
-        there = [replica for replica in self._replicas() if replica.zone == zone]
-        if there:
-            replica = self._random.choice(there)
+        in_zone = [replica for replica in self._replicas() if replica.zone == zone]
+        if in_zone:
+            replica = self._random.choice(in_zone)
             arguments = (zone, replica)
             threading.Thread(target=self._connect, args=arguments, daemon=True).start()
 
@@ -413,68 +417,72 @@
                 self._zones[zone].heard_at = boot_clock.now()
             self._set_reachable(zone, "a connection to a replica")
 
-    def _ask_all(self, verdicts: Mapping[str, Verdict], now: float) -> None:
+    def _probe_zones(self, statuses: Mapping[str, Reachability], now: float) -> None:
         """Ask the zones of which it is not known whether they are reached.
 
         One that is calm is asked too, if nothing was heard from it just now: where the own zone
         is cut off, a request that leaves one zone must not go on to another that is lost as well.
         """
-        for name, verdict in verdicts.items():
+        for name, status in statuses.items():
             zone = self._zones[name]
             quiet = now - zone.heard_at > CHECK_INTERVAL_S
-            if verdict is Verdict.ASK or (verdict is Verdict.CALM and quiet):
-                self._ask_some(zone, now)
+            if status is Reachability.UNCERTAIN or (status is Reachability.REACHABLE and quiet):
+                self._probe_some_members(zone, now)
 
     def _evidence(self, name: str, zone: _Zone, now: float) -> Evidence:
-        calls = [
-            since for one, since in self._calls(now, zone.heard_at) if self._zone_of(one) == name
+        call_starts = [
+            since
+            for one, since in self._calls_without_answer(now, zone.heard_at)
+            if self._zone_of(one) == name
         ]
-        owed = [replica.owes_since for replica in self._replicas() if replica.zone == name]
+        silent_since = [replica.owes_since for replica in self._replicas() if replica.zone == name]
         return Evidence(
             zone.heard_at,
-            len(zone.expected()),
-            calls,
-            [since for since in owed if since is not None],
-            zone.asked_at_by_name,
+            len(zone.live_members()),
+            call_starts,
+            [since for since in silent_since if since is not None],
+            zone.probed_at_by_name,
         )
 
     def _zone_of(self, endpoint: Endpoint) -> str:
         member = self._members_by_endpoint.get(endpoint)
         return "" if member is None else member.zone
 
-    def _calls(self, now: float, heard_at: float) -> list[tuple[Endpoint, float]]:
+    def _calls_without_answer(self, now: float, heard_at: float) -> list[tuple[Endpoint, float]]:
         """Return the calls that have no answer yet, and those since a word that got none."""
         for endpoint, began in list(self._unanswered.items()):
-            if now - began > FORGET_S:
+            if now - began > UNANSWERED_RETENTION_S:
                 del self._unanswered[endpoint]
         ended = [call for call in list(self._unanswered.items()) if call[1] > heard_at]
         return [*list(self._open_calls.values()), *ended]
 
-    def _ask_some(self, zone: _Zone, now: float) -> None:
+    def _probe_some_members(self, zone: _Zone, now: float) -> None:
         """Ask some peers of a zone that have not been asked since it was heard last."""
-        unasked = [member for member in zone.expected() if member.name not in zone.asked_at_by_name]
-        asked = self._random.sample(unasked, min(PEERS_ASKED_AT_ONCE, len(unasked)))
-        zone.asked_at_by_name.update({member.name: now for member in asked})
-        self._membership.ask(asked)
+        unprobed = [
+            member for member in zone.live_members() if member.name not in zone.probed_at_by_name
+        ]
+        probed = self._random.sample(unprobed, min(PEERS_PROBED_AT_ONCE, len(unprobed)))
+        zone.probed_at_by_name.update({member.name: now for member in probed})
+        self._membership.probe(probed)
 
     def _set_unreachable(
         self, name: str, zone: _Zone, evidence: Evidence, now: float, silent_after_s: float
     ) -> None:
-        zone.lost_at = now
-        zone.asked_at = now
+        zone.unreachable_since = now
+        zone.probed_at = now
         self._unreachable |= {name}
         log_message(
             "zone:unreachable",
             lost_zone=name,
             silent=sorted(evidence.silent(now, silent_after_s)),
-            silent_s=round(now - min(evidence.asked_at.values(), default=now), 3),
-            calls_unanswered=len(evidence.peers_owe_since),
-            replicas_silent=len(evidence.replicas_owe_since),
+            silent_s=round(now - min(evidence.probed_at.values(), default=now), 3),
+            calls_unanswered=len(evidence.peer_calls_since),
+            replicas_silent=len(evidence.replicas_silent_since),
             heard_s_ago=round(min(now - evidence.heard_at, 999.0), 3),
         )
-        zone.asked_at_by_name.clear()
+        zone.probed_at_by_name.clear()
 
-    def _set_reachable(self, name: str, heard_from: str) -> None:
+    def _set_reachable(self, name: str, record_versions: str) -> None:
         """End the state of a zone; the lock is held."""
         if name not in self._unreachable:
             return
@@ -482,6 +490,6 @@
         log_message(
             "zone:reachable",
             lost_zone=name,
-            heard_from=heard_from,
-            lost_for_s=round(boot_clock.now() - self._zones[name].lost_at, 3),
+            record_versions=record_versions,
+            lost_for_s=round(boot_clock.now() - self._zones[name].unreachable_since, 3),
         )
--- a/src/quaymill/process/replicas/ejection.py
+++ b/src/quaymill/process/replicas/ejection.py
@@ -14,11 +14,11 @@
 MAX_EJECTION_S = 30.0
 SLOW_FACTOR = 4.0
 SLOW_FIRST_BYTE_S = 0.25
-SLOW_MIN_ANSWERS = 5
-SMOOTHING = 0.2
+MIN_ANSWERS_FOR_SLOW = 5
+FIRST_BYTE_SMOOTHING = 0.2
 
 
-class _Record:
+class _FailureRecord:
     def __init__(self) -> None:
         self.failures = 0
         self.ejection_s = FIRST_EJECTION_S
@@ -28,7 +28,7 @@
     def add_answer(self, first_byte_s: float) -> None:
         self.failures = 0
         self.answers += 1
-        weight = max(SMOOTHING, 1.0 / self.answers)
+        weight = max(FIRST_BYTE_SMOOTHING, 1.0 / self.answers)
         self.first_byte_s += weight * (first_byte_s - self.first_byte_s)
 
 
@@ -42,14 +42,14 @@
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._records: dict[str, _Record] = {}
+        self._records: dict[str, _FailureRecord] = {}
 
     def record_success(
         self, replica: ReplicaView, same_service: Iterable[ReplicaView], first_byte_s: float
     ) -> None:
         """Note that the replica answered, and when its first byte came."""
         with self._lock:
-            record = self._records.setdefault(replica.name, _Record())
+            record = self._records.setdefault(replica.name, _FailureRecord())
             record.add_answer(first_byte_s)
             if self._is_slow(replica, record, same_service):
                 self._eject(replica, record, same_service)
@@ -71,13 +71,13 @@
             the replica is frozen.
         """
         with self._lock:
-            record = self._records.setdefault(replica.name, _Record())
+            record = self._records.setdefault(replica.name, _FailureRecord())
             record.failures += 1
             if certain or record.failures >= CONSECUTIVE_FAILURES:
                 self._eject(replica, record, same_service)
 
     def _eject(
-        self, replica: ReplicaView, record: _Record, same_service: Iterable[ReplicaView]
+        self, replica: ReplicaView, record: _FailureRecord, same_service: Iterable[ReplicaView]
     ) -> None:
         if replica.ejected:
             return
@@ -89,9 +89,9 @@
         record.ejection_s = min(MAX_EJECTION_S, 2 * record.ejection_s)
 
     def _is_slow(
-        self, replica: ReplicaView, record: _Record, same_service: Iterable[ReplicaView]
+        self, replica: ReplicaView, record: _FailureRecord, same_service: Iterable[ReplicaView]
     ) -> bool:
-        if record.answers < SLOW_MIN_ANSWERS or record.first_byte_s < SLOW_FIRST_BYTE_S:
+        if record.answers < MIN_ANSWERS_FOR_SLOW or record.first_byte_s < SLOW_FIRST_BYTE_S:
             return False
         others = [
             self._records[other.name].first_byte_s
--- a/src/quaymill/process/replicas/load_view.py
+++ b/src/quaymill/process/replicas/load_view.py
@@ -34,7 +34,7 @@
 POLLS_PER_S = 10.0
 PULL_INTERVAL_S = 0.5
 PULL_TIMEOUT_S = 1.0
-OWN_ZONE_BYTES_PER_S = 2_500.0
+LOCAL_ZONE_BYTES_PER_S = 2_500.0
 OTHER_ZONES_BYTES_PER_S = 1_000.0
 REPORT_BYTES = 45.0
 """About what one report takes in a message."""
@@ -71,15 +71,15 @@
         self._scheduled_here: frozenset[str] = frozenset()
         self._schedulers: dict[str, Member] = {}
         self._assigned_for: tuple[int, frozenset[tuple[str, Endpoint]]] | None = None
-        self._polled: set[str] = set()
-        self._pulled: dict[Endpoint, str] = {}
-        self._pulling: set[Endpoint] = set()
+        self._polled_here: set[str] = set()
+        self._peers_to_pull_from: dict[Endpoint, str] = {}
+        self._peers_being_pulled: set[Endpoint] = set()
         self._stopping = threading.Event()
         peer_server.register(GetLoad, self._answer_get_load)
 
     def start(self) -> None:
         """Begin to poll, and to ask the other nodes."""
-        self._machine_list.subscribe(self._take_machine_list)
+        self._machine_list.subscribe(self._update_replicas)
         _start_thread("load-view", self._keep_assigned)
 
     def stop(self) -> None:
@@ -119,7 +119,7 @@
                 self._schedulers[replica.name] = scheduler
         return scheduler
 
-    def _take_machine_list(self, machine_list: MachineList) -> None:
+    def _update_replicas(self, machine_list: MachineList) -> None:
         listed = [machine for machine in machine_list.machines if machine.role in REPLICA_ROLES]
         replicas = {machine.name: self._view_of(machine) for machine in listed}
         views = tuple(replicas.values())
@@ -149,32 +149,32 @@
         if assigned_for != self._assigned_for:
             self._assigned_for = assigned_for
             self._schedulers = {}
-            self._scheduled_here = frozenset(self._rank_own(live))
-            self._pulled = self._peers_to_pull(live)
+            self._scheduled_here = frozenset(self._replicas_ranked_here(live))
+            self._peers_to_pull_from = self._choose_peers_to_pull_from(live)
 
     def _start_missing_threads(self) -> None:
         """Give each replica to poll and each node to ask a thread; they end by themselves."""
-        for name in self._scheduled_here - self._polled:
-            self._polled.add(name)
+        for name in self._scheduled_here - self._polled_here:
+            self._polled_here.add(name)
             _start_thread(f"poll-{name}", self._poll, name)
-        for peer in self._pulled.keys() - self._pulling:
-            self._pulling.add(peer)
+        for peer in self._peers_to_pull_from.keys() - self._peers_being_pulled:
+            self._peers_being_pulled.add(peer)
             _start_thread(f"pull-{peer}", self._pull, peer)
 
-    def _rank_own(self, live: tuple[Member, ...]) -> set[str]:
+    def _replicas_ranked_here(self, live: tuple[Member, ...]) -> set[str]:
         """Return the replicas for which this node ranks first."""
         live_zones = {member.zone for member in live}
-        here: set[str] = set()
+        ranked_here: set[str] = set()
         for name, view in self._replicas.items():
             zone = view.machine.zone
             # A replica whose zone has live nodes is never scheduled from another zone.
             if zone in live_zones and zone != self._settings.zone:
                 continue
             if rank_nodes(name, live, zone)[0].name == self._settings.name:
-                here.add(name)
-        return here
+                ranked_here.add(name)
+        return ranked_here
 
-    def _peers_to_pull(self, live: tuple[Member, ...]) -> dict[Endpoint, str]:
+    def _choose_peers_to_pull_from(self, live: tuple[Member, ...]) -> dict[Endpoint, str]:
         """Return whom to ask, with the zone to ask for (empty for what the peer polls)."""
         peers: dict[Endpoint, str] = {}
         for zone, views in self._by_zone.items():
@@ -182,11 +182,11 @@
                 schedulers = [self.scheduler_of(view) for view in views]
                 peers |= {member.peer: "" for member in schedulers if member is not None}
                 continue
-            of_zone = [member for member in live if member.zone == zone]
-            if of_zone:
+            in_zone = [member for member in live if member.zone == zone]
+            if in_zone:
                 # Each asker has its own answerer, so that the zone's nodes share the work.
-                answerer = rank_nodes(f"load/{zone}/{self._settings.name}", of_zone)[0]
-                peers[answerer.peer] = zone
+                responder = rank_nodes(f"load/{zone}/{self._settings.name}", in_zone)[0]
+                peers[responder.peer] = zone
             else:
                 schedulers = [self.scheduler_of(view) for view in views]
                 peers |= {member.peer: "" for member in schedulers if member is not None}
@@ -202,32 +202,32 @@
             report = poll_replica(self._connections, view)
             if report is not None:
                 view.offer_report(report)
-        self._polled.discard(name)
+        self._polled_here.discard(name)
 
     def _poll_interval_s(self) -> float:
         return max(POLL_INTERVAL_S, len(self._scheduled_here) / POLLS_PER_S)
 
     def _pull(self, peer: Endpoint) -> None:
         """Ask one node for reports for as long as it is the one to ask."""
-        zone = self._pulled.get(peer, "")
+        zone = self._peers_to_pull_from.get(peer, "")
         while not self._stopping.wait(self._pull_interval_s(zone)):
-            if peer not in self._pulled:
+            if peer not in self._peers_to_pull_from:
                 break
-            zone = self._pulled[peer]
+            zone = self._peers_to_pull_from[peer]
             reply = self._peer_client.call(peer, GetLoad(zone), LoadReports, PULL_TIMEOUT_S)
             if isinstance(reply, LoadReports):
-                self._take_reports(reply)
-        self._pulling.discard(peer)
+                self._record_reports(reply)
+        self._peers_being_pulled.discard(peer)
 
     def _pull_interval_s(self, zone: str) -> float:
         """Return the time between questions that keeps their answers within the budget."""
-        own_zone = len(self._by_zone.get(self._settings.zone, ()))
+        replicas_in_local_zone = len(self._by_zone.get(self._settings.zone, ()))
         if zone:
-            answer_bytes = (len(self._replicas) - own_zone) * REPORT_BYTES
+            answer_bytes = (len(self._replicas) - replicas_in_local_zone) * REPORT_BYTES
             return max(PULL_INTERVAL_S, answer_bytes / OTHER_ZONES_BYTES_PER_S)
-        return max(PULL_INTERVAL_S, own_zone * REPORT_BYTES / OWN_ZONE_BYTES_PER_S)
+        return max(PULL_INTERVAL_S, replicas_in_local_zone * REPORT_BYTES / LOCAL_ZONE_BYTES_PER_S)
 
-    def _take_reports(self, reply: LoadReports) -> None:
+    def _record_reports(self, reply: LoadReports) -> None:
         for report in reply.reports:
             view = self._replicas.get(report.replica)
             if view is not None:
--- a/src/quaymill/process/replicas/replica.py
+++ b/src/quaymill/process/replicas/replica.py
@@ -27,7 +27,7 @@
         self._measured_at = 0.0
         self._started_at: dict[int, float] = {}
         self._next_ticket = 0
-        self._said_draining_at: float | None = None
+        self._answered_draining_at: float | None = None
         self.ejected_until = 0.0
 
     @property
@@ -92,12 +92,12 @@
 
     def record_draining_answer(self) -> None:
         """Note that the replica itself refused new work because it is leaving."""
-        self._said_draining_at = boot_clock.now()
+        self._answered_draining_at = boot_clock.now()
 
     def forget_failures(self) -> None:
         """Forget this node's own bad experience."""
         self.ejected_until = 0.0
-        self._said_draining_at = None
+        self._answered_draining_at = None
 
     @property
     def draining(self) -> bool:
@@ -107,10 +107,10 @@
         report = self._report
         if report is not None and report.draining:
             return True
-        said_at = self._said_draining_at
-        if said_at is None or self._measured_at > said_at:
+        answered_at = self._answered_draining_at
+        if answered_at is None or self._measured_at > answered_at:
             return False
-        return boot_clock.now() - said_at < DRAINING_ANSWER_LIFETIME_S
+        return boot_clock.now() - answered_at < DRAINING_ANSWER_LIFETIME_S
 
     @property
     def reachable(self) -> bool:
--- a/src/quaymill/process/replicas/router.py
+++ b/src/quaymill/process/replicas/router.py
@@ -27,7 +27,7 @@
 RETRY_AFTER_FULL_S = 1.0
 
 
-class _SmoothWeights:
+class _SmoothWeightedRoundRobin:
     """Deterministic weighted turns: over any run each group's share is off by one turn at most.
 
     Each turn adds every group's weight to its credit, picks the highest credit, and takes the
@@ -73,7 +73,7 @@
         self._zone = settings.zone
         self._random = random.Random(seed)
         self._lock = threading.Lock()
-        self._turns: dict[str, _SmoothWeights] = {}
+        self._round_robins: dict[str, _SmoothWeightedRoundRobin] = {}
         self._ejector = Ejector()
 
     def choose(
@@ -87,11 +87,11 @@
         routes = configuration.routes.get(service, {})
         weights = {name: routes[name].weight for name in groups}
         with self._lock:
-            turns = self._turns.setdefault(service, _SmoothWeights())
+            round_robin = self._round_robins.setdefault(service, _SmoothWeightedRoundRobin())
             chosen: ReplicaView | NotRun = _no_replica(service)
             # A group whose replicas are all at their limit passes its turn on to the others.
             while weights:
-                group = turns.pick(weights)
+                group = round_robin.pick(weights)
                 chosen = self._choose_in_group(service, groups[group], routes[group], prefix_key)
                 if not isinstance(chosen, NotRun):
                     return chosen
@@ -150,13 +150,13 @@
         self, service: str, replicas: list[ReplicaView], route: Route, prefix_key: str
     ) -> ReplicaView | NotRun:
         candidates = _with_loads(replicas)
-        open_ones = [candidate for candidate in candidates if candidate.load < route.online_limit]
-        if not open_ones:
-            return _full(service)
-        own_zone = [one for one in open_ones if one.replica.machine.zone == self._zone]
-        choice = self._less_loaded_of_two(own_zone or open_ones)
+        below_limit = [candidate for candidate in candidates if candidate.load < route.online_limit]
+        if not below_limit:
+            return _all_full(service)
+        in_local_zone = [one for one in below_limit if one.replica.machine.zone == self._zone]
+        choice = self._less_loaded_of_two(in_local_zone or below_limit)
         if prefix_key:
-            preferred = _preferred_for(prefix_key, own_zone or open_ones)
+            preferred = _preferred_for(prefix_key, in_local_zone or below_limit)
             if preferred.load <= choice.load + AFFINITY_EXTRA_LOAD:
                 return preferred.replica
         return choice.replica
@@ -196,7 +196,7 @@
     )
 
 
-def _full(service: str) -> NotRun:
+def _all_full(service: str) -> NotRun:
     return NotRun(
         429,
         f"all replicas of {service} are at their online limit",
--- a/tests/test_membership_faults.py
+++ b/tests/test_membership_faults.py
@@ -18,8 +18,8 @@
 from quaymill.connection.endpoint import Endpoint, LinkFilter
 from quaymill.connection.member import Member, MemberState
 from quaymill.process.membership.failure_detector import (
-    MAX_PATIENCE,
-    PATIENCE_GROWTH,
+    MAX_TIMEOUT_FACTOR,
+    TIMEOUT_FACTOR_GROWTH,
     FailureDetector,
 )
 from quaymill.process.membership.member_socket import MemberSocket, Receiver
@@ -301,21 +301,23 @@
 
     def test_only_a_late_reply_makes_a_node_patient(self):
         self.assertIsNotNone(self.detector.probe_next())
-        self.assertEqual(self.detector.patience, 1.0, "a peer that is gone changes nothing")
+        self.assertEqual(self.detector.timeout_factor, 1.0, "a peer that is gone changes nothing")
         self.reply_to_last()
-        self.assertEqual(self.detector.patience, PATIENCE_GROWTH)
+        self.assertEqual(self.detector.timeout_factor, TIMEOUT_FACTOR_GROWTH)
         self.reply_to_last()
-        self.assertEqual(self.detector.patience, PATIENCE_GROWTH, "each probe counts once")
+        self.assertEqual(
+            self.detector.timeout_factor, TIMEOUT_FACTOR_GROWTH, "each probe counts once"
+        )
 
     def test_patience_is_bounded_and_shortened_by_early_replies(self):
         for _ in range(6):
             self.detector.probe_next()
             self.reply_to_last()
-        self.assertEqual(self.detector.patience, MAX_PATIENCE)
+        self.assertEqual(self.detector.timeout_factor, MAX_TIMEOUT_FACTOR)
         self.detector._send = self.answer_at_once
         for _ in range(20):
             self.assertIsNone(self.detector.probe_next())
-        self.assertEqual(self.detector.patience, 1.0)
+        self.assertEqual(self.detector.timeout_factor, 1.0)
 
     def answer_at_once(self, target, datagram, shown) -> None:
         self.sent.append(datagram)
--- a/tests/test_membership_table.py
+++ b/tests/test_membership_table.py
@@ -90,10 +90,10 @@
     def test_versions_only_rise_within_an_incarnation(self):
         self.table.merge(member("x", configuration_generation=4, machine_list_version=9))
         self.table.merge(member("x", configuration_generation=3, machine_list_version=12))
-        self.table.heard_from("x", 5, 2, 2)
+        self.table.record_versions("x", 5, 2, 2)
         held = self.table.get("x")
         self.assertEqual((held.configuration_generation, held.machine_list_version), (4, 12))
-        self.table.heard_from("x", 4, 99, 99)
+        self.table.record_versions("x", 4, 99, 99)
         self.assertEqual(self.table.get("x").configuration_generation, 4, "an older incarnation")
         self.table.merge(member("x", incarnation=6, configuration_generation=1))
         self.assertEqual(self.table.get("x").configuration_generation, 1, "it was restarted")
@@ -101,11 +101,11 @@
     def test_suspect_dies_only_after_its_time(self):
         self.table.merge(member("x"))
         self.table.suspect("x")
-        self.assertEqual(self.table.bury_suspects(60.0), [])
+        self.assertEqual(self.table.expire_suspects(60.0), [])
         self.table.postpone_suspicions(60.0)
-        self.assertEqual(self.table.bury_suspects(0.0), [])
+        self.assertEqual(self.table.expire_suspects(0.0), [])
         self.table.postpone_suspicions(-60.0)
-        self.assertEqual([record.state for record in self.table.bury_suspects(0.0)], [DEAD])
+        self.assertEqual([record.state for record in self.table.expire_suspects(0.0)], [DEAD])
 
     def test_digests_differ_only_where_the_tables_differ(self):
         other = MemberTable(member("self"))
--- a/tests/test_zone_reachability.py
+++ b/tests/test_zone_reachability.py
@@ -18,14 +18,14 @@
 from quaymill.connection.peer_link import PeerNoReply, PeerRefusal, PeerUnreachable
 from quaymill.process.limits.fleet import GatewayFleet
 from quaymill.process.membership.zone_reachability import (
-    ASK_AGAIN_AFTER_S,
-    ASK_UNREACHABLE_S,
     CHECK_INTERVAL_S,
-    PEERS_ASKED_AT_ONCE,
+    PEERS_PROBED_AT_ONCE,
+    REPROBE_AFTER_S,
+    UNREACHABLE_PROBE_INTERVAL_S,
     Evidence,
-    Verdict,
+    Reachability,
     ZoneReachability,
-    judge,
+    assess,
 )
 from quaymill.process.peer_network import PeerNetwork
 from standin_support import wait_until
@@ -52,38 +52,70 @@
     """What is known of a zone, from what was heard and is owed."""
 
     @params(
-        ("quiet, without traffic", Evidence(QUIET, 5), Verdict.CALM),
-        ("quiet for long after a word", Evidence(NOW - 60.0, 5), Verdict.CALM),
-        ("a call has just begun", Evidence(QUIET, 5, ago(0.01)), Verdict.CALM),
-        ("a peer owes an answer", Evidence(QUIET, 5, ago(0.05)), Verdict.ASK),
-        ("three peers owe, none was asked", Evidence(QUIET, 5, ago(1, 1, 1)), Verdict.ASK),
-        ("it owes, the zone was heard", Evidence(NOW - 0.02, 5, ago(0.05)), Verdict.CALM),
-        ("it owes, nothing since a word", Evidence(NOW - 0.3, 5, ago(0.5)), Verdict.ASK),
-        ("so does a replica", Evidence(NOW - 0.3, 5, (), ago(0.5)), Verdict.ASK),
-        ("a replica reads a prompt", Evidence(QUIET, 5, (), ago(0.08)), Verdict.CALM),
-        ("a replica is silent", Evidence(QUIET, 5, (), ago(0.2)), Verdict.ASK),
-        ("replicas are silent, peers not", Evidence(NOW, 5, (), ago(9, 9, 9)), Verdict.CALM),
-        ("asked just now", Evidence(QUIET, 5, ago(0.1), (), asked(0, 0, 0)), Verdict.ASK),
-        ("two of many are silent", Evidence(QUIET, 5, (), (), asked(0.2, 0.2)), Verdict.ASK),
+        ("quiet, without traffic", Evidence(QUIET, 5), Reachability.REACHABLE),
+        ("quiet for long after a word", Evidence(NOW - 60.0, 5), Reachability.REACHABLE),
+        ("a call has just begun", Evidence(QUIET, 5, ago(0.01)), Reachability.REACHABLE),
+        ("a peer owes an answer", Evidence(QUIET, 5, ago(0.05)), Reachability.UNCERTAIN),
+        (
+            "three peers owe, none was asked",
+            Evidence(QUIET, 5, ago(1, 1, 1)),
+            Reachability.UNCERTAIN,
+        ),
+        (
+            "it owes, the zone was heard",
+            Evidence(NOW - 0.02, 5, ago(0.05)),
+            Reachability.REACHABLE,
+        ),
+        (
+            "it owes, nothing since a word",
+            Evidence(NOW - 0.3, 5, ago(0.5)),
+            Reachability.UNCERTAIN,
+        ),
+        ("so does a replica", Evidence(NOW - 0.3, 5, (), ago(0.5)), Reachability.UNCERTAIN),
+        (
+            "a replica reads a prompt",
+            Evidence(QUIET, 5, (), ago(0.08)),
+            Reachability.REACHABLE,
+        ),
+        ("a replica is silent", Evidence(QUIET, 5, (), ago(0.2)), Reachability.UNCERTAIN),
+        (
+            "replicas are silent, peers not",
+            Evidence(NOW, 5, (), ago(9, 9, 9)),
+            Reachability.REACHABLE,
+        ),
+        (
+            "asked just now",
+            Evidence(QUIET, 5, ago(0.1), (), asked(0, 0, 0)),
+            Reachability.UNCERTAIN,
+        ),
+        (
+            "two of many are silent",
+            Evidence(QUIET, 5, (), (), asked(0.2, 0.2)),
+            Reachability.UNCERTAIN,
+        ),
         (
             "three of many are silent",
             Evidence(QUIET, 5, (), (), asked(0.2, 0.2, 0.2)),
-            Verdict.UNREACHABLE,
+            Reachability.UNREACHABLE,
         ),
         (
             "one has answered",
             Evidence(NOW - 0.1, 5, (), (), asked(0.2, 0.2, 0.2)),
-            Verdict.CALM,
+            Reachability.REACHABLE,
+        ),
+        (
+            "both of two",
+            Evidence(QUIET, 2, (), (), asked(0.2, 0.2)),
+            Reachability.UNREACHABLE,
         ),
-        ("both of two", Evidence(QUIET, 2, (), (), asked(0.2, 0.2)), Verdict.UNREACHABLE),
-        ("the only one", Evidence(QUIET, 1, ago(9.0), (), asked(9.0)), Verdict.ASK),
+        ("the only one", Evidence(QUIET, 1, ago(9.0), (), asked(9.0)), Reachability.UNCERTAIN),
     )
-    def test_verdict(self, _name: str, evidence: Evidence, expected: Verdict) -> None:
-        self.assertIs(expected, judge(evidence, NOW))
+    def test_verdict(self, _name: str, evidence: Evidence, expected: Reachability) -> None:
+        self.assertIs(expected, assess(evidence, NOW))
 
     def test_where_answers_come_late_silence_counts_later(self) -> None:
         evidence = Evidence(QUIET, 5, (), (), asked(0.2, 0.2, 0.2))
-        self.assertIs(Verdict.ASK, judge(evidence, NOW, silent_after_s=0.4))
+        self.assertIs(Reachability.UNCERTAIN, assess(evidence, NOW, silent_after_s=0.4))
 
 
 def member(zone: str, index: int) -> Member:
@@ -117,7 +149,7 @@
         self.cut_zones: set[str] = set()
         self.down: set[str] = set()
         self.held_up = False
-        self.patience = 1.0
+        self.timeout_factor = 1.0
         self.questions = 0
         self._known = [
             member(zone, index) for zone in (OWN, CUT, OTHER) for index in range(members_a_zone)
@@ -152,7 +184,7 @@
     def on_datagram(self, listener: Callable[[str], None]) -> None:
         self._take_word = listener
 
-    def ask(self, members: Iterable[Member]) -> None:
+    def probe(self, members: Iterable[Member]) -> None:
         for one in members:
             self.questions += 1
             if self.answers(one):
@@ -236,7 +268,7 @@
         play.run(STEP_S)
         play._take_word(f"{CUT}/1")
         play.cut_zones = {CUT}
-        self.assertLess(play.until_lost(CUT), ASK_AGAIN_AFTER_S + OBJECTIVE_S)
+        self.assertLess(play.until_lost(CUT), REPROBE_AFTER_S + OBJECTIVE_S)
 
     def test_one_silent_machine_never_makes_a_zone_unreachable(self) -> None:
         play = self.play()
@@ -274,8 +306,8 @@
         play.replicas = [FakeReplica(CUT, owes_since=play.now) for _ in range(8)]
         play.run(2.0)
         self.assertEqual(set(), self.lost(play))
-        times = 1 + 2.0 / ASK_AGAIN_AFTER_S
-        self.assertLessEqual(play.questions, 2 * PEERS_ASKED_AT_ONCE * times)
+        times = 1 + 2.0 / REPROBE_AFTER_S
+        self.assertLessEqual(play.questions, 2 * PEERS_PROBED_AT_ONCE * times)
 
     def test_own_link_cut(self) -> None:
         play = self.play()
@@ -325,9 +357,9 @@
         self.assertEqual({CUT}, self.lost(play))
         before = play.questions
         play.run(1.0)
-        self.assertLessEqual(play.questions - before, 1.0 / ASK_UNREACHABLE_S + 1)
+        self.assertLessEqual(play.questions - before, 1.0 / UNREACHABLE_PROBE_INTERVAL_S + 1)
         play.cut_zones = set()
-        play.run(ASK_UNREACHABLE_S + CHECK_INTERVAL_S + ANSWER_S)
+        play.run(UNREACHABLE_PROBE_INTERVAL_S + CHECK_INTERVAL_S + ANSWER_S)
         self.assertEqual(set(), self.lost(play))
 
     def test_word_of_any_kind_ends_it(self) -> None:
@@ -376,7 +408,7 @@
         play.call(play.of_zone(CUT)[0])
         play.until_lost(CUT)
         play._known = [one for one in play._known if one.zone != CUT]
-        play.reach._note_members_changed()
+        play.reach._on_members_changed()
         play.run(0.2)
         self.assertEqual(0, play.reach.unreachable_zones)
         self.assertFalse(play.reach.is_unreachable(CUT))
@@ -390,7 +422,7 @@
             msgspec.structs.replace(one, state=MemberState.DEAD) if one.name in there else one
             for one in play._known
         ]
-        play.reach._note_members_changed()
+        play.reach._on_members_changed()
         play.call(play.of_zone(OTHER)[0])
         play.run(1.0)
         self.assertFalse(play.reach.is_unreachable(CUT))
