--- a/src/quaymill/process/membership/zone_reachability.py
+++ b/src/quaymill/process/membership/zone_reachability.py
@@ -482,7 +482,7 @@
         )
         zone.probed_at_by_name.clear()
 
-    def _set_reachable(self, name: str, record_versions: str) -> None:
+    def _set_reachable(self, name: str, heard_from: str) -> None:
         """End the state of a zone; the lock is held."""
         if name not in self._unreachable:
             return
@@ -490,6 +490,6 @@
         log_message(
             "zone:reachable",
             lost_zone=name,
-            record_versions=record_versions,
+            heard_from=heard_from,
             lost_for_s=round(boot_clock.now() - self._zones[name].unreachable_since, 3),
         )
