--- a/src/quaymill/process/membership/membership.py
+++ b/src/quaymill/process/membership/membership.py
@@ -1,11 +1,11 @@
-"""SWIM-style membership over UDP: who lives, who drains, and what versions they hold.
+"""SWIM-style membership over UDP: which nodes are alive or draining, and their versions.
 
-Each node probes one other node a period, in a shuffled order that reaches all. A node that
-answers neither directly nor through others is SUSPECT; unless it refutes that in time it is
-DEAD. News rides on the probes, and a periodic comparison with a random node, sometimes one
-held for dead, brings everything that was missed, also after a partition has healed.
+Each period, a node probes one other node, in a shuffled order that covers all nodes. A node that
+answers neither directly nor through others becomes SUSPECT, and DEAD unless it refutes that in
+time. Updates are piggybacked on the probes. A periodic comparison with a random node, sometimes
+one marked as dead, transfers all that was missed, also after a partition has healed.
 
-Two threads serve a node: one receives, one probes; a third one looks for the others at the start.
+One thread receives datagrams and one sends probes; a third one joins the fleet after the start.
 """
 
 from __future__ import annotations
@@ -51,28 +51,28 @@
 
 MAX_CONFIRMED_AGE_S = 60.0
 MIN_LOGGED_SUSPENSION_S = 0.2
-"""A suspension from which on a line is written; below it nothing runs out that others rely on."""
+"""Shortest suspension that is logged; no timeout that other nodes rely on is shorter."""
 
 Listener = Callable[[], None]
 ConfirmationListener = Callable[[int, int, float], None]
-"""Takes generation, machine list version, and when they were known to be the newest."""
+"""Receives generation, machine list version, and when they were known to be the newest."""
 CrashListener = Callable[[str, int], None]
-"""Takes a node's name and its digest of crashes."""
+"""Receives a node's name and its digest of crashes."""
 DatagramListener = Callable[[str], None]
-"""Takes the name of a node from which a datagram has come."""
+"""Receives the name of the node that sent a datagram."""
 UNAWAITED_SEQUENCE = 0
-"""Of a probe whose reply nobody waits for; those of the failure detector begin at 1."""
+"""Sequence number of probes whose reply nobody waits for; the failure detector's begin at 1."""
 
 
 class Membership:
-    """One node's part in the membership.
+    """Membership protocol of one node.
 
     Parameters
     ----------
     settings
         Name, zone, addresses, seeds and timing of this node.
     link_filter
-        Fault switch: nothing is sent to a blocked endpoint.
+        Fault injection: nothing is sent to a blocked endpoint.
     """
 
     def __init__(self, settings: NodeSettings, link_filter: LinkFilter | None = None) -> None:
@@ -105,11 +105,11 @@
 
     @property
     def traffic(self) -> Traffic:
-        """What this node's membership has sent and received."""
+        """Datagrams and bytes that this node's membership has sent and received."""
         return self._socket.traffic
 
     def start(self) -> None:
-        """Begin to answer and to probe."""
+        """Begin to answer datagrams and to probe other nodes."""
         self._socket.start(self._handle)
         self._prober = threading.Thread(target=self._probe_loop, name="member-probe", daemon=True)
         self._prober.start()
@@ -117,7 +117,10 @@
             threading.Thread(target=self._join, name="member-join", daemon=True).start()
 
     def stop(self) -> None:
-        """Stop without a word; peers find the node dead. Announce draining first if planned."""
+        """Stop without notifying peers, which then detect the failure.
+
+        For a planned stop, call ``announce_draining`` first.
+        """
         self._stopping.set()
         if self._prober is not None:
             self._prober.join(STOP_TIMEOUT_S)
@@ -132,7 +135,7 @@
         return self._table.dead_for_s(name)
 
     def live(self) -> tuple[Member, ...]:
-        """Return the members that may be given work: alive or suspect, and not draining."""
+        """Return the members that may receive work: alive or suspect, and not draining."""
         return tuple(
             member
             for member in self._table.all()
@@ -144,15 +147,15 @@
         return self._table.local()
 
     def subscribe(self, listener: Listener) -> None:
-        """Call ``listener`` after news of members or of versions; it must not block."""
+        """Call ``listener`` after each change of members or versions; it must not block."""
         self._listeners.append(listener)
 
     def on_confirmation(self, listener: ConfirmationListener) -> None:
-        """Call ``listener`` with what others know to be the platform's newest versions."""
+        """Call ``listener`` with the versions that other nodes report as the newest."""
         self._confirmation_listener = listener
 
     def on_crash_digest(self, listener: CrashListener) -> None:
-        """Call ``listener`` with each digest of crashes that another node tells, and its name."""
+        """Call ``listener`` when a node reports a digest of crashes other than the local one."""
         self._crash_listener = listener
 
     def on_datagram(self, listener: DatagramListener) -> None:
@@ -161,41 +164,44 @@
 
     @property
     def timeout_factor(self) -> float:
-        """By how much answers to probes are waited for longer now; 1 in a calm fleet."""
+        """Factor by which timeouts of probes are extended now; 1 while replies arrive early."""
         return self._detector.timeout_factor
 
     def probe(self, members: Iterable[Member]) -> None:
-        """Probe these members beside the usual probes; a listener hears of their replies."""
+        """Probe these members in addition to the periodic probes, without waiting.
+
+        Replies are passed to the datagram listener.
+        """
         for member in members:
             self._send(member.peer, Probe(**self._header_fields(), sequence=UNAWAITED_SEQUENCE))
 
     def tell_crash_digest(self, digest: int) -> None:
-        """Tell others with each datagram the digest of the crashes known here."""
+        """Include this digest of the locally known crashes in each datagram."""
         self._crash_digest = digest
 
     def confirm(self, at: float) -> None:
-        """Note that the versions published were the platform's newest at a monotonic time."""
+        """Record that the published versions were the newest at this time of the boot clock."""
         if self._confirmed_at is None or at > self._confirmed_at:
             self._confirmed_at = at
 
     def confirmed_age_s(self) -> float:
-        """Return how long ago the versions published were known to be the newest."""
+        """Return how long ago the published versions were known to be the newest."""
         at = self._confirmed_at
         return float("inf") if at is None else boot_clock.now() - at
 
     def tell(self, members: Iterable[Member]) -> None:
-        """Send a notice to these members at once."""
+        """Send a notice with pending updates to these members at once."""
         for member in members:
             self._send(member.peer, Notice(**self._header_fields()))
 
     def add_seeds(self, endpoints: Iterable[Endpoint]) -> None:
-        """Add nodes to join through, such as those of the machine list."""
+        """Add nodes through which to join, such as those of the machine list."""
         with self._seeds_lock:
             self._seeds.update(endpoints)
             self._seeds.discard(self.local().peer)
 
     def announce_draining(self) -> None:
-        """Tell all nodes that this one is about to stop; they give it no new work."""
+        """Announce that this node is about to stop, so that it receives no new work."""
         local = self._table.update_local(
             state=MemberState.DRAINING, draining=True, incarnation=self.local().incarnation + 1
         )
@@ -206,7 +212,7 @@
     def publish(
         self, configuration_generation: int | None = None, machine_list_version: int | None = None
     ) -> None:
-        """Tell what this node holds now; some peers hear of it at once, all with the probes."""
+        """Publish this node's versions: to some peers at once, to all others with the probes."""
         fields = {}
         if configuration_generation is not None:
             fields["configuration_generation"] = configuration_generation
@@ -216,14 +222,14 @@
         self._notify_peers(NOTICE_FANOUT)
 
     def _handle(self, datagram: Datagram, source: Endpoint) -> None:
-        """Take one datagram; runs on the receiving thread."""
+        """Handle one datagram; runs on the receiving thread."""
         if self._datagram_listener is not None:
             self._datagram_listener(datagram.sender)
         revision = self._table.revision
         for record in datagram.records:
             update = self._table.merge(record.member())
-            # What a comparison brings is passed on by comparisons; only what its own member
-            # says, and what a probe found, is worth a datagram of each node.
+            # Records from a comparison are not spread further, except the local one, since
+            # other nodes receive them from their own comparisons.
             if update is not None and (
                 not isinstance(datagram, SyncAnswer) or update.name == self.local().name
             ):
@@ -252,7 +258,7 @@
             self._notify_listeners()
 
     def _handle_header(self, datagram: Datagram) -> None:
-        """Pass on what every datagram tells of its sender."""
+        """Pass the confirmation and the crash digest of a datagram to the listeners."""
         if datagram.confirmed_ms_ago >= 0 and self._confirmation_listener is not None:
             at = boot_clock.now() - datagram.confirmed_ms_ago / 1000
             self._confirmation_listener(datagram.generation, datagram.machines, at)
@@ -260,13 +266,13 @@
             self._crash_listener(datagram.sender, datagram.crashes)
 
     def _correct_sender(self, datagram: Datagram, source: Endpoint) -> None:
-        """Introduce this node to a stranger, and tell a node that it is held for dead."""
+        """Start a comparison with an unknown sender; notify one that is marked as dead."""
         if isinstance(datagram, SyncAnswer):
             return
         known = self._table.get(datagram.sender)
         if known is not None and known.state is not MemberState.DEAD:
             return
-        # Two nodes that hold each other for dead would else answer each notice with another.
+        # The rate limit keeps two nodes that mark each other as dead from an endless exchange.
         now = boot_clock.now()
         if (
             now - self._corrected_at_by_name.get(datagram.sender, -math.inf)
@@ -299,10 +305,9 @@
             self._stopping.wait(max(next_probe - boot_clock.now(), 0.0))
 
     def _log_suspension(self) -> None:
-        """Write a line if the machine was suspended since the last look.
+        """Log if the machine was suspended since the last check.
 
-        Nothing else is to be done: whatever may have run out meanwhile is measured by the clock
-        that ran on.
+        Timeouts need no correction, since the boot clock also runs during a suspension.
         """
         suspended_s = boot_clock.suspended_s()
         for_s = suspended_s - self._suspended_s
@@ -323,7 +328,7 @@
             self._notify_listeners()
 
     def _log_changes(self) -> None:
-        """Write a line for each member that this node sees in another state than before."""
+        """Log each member whose state or process has changed since it was last logged."""
         with self._logged_lock:
             for member in self._table.all():
                 state_and_process = (_logged_state(member), member.process_id)
@@ -342,10 +347,10 @@
                 )
 
     def _join(self) -> None:
-        """Look for the others often while this node is new.
+        """Contact seeds and members frequently during the first seconds.
 
-        When many nodes start together, a seed may not listen yet at the first greeting, and
-        who comes a moment later would be heard of only with the slow spread of news.
+        When many nodes start together, a seed may not listen yet at the first attempt, and nodes
+        that join a moment later would only become known with the slower periodic comparison.
         """
         until = boot_clock.now() + self._timing.join_period_s
         while boot_clock.now() < until and not self._stopping.wait(JOIN_INTERVAL_S):
@@ -354,13 +359,13 @@
             self._sync_with_one()
 
     def _unknown_seeds(self) -> set[Endpoint]:
-        """Return the seeds that are no members here."""
+        """Return the seeds that are not among the known live members."""
         member_endpoints = {member.peer for member in self._table.peers()}
         with self._seeds_lock:
             return {seed for seed in self._seeds if seed not in member_endpoints}
 
     def _rejoin(self) -> None:
-        """Greet a seed that is not a member, or a dead member: it may be back, or reachable."""
+        """Start a comparison with an unknown seed or a dead member, which may be back."""
         targets = self._unknown_seeds()
         targets.update(member.peer for member in self._table.dead())
         if targets:
@@ -372,7 +377,7 @@
             self._synchronisation.begin(self._random.choice(peers).peer)
 
     def _notify_peers(self, fanout: int) -> None:
-        """Send news at once to some random peers and to the readers of this zone."""
+        """Send a notice at once to random peers and to the reader nodes of this zone."""
         peers = self._table.peers()
         chosen = {member.name: member for member in reader_nodes(peers, self.local().zone)}
         for member in self._random.sample(peers, min(fanout, len(peers))):
@@ -392,7 +397,7 @@
         }
 
     def _send(self, target: Endpoint, datagram: Datagram, shown: tuple[Member, ...] = ()) -> None:
-        """Send a datagram with the records ``shown``, filled with news as far as there is room."""
+        """Send a datagram with the records ``shown`` and as many updates as fit."""
         datagram.records = tuple(MemberRecord.of(record) for record in shown)
         remaining_bytes = MAX_DATAGRAM_BYTES - len(encode_datagram(datagram))
         names = {record.name for record in shown}
@@ -419,8 +424,8 @@
         region=settings.region,
         peer=settings.peer_endpoint,
         http=settings.http_endpoint,
-        # A restarted node starts above the incarnation that its peers remember; if its
-        # clock went back, refutation raises the number further.
+        # The time puts a restarted node above the incarnation that its peers remember. If its
+        # clock was set back, refutation raises the number further.
         incarnation=int(time.time() * 1000),
         has_disk=bool(settings.data_folder),
         process_id=secrets.token_hex(PROCESS_ID_BYTES),
--- a/src/quaymill/process/membership/zone_reachability.py
+++ b/src/quaymill/process/membership/zone_reachability.py
@@ -1,9 +1,9 @@
-"""Which zones this process can reach, told from what it hears itself.
+"""Detects which zones this process can reach, from the messages that it receives itself.
 
-A zone that is cut off sends nothing and refuses nothing: each call there waits for its time-out.
-One peer that owes an answer, or one replica that is late with the first byte, makes this process
-ask some peers of the zone. If none of these answers, and nothing at all was heard from the zone
-meanwhile, the zone cannot be reached. Any word from there ends that at once.
+A zone that is cut off neither answers nor refuses connections, so each call to it waits for its
+timeout. When a peer has an overdue answer, or a replica an overdue first byte, this process probes
+some peers of the zone. If none of them answers and nothing else was received from the zone in the
+meantime, the zone counts as unreachable. Any message from the zone ends that state at once.
 """
 
 from __future__ import annotations
@@ -27,34 +27,39 @@
 
 CHECK_INTERVAL_S = 0.05
 PEER_PROBE_AFTER_S = 0.03
-"""Silence of a peer that was called after which its zone is asked: several times what an answer
-takes with nothing in its way. To ask for nothing costs a few datagrams."""
+"""Time after which an unanswered call to a peer makes this process probe the peer's zone: several
+times a normal response time. An unnecessary probe costs only a few datagrams."""
 REPLICA_PROBE_AFTER_S = 0.1
-"""The same of a replica, where the first byte takes tens of milliseconds with nothing wrong."""
+"""The same for a replica, whose first byte normally takes tens of milliseconds."""
 REPROBE_AFTER_S = 0.25
-"""Silence of a zone after which it is asked while something waits there that had begun before the
-last word: what it waits for may take its time, or the zone was cut off just then."""
+"""Time without a message from a zone after which it is probed because of a request that is older
+than the zone's last message: the request may just take long, or the zone was cut off after that
+message."""
 SILENT_AFTER_S = 0.1
-"""Silence from which on a peer that was asked counts as silent. With the time until it is asked,
-a request that waits in vain goes elsewhere within callers' shortest objective (0.3 s)."""
+"""Time without a reply after which a probed peer counts as silent. Together with the time until
+the probe it stays below the shortest latency objective (0.3 s), within which a request is sent to
+another zone."""
 REQUIRED_SILENT_PEERS = 3
-"""Different peers that must be silent, all of a smaller zone: two machines may fail at once."""
+"""Number of peers that must be silent, since two machines may fail at once; in a smaller zone all
+peers must be."""
 MIN_REQUIRED_SILENT_PEERS = 2
-"""A zone with fewer peers is never judged: one silent machine says nothing of its zone."""
+"""Lower bound of the required silent peers. One silent machine says nothing about its zone, so a
+zone with a single peer never counts as unreachable."""
 PEERS_PROBED_AT_ONCE = 3
 UNREACHABLE_PROBE_INTERVAL_S = 0.25
-"""Time between two questions to a zone that cannot be reached."""
+"""Time between two probes of an unreachable zone."""
 UNANSWERED_RETENTION_S = 2.0
-"""How long a call that ended without an answer counts."""
+"""Time for which a call that ended without an answer is taken into account."""
 FAST_FAILURE_S = 0.02
-"""A call that fails sooner was refused by a machine that is reached, or not sent at all."""
+"""A call that fails sooner was refused by a reachable machine or not sent at all, so it does not
+count as unanswered."""
 PROCESS_PAUSE_S = 0.1
-"""Lateness of a check from which on this process itself was held up: what waited for an answer
-meanwhile may have it unread."""
+"""Delay of a check from which on this process itself is assumed to have been paused, so that
+answers may have arrived without having been read."""
 
 
 class Reachability(enum.Enum):
-    """What is known of a zone."""
+    """Whether a zone is reachable; an ``UNCERTAIN`` zone is to be probed."""
 
     REACHABLE = enum.auto()
     UNCERTAIN = enum.auto()
@@ -63,19 +68,21 @@
 
 @attrs.frozen
 class Evidence:
-    """What a process knows of one zone; times are of the boot clock.
+    """What this process has observed of one zone; times are of the boot clock.
 
     Attributes
     ----------
-    heard_at
-        When something was heard last from there.
+    last_received_at
+        When the last message from the zone was received.
     peers
-        How many peers live there, as far as is known.
-    peers_owe_since, replicas_owe_since
-        Since when peers that were called owe an answer, and since when replicas that were sent
-        requests have been silent. Either may have a good reason, so they lead to questions only.
-    asked_at
-        When peers were asked for a word, by name; they give it at once.
+        Number of peers in the zone that are not known to be dead.
+    peer_calls_since
+        Start times of the calls to peers that have no answer.
+    replicas_silent_since
+        Since when replicas with an outstanding request have sent nothing. Calls and requests may
+        take long for other reasons, so they only cause probes.
+    probed_at
+        When peers were probed, by name; a reachable peer replies at once.
     """
 
     heard_at: float
@@ -85,7 +92,7 @@
     probed_at: Mapping[str, float] = attrs.field(factory=dict)
 
     def silent(self, now: float, silent_after_s: float) -> tuple[str, ...]:
-        """Return the peers that were asked, with nothing heard from the zone since."""
+        """Return the probed peers after whose probe nothing was received from the zone."""
         return tuple(
             name
             for name, at in self.probed_at.items()
@@ -94,12 +101,12 @@
 
 
 def assess(evidence: Evidence, now: float, silent_after_s: float = SILENT_AFTER_S) -> Reachability:
-    """Return what is known of another zone.
+    """Return whether another zone is reachable.
 
     Parameters
     ----------
     silent_after_s
-        Silence from which on a peer that was asked counts as silent.
+        Time without a reply after which a probed peer counts as silent.
     """
     heard_at = evidence.heard_at
     if not evidence.peers:
@@ -121,7 +128,7 @@
 
 
 def _assess_by_replicas(evidence: Evidence, now: float) -> Reachability:
-    """Return what is known of a zone all of whose members are dead: its replicas may live."""
+    """Return whether a zone is reachable whose members are all dead; its replicas may live."""
     silent = [
         since
         for since in evidence.replicas_silent_since
@@ -135,51 +142,51 @@
 
 
 def _is_overdue(since: float, heard_at: float, now: float, probe_after_s: float) -> bool:
-    """Return whether what is owed since then is reason to ask the zone for a word."""
+    """Return whether an answer outstanding since then is a reason to probe the zone."""
     if since > heard_at:
         return now - since >= probe_after_s
-    # The zone has spoken meanwhile: this one answer may just take long.
+    # The zone has sent something in the meantime, so this one answer may just take long.
     return now - heard_at >= REPROBE_AFTER_S
 
 
 class MembershipLink(Protocol):
-    """What is needed of the membership."""
+    """The part of the membership that zone reachability uses."""
 
     @property
     def timeout_factor(self) -> float:
-        """By how much answers are waited for longer now; 1 in a calm fleet."""
+        """Factor by which timeouts are extended now; 1 while replies arrive early."""
 
     def members(self) -> tuple[Member, ...]:
         """Return every member known, this node and the dead included."""
 
     def subscribe(self, listener: Callable[[], None]) -> None:
-        """Call ``listener`` after news of members."""
+        """Call ``listener`` after each change of members."""
 
     def on_datagram(self, listener: Callable[[str], None]) -> None:
         """Call ``listener`` with the name of each sender of a datagram."""
 
     def probe(self, members: Iterable[Member]) -> None:
-        """Ask members for a word."""
+        """Send a probe to each of these members."""
 
 
 class WatchedReplica(Protocol):
-    """What is needed of a replica."""
+    """The part of a replica that zone reachability uses."""
 
     @property
     def entry(self) -> ReplicaEntry:
-        """What it says of itself."""
+        """The replica's entry, with its address."""
 
     @property
     def zone(self) -> str:
-        """Where it runs."""
+        """The zone in which the replica runs."""
 
     @property
     def heard_at(self) -> float:
-        """When something came from it last."""
+        """When this process last received something from the replica."""
 
     @property
     def owes_since(self) -> float | None:
-        """Since when it has been silent with a request from here; ``None`` without one."""
+        """Since when it has sent nothing for a request of this process; ``None`` without one."""
 
 
 @attrs.define
@@ -188,10 +195,10 @@
 
     Attributes
     ----------
-    asked_at_by_name
-        When peers were asked whether they can be reached, since the zone was last heard.
-    lost_at, asked_at
-        Since when the zone cannot be reached, and when it was asked last.
+    probed_at_by_name
+        When peers were probed since the last message from the zone.
+    unreachable_since, probed_at
+        Since when the zone is unreachable, and when it was last probed in this state.
     """
 
     members: tuple[Member, ...] = ()
@@ -201,25 +208,25 @@
     probed_at: float = -math.inf
 
     def live_members(self) -> list[Member]:
-        """Return the members that should answer: those that are not held for dead."""
+        """Return the members that should answer: those not marked as dead."""
         return [member for member in self.members if member.state is not MemberState.DEAD]
 
     def discard_answered_probes(self) -> None:
-        """Forget what was asked before the zone was heard last."""
+        """Discard all probes if one of them was sent before the zone's last message."""
         if any(at <= self.heard_at for at in self.probed_at_by_name.values()):
             self.probed_at_by_name.clear()
 
 
 class ZoneReachability:
-    """The zones as this process reaches them; safe to use from any thread.
+    """Tracks which zones this process can reach; safe to use from any thread.
 
-    It hears of each call to a peer (``began``, ``ended``) and of each datagram; replicas are
-    looked at from time to time. Until ``start`` every zone counts as reachable.
+    It is notified of each call to a peer (``began``, ``ended``) and of each datagram, and checks
+    the replicas periodically. Until ``start`` every zone counts as reachable.
 
     Parameters
     ----------
-    own_zone
-        Where this process runs; it is always reachable.
+    local_zone
+        The zone of this process, which always counts as reachable.
     """
 
     def __init__(self, local_zone: str, membership: MembershipLink) -> None:
@@ -245,33 +252,33 @@
         replicas: Callable[[], Iterable[WatchedReplica]],
         is_reached: Callable[[Endpoint], bool] = lambda endpoint: False,
     ) -> None:
-        """Look at these replicas too.
+        """Take these replicas into account as well.
 
         Parameters
         ----------
         is_reached
-            Tries a connection; tells whether anything came back, a refusal included.
+            Tries a connection; returns whether anything came back, a refusal included.
         """
         self._replicas = replicas
         self._is_reached = is_reached
 
     def start(self) -> None:
-        """Begin to tell which zones can be reached."""
+        """Subscribe to the membership and begin the periodic checks."""
         self._membership.subscribe(self._on_members_changed)
         self._membership.on_datagram(self._on_datagram)
         self._checked_at = boot_clock.now()
         threading.Thread(target=self._run, name="zone-reach", daemon=True).start()
 
     def stop(self) -> None:
-        """Tell no more."""
+        """Stop the periodic checks."""
         self._stopping.set()
 
     def is_unreachable(self, zone: str) -> bool:
-        """Return whether a zone cannot be reached now."""
+        """Return whether a zone is unreachable now."""
         return zone in self._unreachable
 
     def reachable(self, members: Iterable[Member]) -> tuple[Member, ...]:
-        """Return the members in zones that can be reached; all if there is none such."""
+        """Return the members in reachable zones, or all members if there are none in these."""
         members = tuple(members)
         if not self._unreachable:
             return members
@@ -279,39 +286,39 @@
 
     @property
     def unreachable_zones(self) -> int:
-        """How many zones cannot be reached now."""
+        """Number of zones that are unreachable now."""
         return len(self._unreachable)
 
-    # Calls to peers, as their client tells of them.
+    # Notifications of the peer client about its calls.
 
     def refuses(self, endpoint: Endpoint) -> bool:
-        """Return whether a call would go to a zone that cannot be reached."""
+        """Return whether a call to this endpoint would go to an unreachable zone."""
         if not self._unreachable:
             return False
         member = self._members_by_endpoint.get(endpoint)
         return member is not None and member.zone in self._unreachable
 
     def began(self, endpoint: Endpoint) -> int:
-        """Note that a peer is being called; returns what ``ended`` is to be given."""
+        """Record the start of a call to a peer; return the token for ``ended``."""
         token = next(self._tokens)
         self._open_calls[token] = (endpoint, boot_clock.now())
         return token
 
     def ended(self, token: int, reply: object) -> None:
-        """Note what came of a call."""
+        """Record the end of a call and its reply or failure."""
         endpoint, began = self._open_calls.pop(token)
         if isinstance(reply, PeerMessage):
             self._record_message(self._members_by_endpoint.get(endpoint))
         elif boot_clock.now() - began >= FAST_FAILURE_S:
             self._unanswered[endpoint] = began
 
-    # What is heard otherwise.
+    # Other messages.
 
     def _on_datagram(self, name: str) -> None:
         self._record_message(self._members_by_name.get(name))
 
     def _record_message(self, member: Member | None) -> None:
-        """Note a word of a member: its zone is reached, if it was not until now."""
+        """Record a message of a member; its zone is reachable from now on."""
         zone = None if member is None else self._zones.get(member.zone)
         if zone is None:
             return
@@ -323,17 +330,17 @@
     def _on_members_changed(self) -> None:
         self._members_changed = True
 
-    # The check, on a thread of its own.
+    # The periodic check, on its own thread.
 
     def _run(self) -> None:
         while not self._stopping.wait(CHECK_INTERVAL_S):
             try:
                 self.check()
-            except Exception as error:  # A bug here must not end the checks of this process.
+            except Exception as error:  # A bug must not end the checks of this process.
                 log_message("zone:check_error", error=repr(error))
 
     def check(self) -> None:
-        """Look at all that was heard and is owed, and decide."""
+        """Update the state of all zones from messages received and answers outstanding."""
         now = boot_clock.now()
         was_paused = now - self._checked_at > CHECK_INTERVAL_S + PROCESS_PAUSE_S
         self._checked_at = now
@@ -351,7 +358,7 @@
                 self._probe_zones(statuses, now)
 
     def _discard_probes(self) -> None:
-        """Begin anew: answers may have come while this process was held up, and lie unread."""
+        """Discard all probes, since replies may be unread after a pause of this process."""
         for zone in self._zones.values():
             zone.probed_at_by_name.clear()
 
@@ -359,7 +366,7 @@
         self._members_changed = False
         members = self._membership.members()
         self._members_by_name = {member.name: member for member in members}
-        # Where an address is used again, the member that lives there counts.
+        # If two members have one address, the one that is not dead is mapped.
         dead_first = sorted(members, key=lambda one: one.state is not MemberState.DEAD)
         self._members_by_endpoint = {member.peer: member for member in dead_first}
         by_zone: dict[str, list[Member]] = {}
@@ -368,12 +375,12 @@
                 by_zone.setdefault(member.zone, []).append(member)
         for name, zone_members in by_zone.items():
             self._zones.setdefault(name, _Zone()).members = tuple(zone_members)
-        for name in self._zones.keys() - by_zone.keys():  # All its members have been forgotten.
+        for name in self._zones.keys() - by_zone.keys():  # Zones without any member left.
             del self._zones[name]
             self._unreachable -= {name}
 
     def _record_replica_responses(self) -> None:
-        """Note by zone when something came from a replica last."""
+        """Update each zone's time of the last message from its replicas."""
         for replica in self._replicas():
             zone = self._zones.get(replica.zone)
             if zone is not None and replica.heard_at > zone.heard_at:
@@ -392,7 +399,7 @@
         return status
 
     def _recheck_unreachable(self, name: str, zone: _Zone, now: float) -> None:
-        """Ask a zone that is not reached for a word, unless there was one."""
+        """Probe an unreachable zone; mark it reachable if it has sent anything."""
         if zone.heard_at > zone.unreachable_since:
             self._set_reachable(name, "a replica")
         elif now - zone.probed_at >= UNREACHABLE_PROBE_INTERVAL_S:
@@ -402,7 +409,7 @@
                 self._try_replica(name)
 
     def _try_replica(self, zone: str) -> None:
-        """Try a connection to a replica of a zone whose members are dead, and may stay so."""
+        """Try to connect to a replica of a zone whose members are all dead."""
         in_zone = [replica for replica in self._replicas() if replica.zone == zone]
         if in_zone:
             replica = self._random.choice(in_zone)
@@ -418,10 +425,10 @@
             self._set_reachable(zone, "a connection to a replica")
 
     def _probe_zones(self, statuses: Mapping[str, Reachability], now: float) -> None:
-        """Ask the zones of which it is not known whether they are reached.
+        """Probe the uncertain zones, and the reachable ones without a very recent message.
 
-        One that is calm is asked too, if nothing was heard from it just now: where the own zone
-        is cut off, a request that leaves one zone must not go on to another that is lost as well.
+        If the local zone is cut off, this finds all other zones unreachable at about the same
+        time, so that a request is not sent from one unreachable zone to the next.
         """
         for name, status in statuses.items():
             zone = self._zones[name]
@@ -449,7 +456,7 @@
         return "" if member is None else member.zone
 
     def _calls_without_answer(self, now: float, heard_at: float) -> list[tuple[Endpoint, float]]:
-        """Return the calls that have no answer yet, and those since a word that got none."""
+        """Return the open calls and those after ``last_received_at`` that ended unanswered."""
         for endpoint, began in list(self._unanswered.items()):
             if now - began > UNANSWERED_RETENTION_S:
                 del self._unanswered[endpoint]
@@ -457,7 +464,7 @@
         return [*list(self._open_calls.values()), *ended]
 
     def _probe_some_members(self, zone: _Zone, now: float) -> None:
-        """Ask some peers of a zone that have not been asked since it was heard last."""
+        """Probe some members that were not probed since the last message from their zone."""
         unprobed = [
             member for member in zone.live_members() if member.name not in zone.probed_at_by_name
         ]
@@ -483,7 +490,7 @@
         zone.probed_at_by_name.clear()
 
     def _set_reachable(self, name: str, heard_from: str) -> None:
-        """End the state of a zone; the lock is held."""
+        """Mark a zone as reachable again; the caller holds the lock."""
         if name not in self._unreachable:
             return
         self._unreachable -= {name}
