--- a/src/quaymill/process/membership/__init__.py
+++ b/src/quaymill/process/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which nodes there are, found and watched by probes between them."""
+"""Membership of the fleet: nodes discover and monitor each other by probes."""
--- a/src/quaymill/process/membership/dissemination.py
+++ b/src/quaymill/process/membership/dissemination.py
@@ -1,4 +1,4 @@
-"""News of members on its way: each record rides on a bounded number of datagrams."""
+"""Spreads updates of members: each record is piggybacked on a bounded number of datagrams."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 
 
 class Dissemination:
-    """Hands out the records that were sent least often, the newest first.
+    """Selects the records to send, those sent least often first, and of these the newest first.
 
-    A record is dropped after ``TRANSMISSIONS_FACTOR * log2(members)`` transmissions, which is
-    enough for an epidemic to reach all; the periodic synchronisation finds those it missed.
+    A record is dropped after ``TRANSMISSIONS_PER_LOG2_MEMBERS * log2(members)`` transmissions,
+    after which nearly all members have it; the periodic synchronisation reaches the others.
     """
 
     def __init__(self) -> None:
@@ -31,13 +31,13 @@
         self._pending: dict[str, _PendingUpdate] = {}
 
     def add(self, record: Member) -> None:
-        """Start to spread a record; it takes the place of an older one of that member."""
+        """Start to spread a record, replacing an older one of the same member."""
         with self._lock:
             self._pending.pop(record.name, None)
             self._pending[record.name] = _PendingUpdate(record, encoded_size(record))
 
     def take(self, budget_bytes: int, members: int) -> list[Member]:
-        """Return records for one datagram, at most ``budget_bytes`` of them."""
+        """Return records for one datagram, with an encoded size of at most ``budget_bytes``."""
         if not self._pending:
             return []
         limit = TRANSMISSIONS_PER_LOG2_MEMBERS * max(math.ceil(math.log2(members + 1)), 1)
--- a/src/quaymill/process/membership/failure_detector.py
+++ b/src/quaymill/process/membership/failure_detector.py
@@ -1,4 +1,4 @@
-"""Probes of one peer after another: directly, then through others."""
+"""Failure detection: probes one peer after another, directly and then through others."""
 
 from __future__ import annotations
 
@@ -21,23 +21,22 @@
 MAX_RELAYED_PROBES = 1000
 RELAYED_PROBE_LIFETIME_S = 5.0
 MAX_TIMEOUT_FACTOR = 8.0
-"""Most by which probes are slowed down: with probes every 0.5 s one goes out every 4 s then, which
-is still within the time in which the largest fleets measured are probed once (195 nodes)."""
+"""Upper bound of the factor: with probes every 0.5 s, one is then sent every 4 s."""
 TIMEOUT_FACTOR_GROWTH = 2.0
-"""Factor by which a late reply lengthens patience."""
+"""Factor by which a late reply extends the timeouts."""
 TIMEOUT_FACTOR_DECAY = 0.8
-"""Factor by which an early reply shortens it: three undo one late reply, so that a fleet that is
-barely quick enough does not swing between the two."""
+"""Factor by which an early reply shortens the timeouts. It takes about three early replies to
+undo a late one, which avoids oscillation in a fleet that is barely fast enough."""
 EARLY_SHARE = 0.5
-"""Part of the time-out within which a reply is early, so that it is in time after a decay too."""
+"""Fraction of the timeout within which a reply is early; it would also be in time after a decay."""
 REMEMBERED_ABANDONED_PROBES = 16
-"""Probes given up whose replies are still known as late: two each second for MAX_PATIENCE."""
+"""Abandoned probes whose replies are still recognised as late."""
 
 Send = Callable[[Endpoint, Datagram, tuple[Member, ...]], None]
 
 
 class _RelayedProbe(msgspec.Struct, frozen=True):
-    """A probe made for another node, to which the reply is passed on."""
+    """A probe sent on behalf of another node, to which the reply is forwarded."""
 
     asker: Endpoint
     sequence: int
@@ -45,21 +44,21 @@
 
 
 class FailureDetector:
-    """Decides which peer to suspect, and passes on the probes of others.
+    """Decides which peers to suspect, and relays probes for other nodes.
 
-    A reply that comes after its time-out shows that the time-outs are too short for the network
-    or the processors as they are, and that the peer lives. Probes are then slowed down, with
-    longer time-outs, until replies are early again. Without this, forty nodes that each took 20 ms
-    for a datagram held nearly all others for dead without an end: each probe given up costs
-    seven datagrams and news of a suspect, which made the next replies later still. A node that
-    has failed sends no late replies, so it is found as quickly as ever.
+    A reply after its timeout shows that the peer is alive and that timeouts are too short for the
+    current load of the network or the processors. Probes are then sent less often and with longer
+    timeouts until replies are early again. Without this, an overloaded fleet stays in a state in
+    which nodes mark each other as dead: each abandoned probe costs several datagrams and an update
+    about a suspect, which delays the next replies even more. A failed node sends no late replies,
+    so its detection takes no longer.
 
     Parameters
     ----------
     send
-        Sends a datagram with news, and with the given records first.
-    head
-        Gives the fields that every datagram has.
+        Sends a datagram with the given records first and pending updates after them.
+    header_fields
+        Returns the fields that every datagram has.
     """
 
     def __init__(
@@ -86,11 +85,11 @@
 
     @property
     def timeout_factor(self) -> float:
-        """By how much probes are slowed down and time-outs are longer now; 1 in a calm fleet."""
+        """Factor by which probe intervals and timeouts are extended now; at least 1."""
         return self._timeout_factor
 
     def probe_next(self) -> Member | None:
-        """Probe the next peer for one period; return its record if it is newly suspect."""
+        """Probe the next peer and wait for its reply; return its record if newly suspect."""
         target = self._next_peer()
         if target is None:
             return None
@@ -99,21 +98,21 @@
             return None
         elapsed_s = boot_clock.now() - began
         if elapsed_s > self._max_round_s() + PROCESS_PAUSE_S:
-            return None  # This process was paused; the reply may wait unread in its socket.
+            return None  # This process was paused; the reply may be unread in the socket.
         return self._table.suspect(target.name)
 
     def expire_suspects(self) -> list[Member]:
-        """Mark as dead who did not refute in time; return their records."""
+        """Mark suspects that did not refute in time as dead; return their records."""
         now = boot_clock.now()
         pause_s = now - self._last_round_at - self._max_round_s()
         self._last_round_at = now
         if pause_s > PROCESS_PAUSE_S:
-            # This process was paused: its suspects had no chance to be heard.
+            # This process was paused, so it may not have read refutations.
             self._table.postpone_suspicions(pause_s)
         return self._table.expire_suspects(self._timing.suspicion_s * self._timeout_factor)
 
     def on_reply(self, reply: ProbeReply) -> None:
-        """Take a reply, which may belong to a probe made for another node."""
+        """Handle a reply, which may belong to a probe sent on behalf of another node."""
         answered = self._replies.get(reply.sequence)
         if answered is not None:
             answered.set()
@@ -130,7 +129,7 @@
             self._send(relayed.asker, passed_on, ())
 
     def relay(self, request: ProbeRequest, asker: Endpoint) -> None:
-        """Probe a node that ``asker`` does not reach."""
+        """Probe a node on behalf of ``asker``, which got no reply from it."""
         now = boot_clock.now()
         if len(self._relayed) >= MAX_RELAYED_PROBES:
             self._relayed = {
@@ -147,7 +146,7 @@
         sequence = self._next_sequence()
         answered = threading.Event()
         self._replies[sequence] = answered
-        # A suspect is shown its record, so that it can refute it.
+        # A suspect receives its own record, so that it can refute the suspicion.
         shown = (target,) if target.state is MemberState.SUSPECT else ()
         timeout_s = self._timing.probe_timeout_s * self._timeout_factor
         try:
@@ -176,7 +175,7 @@
             self._send(helper.peer, request, ())
 
     def _next_peer(self) -> Member | None:
-        """Return the next member of a shuffled round over all."""
+        """Return the next peer of a shuffled round over all peers."""
         while True:
             if not self._probe_order:
                 self._probe_order = [member.name for member in self._table.peers()]
@@ -192,7 +191,7 @@
         return max(remaining_s, self._timing.probe_timeout_s) * self._timeout_factor
 
     def _max_round_s(self) -> float:
-        """Return how long one probe and the pause after it may take."""
+        """Return the longest time that one probe and the pause after it should take."""
         direct_s = self._timing.probe_timeout_s * self._timeout_factor
         interval_s = self._timing.probe_interval_s * self._timeout_factor
         return max(direct_s + self._indirect_timeout_s(), interval_s)
--- a/src/quaymill/process/membership/member_socket.py
+++ b/src/quaymill/process/membership/member_socket.py
@@ -1,4 +1,4 @@
-"""The UDP socket of the membership: datagrams out, datagrams in, and what they cost."""
+"""The UDP socket of the membership, which also counts datagrams and bytes."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Traffic(msgspec.Struct):
-    """What a node has sent and received, without the headers of UDP and IP."""
+    """Datagrams and bytes that a node has sent and received, without UDP and IP headers."""
 
     sent_datagrams: int = 0
     sent_bytes: int = 0
@@ -30,14 +30,14 @@
 
 
 class MemberSocket:
-    """Sends from any thread; receives on one thread of its own.
+    """Sends from any thread; receives on its own thread.
 
     Parameters
     ----------
     endpoint
-        Where to listen, which is also the source address of what is sent.
+        Address on which to listen, also the source address of sent datagrams.
     link_filter
-        Fault switch: nothing is sent to a blocked endpoint.
+        Fault injection: nothing is sent to a blocked endpoint.
     """
 
     def __init__(self, endpoint: Endpoint, link_filter: LinkFilter) -> None:
@@ -50,7 +50,7 @@
         self._socket.bind((endpoint.host, endpoint.port))
 
     def start(self, receiver: Receiver) -> None:
-        """Begin to hand datagrams to ``receiver``."""
+        """Begin to pass received datagrams to ``receiver``."""
         self._thread = threading.Thread(
             target=self._receive, args=(receiver,), name="member-receive", daemon=True
         )
@@ -60,14 +60,14 @@
         """End the receiving thread and close the socket."""
         self._stopping = True
         with contextlib.suppress(OSError):
-            # A datagram to itself wakes the receiving thread from its wait.
+            # A datagram to the socket itself wakes the receiving thread.
             self._socket.sendto(b"\n", self._socket.getsockname())
         if self._thread is not None:
             self._thread.join(STOP_TIMEOUT_S)
         self._socket.close()
 
     def send(self, target: Endpoint, datagram: Datagram) -> None:
-        """Send a datagram; whether it arrives is for the protocol to find out."""
+        """Send a datagram without any guarantee that it arrives; errors are ignored."""
         if self._link_filter.blocks(target):
             return
         line = encode_datagram(datagram)
@@ -81,7 +81,7 @@
             try:
                 line, address = self._socket.recvfrom(RECEIVE_BYTES)
             except OSError:
-                continue  # A peer that is gone shows as an error on the socket now and then.
+                continue  # An earlier datagram may have failed, such as with "connection refused".
             datagram = decode_datagram(line)
             if datagram is None:
                 continue
@@ -89,5 +89,5 @@
             self.traffic.received_bytes += len(line)
             try:
                 receiver(datagram, Endpoint(*address))
-            except Exception as error:  # One strange datagram must not end the membership.
+            except Exception as error:  # One bad datagram must not end the thread.
                 log_message("membership:handler_error", error=repr(error))
--- a/src/quaymill/process/membership/member_table.py
+++ b/src/quaymill/process/membership/member_table.py
@@ -1,8 +1,8 @@
-"""What one node knows of all members, and the rules by which news changes it.
+"""One node's table of all members, and the rules by which records are merged into it.
 
-Of two records of a member the one with the higher incarnation holds. Within an incarnation
-DEAD goes before SUSPECT, and SUSPECT before ALIVE and DRAINING; generation and machine list
-version only rise. A member alone raises its incarnation, to refute what is said of it.
+Of two records of a member, the one with the higher incarnation wins. Within an incarnation, DEAD
+overrides SUSPECT, and SUSPECT overrides ALIVE and DRAINING; generation and machine list version
+only increase. Only the member itself raises its incarnation, to refute reports about it.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
     Parameters
     ----------
     local
-        The record of this node, which is in the table from the start.
+        Record of this node, the first in the table.
     """
 
     def __init__(self, local: Member) -> None:
@@ -42,7 +42,7 @@
         self._suspect_since: dict[str, float] = {}
         self._dead_since: dict[str, float] = {}
         self.revision = 0
-        """Raised with every change, so that a reader can tell whether there was one."""
+        """Incremented with every change, so that a reader can detect changes."""
 
     def local(self) -> Member:
         """Return the record of this node."""
@@ -58,7 +58,7 @@
             return tuple(self._members.values())
 
     def peers(self) -> tuple[Member, ...]:
-        """Return every other member that is not known as dead."""
+        """Return every other member that is not marked as dead."""
         return tuple(
             member
             for member in self.all()
@@ -72,7 +72,7 @@
         return 0.0 if since is None else boot_clock.now() - since
 
     def dead(self) -> tuple[Member, ...]:
-        """Return the members known as dead."""
+        """Return the members marked as dead."""
         return tuple(member for member in self.all() if member.state is MemberState.DEAD)
 
     def update_local(self, **fields: object) -> Member:
@@ -84,7 +84,7 @@
             return local
 
     def merge(self, record: Member) -> Member | None:
-        """Take news of a member; return its new record if it has to be passed on."""
+        """Merge a received record; return the record to be spread, ``None`` if there is none."""
         with self._lock:
             if record.name == self._local_name:
                 return self._refute(record)
@@ -98,7 +98,7 @@
             return record
 
     def record_versions(self, name: str, incarnation: int, generation: int, machines: int) -> None:
-        """Take the versions that a member told in the head of a datagram."""
+        """Record the versions that a member reports in a datagram."""
         with self._lock:
             known = self._members.get(name)
             if known is None or name == self._local_name or known.incarnation != incarnation:
@@ -114,14 +114,14 @@
             self._raise_versions(known, reported)
 
     def suspect(self, name: str) -> Member | None:
-        """Mark an answerless member; return its record if the mark is new."""
+        """Mark a member as suspect; return its record if it was alive or draining until now."""
         known = self._members.get(name)
         if known is None or known.state not in (MemberState.ALIVE, MemberState.DRAINING):
             return None
         return self.merge(msgspec.structs.replace(known, state=MemberState.SUSPECT))
 
     def expire_suspects(self, suspicion_s: float) -> list[Member]:
-        """Mark as dead who has been suspect for ``suspicion_s``; return their records."""
+        """Mark members as dead that were suspect for ``suspicion_s``; return their records."""
         deadline = boot_clock.now() - suspicion_s
         with self._lock:
             names = [name for name, since in self._suspect_since.items() if since <= deadline]
@@ -133,13 +133,13 @@
         return newly_dead
 
     def postpone_suspicions(self, seconds: float) -> None:
-        """Give every suspect more time, after this process itself was paused."""
+        """Extend the time of every suspect, after this process itself was paused."""
         with self._lock:
             for name in self._suspect_since:
                 self._suspect_since[name] += seconds
 
     def forget_dead(self) -> None:
-        """Drop members that have been dead for long."""
+        """Remove members that were marked as dead ``DEAD_MEMBER_RETENTION_S`` ago."""
         deadline = boot_clock.now() - DEAD_MEMBER_RETENTION_S
         with self._lock:
             for name in [name for name, since in self._dead_since.items() if since <= deadline]:
@@ -147,12 +147,12 @@
                 del self._members[name]
 
     def endpoint_of(self, name: str) -> Endpoint | None:
-        """Return where a member is reached."""
+        """Return a member's peer endpoint; ``None`` if the member is not known."""
         member = self._members.get(name)
         return member.peer if member else None
 
     def digests(self) -> tuple[int, ...]:
-        """Return one digest for each bucket of names, of the members not known as dead."""
+        """Return a digest for each bucket of names, over the members not marked as dead."""
         buckets = [0] * BUCKETS
         for member in self.all():
             if member.state is not MemberState.DEAD:
@@ -164,12 +164,15 @@
         return [member for member in self.all() if _bucket_of(member.name) in buckets]
 
     def _refute(self, record: Member) -> Member | None:
-        """Answer what is said of this node; the caller holds the lock."""
+        """Refute a report about this node if necessary; the caller holds the lock.
+
+        Returns the record to be spread, ``None`` if there is none.
+        """
         local = self._members[self._local_name]
         reported_failed = record.state in (MemberState.SUSPECT, MemberState.DEAD)
         if record.incarnation < local.incarnation:
-            # Said of a former process of this node: who says so does not know the present one.
-            # Unanswered, a member that restarted stayed unknown to some for 10 s in 1 of 27 runs.
+            # The report is about a former process of this node. Its sender may not know the current
+            # process, so the current record is spread again.
             return local if reported_failed else None
         if record.incarnation == local.incarnation and not reported_failed:
             return None
@@ -186,7 +189,7 @@
                 self.revision += 1
 
     def _put(self, record: Member) -> None:
-        """Store a record and its times; the caller holds the lock."""
+        """Store a record and when its state began; the caller holds the lock."""
         now = boot_clock.now()
         self._members[record.name] = record
         self.revision += 1
--- a/src/quaymill/process/membership/messages.py
+++ b/src/quaymill/process/membership/messages.py
@@ -1,8 +1,8 @@
 """Datagrams of the membership: one JSON line each, at most ``MAX_DATAGRAM_BYTES``.
 
-Every datagram tells its sender's incarnation, generation and machine list version, so that
-news of a new configuration costs no message of its own, and carries records of members
-that changed lately.
+Every datagram contains its sender's incarnation, generation and machine list version, so that a
+new configuration becomes known without a message of its own, and records of members that have
+changed recently.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 from quaymill.connection.endpoint import Endpoint
 from quaymill.connection.member import Member, MemberState
 
-# Also bounds what news can cost: a node sends and receives about four datagrams a second.
+# Bounds the traffic of updates, since a node sends only a few datagrams per second.
 MAX_DATAGRAM_BYTES = 900
 
 
 class MemberRecord(msgspec.Struct, array_like=True, frozen=True):
-    """A ``Member`` on the wire: an array, since records are most of what is sent.
+    """A ``Member`` on the wire, encoded as an array because records make up most of the traffic.
 
-    A later version may add fields at the end only, with defaults, so that nodes of both
+    New fields may only be added at the end and with defaults, so that nodes of different
     versions understand each other.
     """
 
@@ -87,8 +87,8 @@
     Attributes
     ----------
     confirmed_ms_ago
-        How long ago the versions told here were known to be the platform's newest; -1 if that
-        is not known.
+        How long ago, in milliseconds, these versions were known to be the platform's newest; -1
+        if that is not known.
     crashes
         Digest of the crashes that the sender knows of; 0 if none.
     records
@@ -105,36 +105,36 @@
 
 
 class Probe(Datagram):
-    """Asks for a ``ProbeReply`` with the same sequence number."""
+    """Requests a ``ProbeReply`` with the same sequence number."""
 
     sequence: int = 0
 
 
 class ProbeReply(Datagram):
-    """Says that ``subject`` answered the probe of this sequence number."""
+    """Reports that ``subject`` replied to the probe with this sequence number."""
 
     sequence: int = 0
     subject: str = ""
 
 
 class ProbeRequest(Datagram):
-    """Asks the receiver to probe ``target`` and to pass its reply on."""
+    """Requests that the receiver probe ``target`` and forward its reply."""
 
     sequence: int = 0
     target: Endpoint = Endpoint("", 0)
 
 
 class Notice(Datagram):
-    """Carries news and asks for nothing."""
+    """Carries updates and requires no reply."""
 
 
 class Sync(Datagram):
-    """Compares what two nodes hold.
+    """Starts a comparison of two nodes' tables.
 
     Attributes
     ----------
     digests
-        One digest for each bucket of names, of the members not known as dead.
+        One digest for each bucket of names, over the members not marked as dead.
     """
 
     digests: tuple[int, ...] = ()
@@ -146,7 +146,7 @@
     Attributes
     ----------
     wanted
-        Buckets whose records the receiver of this answer is asked to send back.
+        Buckets whose records the receiver is to send back.
     """
 
     wanted: tuple[int, ...] = ()
@@ -159,12 +159,12 @@
 
 
 def encode_datagram(datagram: Datagram) -> bytes:
-    """Return the line to send."""
+    """Return the datagram as a JSON line."""
     return _ENCODER.encode(datagram) + b"\n"
 
 
 def decode_datagram(line: bytes) -> Any | None:
-    """Return the message of a line, ``None`` if it is not one."""
+    """Return the datagram of a line, or ``None`` if the line is not a valid datagram."""
     try:
         return _DECODER.decode(line)
     except msgspec.MsgspecError:
--- a/src/quaymill/process/membership/ranking.py
+++ b/src/quaymill/process/membership/ranking.py
@@ -1,4 +1,4 @@
-"""Agreement without messages: every node that sees the same members ranks them alike."""
+"""Rankings of members that are the same on every node that knows the same members."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 READERS_PER_ZONE = 2
 MIN_STRONGEST_MEMBERS = 3
-"""Strong nodes among which work for all others is shared out at least: two may be lost at once."""
+"""Minimum number of members among which work for the whole fleet is distributed, so that two may
+fail at once."""
 STRONGEST_SHARE = 1 / 16
-"""Part of the nodes that are strong enough for such work at least. Of 165 gateways 15 had 2.15
-cores and the others 0.52; one of these kept room for all, and 193 of its answers to gateways came
-later than the 0.05 s that they wait, all in the bursts of 18 s of a day with trouble."""
+"""Minimum fraction of the members among which such work is distributed. A larger fraction could
+include weak members, which answer too late under load."""
 
 
 def rank_nodes(key: str, members: Iterable[Member], zone: str = "") -> tuple[Member, ...]:
@@ -37,11 +37,10 @@
 
 
 def rank_across_zones(key: str, members: Iterable[Member]) -> tuple[Member, ...]:
-    """Return members by rendezvous hashing of ``key``, one of each zone in turn.
+    """Return members by rendezvous hashing of ``key``, in rounds of one member per zone.
 
-    No zone comes a second time before each has come once. The first of all is the one that
-    ``rank_nodes`` puts first; removing a member moves only the keys that it was among the first
-    for.
+    Each zone is used once before any zone is used again. The first member is the same as that of
+    ``rank_nodes``. Removing a member affects only the keys for which it ranked high.
     """
     ranked = rank_nodes(key, members)
     round_by_name: dict[str, int] = {}
@@ -53,11 +52,11 @@
 
 
 def strongest(members: Iterable[Member]) -> tuple[Member, ...]:
-    """Return the members with the most processor time, those that have as much included.
+    """Return the members with the most cores, including those that tie with the last of them.
 
-    Work that one node does for all others would hold a weak one up; where all have the same, or
-    none was told what it has, these are all. At least the median is asked for, so that in a small
-    fleet one strong node does not get all such work.
+    They do work for the whole fleet, which would overload a weak node. If all members have the same
+    number of cores or none is known, all are returned. Each returned member has at least the
+    median number of cores.
     """
     members = tuple(members)
     if not members:
@@ -69,6 +68,6 @@
 
 
 def reader_nodes(members: Iterable[Member], zone: str) -> tuple[Member, ...]:
-    """Return the nodes of a zone that watch the platform for the others."""
+    """Return the nodes of a zone that read the platform on behalf of the other nodes."""
     in_zone = (member for member in members if member.zone == zone)
     return rank_nodes(f"platform-reader/{zone}", in_zone)[:READERS_PER_ZONE]
--- a/src/quaymill/process/membership/synchronisation.py
+++ b/src/quaymill/process/membership/synchronisation.py
@@ -1,4 +1,4 @@
-"""Comparison of two nodes' tables by digests, and exchange of the records that differ."""
+"""Compares the tables of two nodes by digests and exchanges the records that differ."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 class Synchronisation:
     """One node's side of the exchange: ``Sync`` -> ``SyncAnswer`` -> ``SyncAnswer``.
 
-    A lost datagram costs nothing but time: the next comparison finds what still differs.
+    Lost datagrams are not sent again, since the next comparison finds what still differs.
     """
 
     def __init__(
@@ -40,13 +40,13 @@
         self._random = random_source
 
     def begin(self, target: Endpoint) -> None:
-        """Show another node the digests of this one's table, and who this one is."""
+        """Send the digests of this node's table and its own record to another node."""
         sync = Sync(**self._header_fields(), digests=self._table.digests())
         sync.records = (MemberRecord.of(self._table.local()),)
         self._socket.send(target, sync)
 
     def answer(self, sync: Sync, source: Endpoint) -> None:
-        """Send the records of the buckets that differ, and ask for the other side's."""
+        """Send the records of the buckets that differ, and request the sender's records."""
         pairs = zip(self._table.digests(), sync.digests, strict=False)
         differing = tuple(bucket for bucket, (own, other) in enumerate(pairs) if own != other)
         if differing:
@@ -55,7 +55,7 @@
     def send_records(
         self, target: Endpoint, buckets: frozenset[int], wanted: tuple[int, ...] = ()
     ) -> None:
-        """Send the records of some buckets, with the wish for the other side's on the last."""
+        """Send the records of some buckets; the last datagram requests those of ``wanted``."""
         batches = self._batches(buckets, wanted)[:MAX_SYNC_DATAGRAMS]
         for index, batch in enumerate(batches):
             last = index == len(batches) - 1
@@ -64,9 +64,9 @@
             self._socket.send(target, answer)
 
     def _batches(self, buckets: frozenset[int], wanted: tuple[int, ...]) -> list[list[Member]]:
-        """Share records out over datagrams."""
+        """Return the members of the buckets in batches that fit into one datagram each."""
         members = self._table.in_buckets(buckets)
-        self._random.shuffle(members)  # What does not fit now comes with a later exchange.
+        self._random.shuffle(members)  # Records over the limit differ from exchange to exchange.
         empty = SyncAnswer(**self._header_fields(), wanted=wanted)
         capacity_bytes = MAX_DATAGRAM_BYTES - len(encode_datagram(empty))
         batches: list[list[Member]] = [[]]
