--- a/src/quaymill/process/replicas/__init__.py
+++ b/src/quaymill/process/replicas/__init__.py
@@ -1,1 +1,1 @@
-"""What this node knows of the replicas, and which of them takes a request."""
+"""State of the replicas as known to this node, and the choice of a replica for a request."""
--- a/src/quaymill/process/replicas/ejection.py
+++ b/src/quaymill/process/replicas/ejection.py
@@ -1,4 +1,4 @@
-"""Takes failing replicas out of the choice for a time, never more than half of a set."""
+"""Temporarily excludes failing replicas from routing, never more than half of a service's."""
 
 from __future__ import annotations
 
@@ -33,11 +33,11 @@
 
 
 class Ejector:
-    """Counts failures in a row, and the time to the first byte, of each replica.
+    """Tracks consecutive failures and the time to the first byte of each replica.
 
-    A replica is ejected after ``CONSECUTIVE_FAILURES``, or when its first bytes come much
-    later than those of the others. After its time it takes requests again, and the next
-    failure ejects it for twice as long. A timely answer clears its record.
+    A replica is ejected after ``CONSECUTIVE_FAILURES``, or when its first bytes are much later
+    than those of the others. When its ejection ends it receives requests again, and the next
+    ejection lasts twice as long. A timely answer resets its failures and the ejection time.
     """
 
     def __init__(self) -> None:
@@ -47,7 +47,7 @@
     def record_success(
         self, replica: ReplicaView, same_service: Iterable[ReplicaView], first_byte_s: float
     ) -> None:
-        """Note that the replica answered, and when its first byte came."""
+        """Record an answer of the replica and its time to the first byte."""
         with self._lock:
             record = self._records.setdefault(replica.name, _FailureRecord())
             record.add_answer(first_byte_s)
@@ -60,14 +60,14 @@
     def record_failure(
         self, replica: ReplicaView, same_service: Iterable[ReplicaView], *, certain: bool = False
     ) -> None:
-        """Note a failure.
+        """Record a failure of the replica.
 
         Parameters
         ----------
         same_service
-            All replicas of the service: at most half of them may be ejected at a time.
+            All replicas of the service; at most half of them may be ejected at a time.
         certain
-            Eject at once, because one failure says enough: the connection was refused, or
+            Whether to eject after this single failure, as when the connection was refused or
             the replica is frozen.
         """
         with self._lock:
@@ -101,6 +101,6 @@
         return bool(others) and record.first_byte_s > SLOW_FACTOR * statistics.median(others)
 
     def forget(self) -> None:
-        """Forget all failures."""
+        """Clear the failures and answer times of all replicas."""
         with self._lock:
             self._records.clear()
--- a/src/quaymill/process/replicas/load_view.py
+++ b/src/quaymill/process/replicas/load_view.py
@@ -1,12 +1,12 @@
-"""The load of all replicas: polled here or heard from the node that polls them.
+"""The load of all replicas, polled by this node or pulled from the nodes that poll them.
 
-A replica is polled by one node, the one that ranks first for its name in its zone; that node
-also runs its batch scheduler. Of the own zone, each polling node is asked for its reports; of
-another zone, one of its nodes for all that it knows. When a polling node dies, its reports
-grow old and count as unknown until membership names the next node.
+Each replica is polled by the node that ranks first for its name in its zone; that node also
+runs its batch scheduler. In the local zone, reports are pulled from each polling node; for
+another zone, one of its nodes returns all reports that it has. When a polling node dies, its
+reports become outdated and the load is unknown until the next node in the ranking polls.
 
-What this costs a node is bounded: polls by their number, reports of others by their bytes.
-Where the fleet is larger than the budget, reports come less often, never in greater amount.
+The cost per node is bounded by the number of polls and by the bytes of pulled reports. In a
+large fleet the intervals become longer instead.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 LOCAL_ZONE_BYTES_PER_S = 2_500.0
 OTHER_ZONES_BYTES_PER_S = 1_000.0
 REPORT_BYTES = 45.0
-"""About what one report takes in a message."""
+"""Approximate size of one report in a message."""
 ASSIGN_INTERVAL_S = 0.25
 REPLICA_ROLES = (MachineRole.ENGINE, MachineRole.APPLICATION)
 
@@ -48,7 +48,7 @@
     Parameters
     ----------
     link_filter
-        Cuts for tests, for the polls of replicas.
+        Fault injection: blocked replicas cannot be polled.
     """
 
     def __init__(
@@ -78,34 +78,34 @@
         peer_server.register(GetLoad, self._answer_get_load)
 
     def start(self) -> None:
-        """Begin to poll, and to ask the other nodes."""
+        """Begin to poll replicas and to pull reports from other nodes."""
         self._machine_list.subscribe(self._update_replicas)
         _start_thread("load-view", self._keep_assigned)
 
     def stop(self) -> None:
-        """Stop polling and asking."""
+        """Stop polling and pulling."""
         self._stopping.set()
         self._connections.close()
 
     @property
     def machines_known(self) -> bool:
-        """Whether a machine list has been seen."""
+        """Whether a machine list has been received."""
         return self._machine_list.current().version > 0
 
     def replicas(self, service: str) -> tuple[ReplicaView, ...]:
-        """Return the replicas of a service, live views all of them."""
+        """Return the views of a service's replicas, which stay up to date."""
         return self._by_service.get(service, ())
 
     def services(self) -> tuple[str, ...]:
-        """Return the services of which replicas are listed."""
+        """Return the services that have replicas in the machine list."""
         return tuple(self._by_service)
 
     def all_replicas(self) -> tuple[ReplicaView, ...]:
-        """Return every listed replica."""
+        """Return every replica in the machine list."""
         return tuple(self._replicas.values())
 
     def scheduled_here(self) -> tuple[ReplicaView, ...]:
-        """Return the replicas that this node polls and schedules batch work for."""
+        """Return the replicas that this node polls and for which it schedules batch work."""
         replicas = self._replicas
         return tuple(replicas[name] for name in self._scheduled_here if name in replicas)
 
@@ -142,7 +142,7 @@
                 return
 
     def _assign(self) -> None:
-        """Rank the nodes anew if the machines or the live nodes have changed."""
+        """Recompute the assignments if the machines or the live nodes have changed."""
         live = self._membership.live()
         version = self._machine_list.current().version
         assigned_for = (version, frozenset((member.name, member.peer) for member in live))
@@ -153,7 +153,7 @@
             self._peers_to_pull_from = self._choose_peers_to_pull_from(live)
 
     def _start_missing_threads(self) -> None:
-        """Give each replica to poll and each node to ask a thread; they end by themselves."""
+        """Start a thread for each newly assigned replica or peer; they end by themselves."""
         for name in self._scheduled_here - self._polled_here:
             self._polled_here.add(name)
             _start_thread(f"poll-{name}", self._poll, name)
@@ -162,7 +162,7 @@
             _start_thread(f"pull-{peer}", self._pull, peer)
 
     def _replicas_ranked_here(self, live: tuple[Member, ...]) -> set[str]:
-        """Return the replicas for which this node ranks first."""
+        """Return the names of the replicas for which this node ranks first."""
         live_zones = {member.zone for member in live}
         ranked_here: set[str] = set()
         for name, view in self._replicas.items():
@@ -175,7 +175,7 @@
         return ranked_here
 
     def _choose_peers_to_pull_from(self, live: tuple[Member, ...]) -> dict[Endpoint, str]:
-        """Return whom to ask, with the zone to ask for (empty for what the peer polls)."""
+        """Return the peers to pull from, each with a zone, or "" for what the peer polls."""
         peers: dict[Endpoint, str] = {}
         for zone, views in self._by_zone.items():
             if zone == self._settings.zone:
@@ -184,7 +184,7 @@
                 continue
             in_zone = [member for member in live if member.zone == zone]
             if in_zone:
-                # Each asker has its own answerer, so that the zone's nodes share the work.
+                # The choice depends on this node's name, so that the zone's nodes share the work.
                 responder = rank_nodes(f"load/{zone}/{self._settings.name}", in_zone)[0]
                 peers[responder.peer] = zone
             else:
@@ -208,7 +208,7 @@
         return max(POLL_INTERVAL_S, len(self._scheduled_here) / POLLS_PER_S)
 
     def _pull(self, peer: Endpoint) -> None:
-        """Ask one node for reports for as long as it is the one to ask."""
+        """Pull reports from one node until it is no longer assigned."""
         zone = self._peers_to_pull_from.get(peer, "")
         while not self._stopping.wait(self._pull_interval_s(zone)):
             if peer not in self._peers_to_pull_from:
@@ -220,7 +220,7 @@
         self._peers_being_pulled.discard(peer)
 
     def _pull_interval_s(self, zone: str) -> float:
-        """Return the time between questions that keeps their answers within the budget."""
+        """Return the interval of pulls that keeps their replies within the byte budget."""
         replicas_in_local_zone = len(self._by_zone.get(self._settings.zone, ()))
         if zone:
             answer_bytes = (len(self._replicas) - replicas_in_local_zone) * REPORT_BYTES
--- a/src/quaymill/process/replicas/notifier.py
+++ b/src/quaymill/process/replicas/notifier.py
@@ -1,7 +1,7 @@
-"""Tells batch schedulers that online work goes to their replicas.
+"""Notifies batch schedulers of online requests that are sent to their replicas.
 
-A notice is sent at the same time as the request, off its critical path. A lost notice is
-covered by the engine's priorities and by the load report, so it is never repeated.
+A notice is sent at the same time as the request and does not delay it. It is not sent again if
+it is lost, since the engine's priorities and the load report have the same effect later.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class _Mailbox:
-    """Notices that wait for one scheduler node."""
+    """Pending notices for one scheduler node."""
 
     def __init__(self) -> None:
         self._changed = threading.Condition()
@@ -31,7 +31,7 @@
             self._changed.notify()
 
     def take_all(self) -> tuple[str, ...]:
-        """Wait for notices and return them; nothing after ``close``."""
+        """Wait for notices and return them; return an empty tuple after ``close``."""
         with self._changed:
             self._changed.wait_for(lambda: self._closed or self._replicas)
             replicas, self._replicas = self._replicas, []
@@ -44,7 +44,7 @@
 
 
 class PreemptionNotifier:
-    """One thread for each scheduler node; notices that wait for it go out as one."""
+    """Sends notices on one thread per scheduler node; pending notices are sent together."""
 
     def __init__(self, load_view: LoadView, peer_client: PeerClient) -> None:
         self._load_view = load_view
@@ -53,13 +53,13 @@
         self._mailboxes: dict[Endpoint, _Mailbox] = {}
 
     def notify(self, replica: ReplicaView) -> None:
-        """Send a notice for one replica, without waiting for it."""
+        """Queue a notice for one replica."""
         scheduler = self._load_view.scheduler_of(replica)
         if scheduler is not None:
             self._mailbox_of(scheduler.peer).put(replica.name)
 
     def stop(self) -> None:
-        """Drop what waits and end the threads."""
+        """Discard pending notices and end the threads."""
         with self._lock:
             for mailbox in self._mailboxes.values():
                 mailbox.close()
--- a/src/quaymill/process/replicas/replica.py
+++ b/src/quaymill/process/replicas/replica.py
@@ -1,4 +1,4 @@
-"""One replica as seen from this node."""
+"""State of one replica as known to this node."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ReplicaView:
-    """A live view: the machine, its latest load report, and this node's own requests there.
+    """A replica's machine, its latest load report and this node's requests in flight to it.
 
     All methods may be called from any thread.
     """
@@ -32,7 +32,7 @@
 
     @property
     def machine(self) -> Machine:
-        """The entry of the machine list."""
+        """The replica's entry in the machine list."""
         return self._machine
 
     @property
@@ -41,11 +41,11 @@
         return self._machine.name
 
     def set_machine(self, machine: Machine) -> None:
-        """Take over a newer entry of the machine list."""
+        """Replace the entry by a newer one of the machine list."""
         self._machine = machine
 
     def offer_report(self, report: LoadReport) -> bool:
-        """Keep a report if it was measured after the one held; return whether it was."""
+        """Store a report if it was measured after the stored one; return whether it was."""
         measured_at = boot_clock.now() - report.age_s
         with self._lock:
             if self._report is not None and measured_at <= self._measured_at:
@@ -55,7 +55,7 @@
             return True
 
     def report(self) -> LoadReport | None:
-        """Return the latest report with its present age; ``None`` if none is held."""
+        """Return the latest report with its current age; ``None`` if there is none."""
         with self._lock:
             if self._report is None:
                 return None
@@ -77,12 +77,12 @@
 
     @property
     def own_in_flight(self) -> int:
-        """Requests of this node in service there."""
+        """Requests of this node in flight to the replica."""
         return len(self._started_at)
 
     @property
     def ejected(self) -> bool:
-        """Whether this node's own experience speaks against the replica for now."""
+        """Whether the replica is ejected now because of failures seen by this node."""
         return self.ejection_left_s > 0.0
 
     @property
@@ -91,17 +91,17 @@
         return max(0.0, self.ejected_until - boot_clock.now())
 
     def record_draining_answer(self) -> None:
-        """Note that the replica itself refused new work because it is leaving."""
+        """Record that the replica refused a request because it is draining."""
         self._answered_draining_at = boot_clock.now()
 
     def forget_failures(self) -> None:
-        """Forget this node's own bad experience."""
+        """Clear the ejection and the draining state that this node has recorded."""
         self.ejected_until = 0.0
         self._answered_draining_at = None
 
     @property
     def draining(self) -> bool:
-        """Whether the machine list, the report or the replica's own answer says it leaves."""
+        """Whether the machine list, the report or a recent answer says that it is draining."""
         if self._machine.draining:
             return True
         report = self._report
@@ -114,26 +114,26 @@
 
     @property
     def reachable(self) -> bool:
-        """Whether the last poll that this node heard of was answered."""
+        """Whether the replica answered the poll of the latest report; true without a report."""
         report = self._report
         return report is None or report.reachable
 
     def is_busy(self) -> bool:
-        """Return whether the latest report shows full slots or a queue."""
+        """Return whether the latest report shows no free slots or a queue."""
         report = self._report
         if report is None or not report.reachable:
             return False
         return report.waiting > 0 or 0 < report.slots <= report.running
 
     def is_busy_since(self, sent_at: float) -> bool:
-        """Return whether a report measured after ``sent_at`` shows that."""
+        """Return whether the replica is busy by a report measured at or after ``sent_at``."""
         return self._measured_at >= sent_at and self.is_busy()
 
     def load(self) -> float | None:
-        """Return the online requests at the replica; ``None`` if that is not known.
+        """Return the number of online requests at the replica; ``None`` if it is not known.
 
-        The report counts as of its time of measurement, so this node's requests since then
-        are added. A replica that reports less than this node alone has there is not believed.
+        Requests of this node that started after the report was measured are added. The result
+        is never less than this node's own requests in flight, whatever the replica reports.
         """
         with self._lock:
             report = self._report
@@ -146,6 +146,6 @@
 
     @property
     def slots(self) -> int:
-        """Requests the replica runs at once; 0 if it has not said."""
+        """Number of requests that the replica runs at once; 0 if it is not known."""
         report = self._report
         return 0 if report is None else report.slots
--- a/src/quaymill/process/replicas/replica_poller.py
+++ b/src/quaymill/process/replicas/replica_poller.py
@@ -1,4 +1,4 @@
-"""Asks one replica for its load."""
+"""Polls the load of one replica."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class _LoadDocument(msgspec.Struct):
-    """Answer of ``GET /load``."""
+    """Response body of ``GET /load``."""
 
     running: int = 0
     waiting: int = 0
@@ -26,10 +26,10 @@
 
 
 def poll_replica(connections: ReplicaConnections, view: ReplicaView) -> LoadReport | None:
-    """Ask a replica once; ``None`` if it answers, but does not tell its load.
+    """Poll a replica once; return ``None`` if it answers without a valid load document.
 
-    Then the report held grows old, and the load counts as unknown. A replica that does not
-    answer at all is reported as not reachable.
+    The stored report then becomes outdated, after which the load is unknown. A replica that does
+    not answer at all is reported as unreachable.
     """
     deadline = boot_clock.now() + POLL_TIMEOUT_S
     unreachable = LoadReport(replica=view.name, age_s=0.0, reachable=False)
--- a/src/quaymill/process/replicas/router.py
+++ b/src/quaymill/process/replicas/router.py
@@ -1,8 +1,8 @@
-"""Chooses the replica that takes a request.
+"""Chooses the replica for a request.
 
-First the zone group, exactly by weight; then, within the group, replicas of the own zone
-before others; among these the less loaded of two chosen at random, unless the replica that
-last saw the same prompt prefix is hardly more loaded.
+The zone group is chosen first, exactly by weight. Within the group, replicas of the local zone
+are preferred. Among these, the less loaded of two random ones is chosen, unless the replica that
+is preferred for the prompt prefix has little more load.
 """
 
 from __future__ import annotations
@@ -28,10 +28,10 @@
 
 
 class _SmoothWeightedRoundRobin:
-    """Deterministic weighted turns: over any run each group's share is off by one turn at most.
+    """Smooth weighted round-robin: each group's count deviates from its share by at most one.
 
-    Each turn adds every group's weight to its credit, picks the highest credit, and takes the
-    total weight off the pick.
+    Each pick adds every group's weight to its credit, chooses the group with the highest credit
+    and subtracts the total weight from that group's credit.
     """
 
     def __init__(self) -> None:
@@ -53,7 +53,7 @@
 
 
 class Router:
-    """Chooses among the replicas of a load view by the configuration in force.
+    """Chooses among the replicas of a load view by the current configuration.
 
     Parameters
     ----------
@@ -79,7 +79,7 @@
     def choose(
         self, service: str, prefix_key: str = "", exclude: Collection[str] = ()
     ) -> ReplicaView | NotRun:
-        """Choose a replica that is not in ``exclude``, or say why there is none."""
+        """Choose a replica that is not in ``exclude``, or return why there is none."""
         configuration = self._holder.current()
         groups = self._usable_groups(configuration, service, exclude)
         if not groups:
@@ -89,7 +89,7 @@
         with self._lock:
             round_robin = self._round_robins.setdefault(service, _SmoothWeightedRoundRobin())
             chosen: ReplicaView | NotRun = _no_replica(service)
-            # A group whose replicas are all at their limit passes its turn on to the others.
+            # If all replicas of a group are at their limit, another group is picked.
             while weights:
                 group = round_robin.pick(weights)
                 chosen = self._choose_in_group(service, groups[group], routes[group], prefix_key)
@@ -99,23 +99,23 @@
             return chosen
 
     def record_success(self, replica: ReplicaView, first_byte_s: float) -> None:
-        """Note that a replica answered, and when its first byte came."""
+        """Record an answer of a replica and its time to the first byte."""
         same_service = self._load_view.replicas(replica.machine.service)
         self._ejector.record_success(replica, same_service, first_byte_s)
 
     def record_failure(self, replica: ReplicaView, failure: Failure) -> None:
-        """Note what a failed attempt says about its replica."""
+        """Record what a failed attempt implies for its replica."""
         if isinstance(failure, NotRun) and failure.by_replica:
             replica.record_draining_answer()
         if isinstance(failure, Failed) and failure.status < 500:
             return
-        # A refused connection and a missing first byte each say enough by themselves.
+        # A refused connection or a missing first byte is enough for an ejection.
         certain = isinstance(failure, NotRun) or failure.status == 504
         same_service = self._load_view.replicas(replica.machine.service)
         self._ejector.record_failure(replica, same_service, certain=certain)
 
     def forget_failures(self) -> None:
-        """Take all ejected replicas back at once; for operators who know better."""
+        """End all ejections at once, on request of an operator."""
         for replica in self._load_view.all_replicas():
             replica.forget_failures()
         self._ejector.forget()
@@ -123,7 +123,7 @@
     def _usable_groups(
         self, configuration: ServingConfiguration, service: str, exclude: Collection[str]
     ) -> dict[str, list[ReplicaView]]:
-        """Return the groups with weight that have replicas to choose from."""
+        """Return the groups that have a weight above 0 and replicas to choose from."""
         replicas = [
             replica
             for replica in self._load_view.replicas(service)
@@ -143,7 +143,7 @@
             for name, members in groups.items()
         }
         healthy = {name: members for name, members in healthy.items() if members}
-        # With no healthy replica left, one that looks bad is better than a sure refusal.
+        # Without any healthy replica, an unhealthy one is better than certain refusal.
         return healthy or groups
 
     def _choose_in_group(
--- a/src/quaymill/process/replicas/status_rows.py
+++ b/src/quaymill/process/replicas/status_rows.py
@@ -1,4 +1,4 @@
-"""What this node knows of the replicas, as rows of the status document."""
+"""Rows of the status document about the replicas as known to this node."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def replica_rows(load_view: LoadView, configuration: ServingConfiguration) -> StatusRows:
-    """Return one row for each configured service and zone group."""
+    """Return a row for each configured service and zone group."""
     rows = []
     for service, groups in configuration.routes.items():
         views = load_view.replicas(service)
