--- a/tests/test_load_view.py
+++ b/tests/test_load_view.py
@@ -24,15 +24,15 @@
 
     def __init__(self, links: LinkFilter) -> None:
         super().__init__(links)
-        self.asked: Counter[Endpoint] = Counter()
+        self.pulls_by_peer: Counter[Endpoint] = Counter()
 
     def call(self, endpoint, message, reply_type, timeout_s):
         if isinstance(message, GetLoad):
-            self.asked[endpoint] += 1
+            self.pulls_by_peer[endpoint] += 1
         return super().call(endpoint, message, reply_type, timeout_s)
 
 
-class Fleet:
+class LoadViewFleet:
     """Load views of three nodes in two zones over real engines and peer links."""
 
     def __init__(self) -> None:
@@ -46,7 +46,7 @@
             for name, zone in ZONES.items()
         }
         self.memberships = {name: FakeMembership(member) for name, member in self.members.items()}
-        self.see(*ZONES)
+        self.set_live(*ZONES)
         machines = [
             Machine(name, MachineRole.ENGINE, name[-1], Endpoint(HOST, engine.port), MODEL)
             for name, engine in self.engines.items()
@@ -74,7 +74,7 @@
             self.links[name],
         )
 
-    def see(self, *names: str) -> None:
+    def set_live(self, *names: str) -> None:
         """Let every node see these nodes as live."""
         for membership in self.memberships.values():
             membership.members_now = tuple(self.members[name] for name in names)
@@ -109,14 +109,14 @@
 
     @classmethod
     def setUpClass(cls):
-        cls.fleet = Fleet()
+        cls.fleet = LoadViewFleet()
 
     @classmethod
     def tearDownClass(cls):
         cls.fleet.stop()
 
     def setUp(self):
-        self.fleet.see(*ZONES)
+        self.fleet.set_live(*ZONES)
         for engine in self.fleet.engines.values():
             engine.switches.replace(Faults())
         for links in self.fleet.links.values():
@@ -134,23 +134,25 @@
                 wait_until(lambda n=node, e=engine: self.fleet.report(n, e) is not None)
                 wait_until(lambda n=node, e=engine: self.fleet.report(n, e).age_s < 1.5)
 
-    def test_one_node_answers_for_its_zone(self):
-        before = Counter(self.fleet.clients["node-3"].asked)
+    def test_one_node_is_pulled_for_all_of_its_zone(self):
+        pulls_before = Counter(self.fleet.clients["node-3"].pulls_by_peer)
         peers = {self.fleet.members[name].peer for name in ("node-1", "node-2")}
-        asked = self.fleet.clients["node-3"].asked
-        wait_until(lambda: sum((asked - before)[peer] for peer in peers) >= 3)
-        self.assertEqual(len([peer for peer in peers if asked[peer] > before[peer]]), 1)
+        pulls_by_peer = self.fleet.clients["node-3"].pulls_by_peer
+        wait_until(lambda: sum((pulls_by_peer - pulls_before)[peer] for peer in peers) >= 3)
+        self.assertEqual(
+            len([peer for peer in peers if pulls_by_peer[peer] > pulls_before[peer]]), 1
+        )
 
-    def test_next_node_polls_when_the_polling_one_is_dead(self):
+    def test_next_ranked_node_polls_when_the_polling_one_is_dead(self):
         first = self.fleet.first_poller("engine-a")
-        self.fleet.see(*[name for name in ZONES if name != first])
+        self.fleet.set_live(*[name for name in ZONES if name != first])
         wait_until(lambda: first not in self.fleet.pollers("engine-a"))
         poller = self.fleet.first_poller("engine-a")
         self.assertEqual(ZONES[poller], "a")
-        self.fleet.see("node-3")
+        self.fleet.set_live("node-3")
         wait_until(lambda: self.fleet.pollers("engine-a") == ["node-3"])
 
-    def test_replica_that_does_not_tell_its_load_counts_as_unknown_not_as_idle(self):
+    def test_replica_without_load_document_has_unknown_load(self):
         node = self.fleet.first_poller("engine-a")
         view = next(one for one in self.fleet.views[node].replicas(MODEL) if one.name == "engine-a")
         wait_until(lambda: view.load() is not None)
@@ -158,7 +160,7 @@
         wait_until(lambda: view.load() is None)
         self.assertTrue(view.reachable)
 
-    def test_replica_behind_a_cut_link_is_not_reachable(self):
+    def test_replica_behind_a_blocked_link_is_not_reachable(self):
         node = self.fleet.first_poller("engine-b")
         port = self.fleet.engines["engine-b"].port
         self.fleet.links[node].set_blocked(frozenset({Endpoint(HOST, port)}))
--- a/tests/test_membership_faults.py
+++ b/tests/test_membership_faults.py
@@ -38,7 +38,7 @@
 from quaymill.process.settings import MembershipSettings
 
 PROGRAM = Path(__file__).with_name("control_node_process.py")
-HEAD = {
+HEADER_FIELDS = {
     "sender": "own",
     "incarnation": 1,
     "generation": 0,
@@ -48,7 +48,7 @@
 """What every datagram has."""
 
 
-def member_record(name: str) -> Member:
+def live_member(name: str) -> Member:
     """Return the record of a member that lives."""
     return Member(
         name=name,
@@ -61,7 +61,7 @@
     )
 
 
-def crowd() -> list[Membership]:
+def forty_members() -> list[Membership]:
     """Return forty members in four zones, not started, that know the first one as their seed."""
     seed = settings_for("m0", "a", 1)
     settings = [seed] + [
@@ -71,7 +71,7 @@
     return [Membership(each) for each in settings]
 
 
-class MemberCase(unittest.TestCase):
+class FiveMembersCase(unittest.TestCase):
     """Five members that have found each other through the first."""
 
     def setUp(self):
@@ -80,14 +80,14 @@
         for index in range(5):
             self.settings.append(settings_for(f"n{index}", "ab"[index % 2], 1, seeds))
             seeds = seeds or (self.settings[0].peer_endpoint,)
-        self.links = [LinkFilter() for _ in self.settings]
+        self.link_filters = [LinkFilter() for _ in self.settings]
         self.members: list[Membership] = []
         for index in range(5):
             self.members.append(self.start(index))
         self.expect_live(range(5))
 
     def start(self, index: int) -> Membership:
-        membership = Membership(self.settings[index], self.links[index])
+        membership = Membership(self.settings[index], self.link_filters[index])
         membership.start()
         self.addCleanup(membership.stop)
         return membership
@@ -95,7 +95,7 @@
     def block(self, index: int, *targets: int) -> None:
         """Cut the links from one node to others, in this direction only."""
         endpoints = frozenset(self.settings[target].peer_endpoint for target in targets)
-        self.links[index].set_blocked(endpoints)
+        self.link_filters[index].set_blocked(endpoints)
 
     def live_of(self, index: int) -> set[str]:
         return {member.name for member in self.members[index].live()}
@@ -112,10 +112,10 @@
         return next(m.state for m in self.members[seen_by].members() if m.name == name)
 
 
-class LossTest(MemberCase):
+class LossTest(FiveMembersCase):
     """Members die, come back, stop and freeze."""
 
-    def test_killed_member_is_found_dead_and_back_after_a_restart(self):
+    def test_stopped_member_is_marked_dead_and_returns_after_a_restart(self):
         self.members[3].stop()
         self.expect_live((0, 1, 2, 4))
         incarnation = self.members[3].local().incarnation
@@ -123,24 +123,24 @@
         self.expect_live(range(5))
         self.assertGreater(self.members[3].local().incarnation, incarnation)
 
-    def test_restart_with_a_clock_set_back_is_refuted_into_life(self):
+    def test_restart_with_a_lower_incarnation_is_live_again_after_refutation(self):
         self.members[3].stop()
         self.expect_live((0, 1, 2, 4))
-        restarted = Membership(self.settings[3], self.links[3])
+        restarted = Membership(self.settings[3], self.link_filters[3])
         restarted._table.update_local(incarnation=1)
         self.addCleanup(restarted.stop)
         restarted.start()
         self.members[3] = restarted
         self.expect_live(range(5))
 
-    def test_seed_may_be_dead_when_others_start(self):
+    def test_member_rejoins_while_its_seed_is_dead(self):
         self.members[0].stop()
         self.members[4].stop()
         self.expect_live((1, 2, 3))
         self.members[4] = self.start(4)
         self.expect_live((1, 2, 3, 4))
 
-    def test_draining_is_known_at_once_and_ends_in_death(self):
+    def test_draining_member_is_not_live_and_dead_after_its_stop(self):
         self.members[2].announce_draining()
         self.expect_live((0, 1, 3, 4), seen_by=range(5))
         eventually(lambda: self.state_of("n2", 0) is MemberState.DRAINING)
@@ -148,7 +148,7 @@
         eventually(lambda: self.state_of("n2", 0) is MemberState.DEAD)
         self.expect_live((0, 1, 3, 4))
 
-    def test_frozen_process_is_found_dead_and_lives_again_without_burying_others(self):
+    def test_frozen_process_is_marked_dead_and_returns_without_suspecting_others(self):
         settings = settings_for("frozen", "a", 1, (self.settings[0].peer_endpoint,))
         process = subprocess.Popen(
             [sys.executable, str(PROGRAM), msgspec.json.encode(settings).decode()],
@@ -157,27 +157,27 @@
         self.addCleanup(process.stdout.close)
         self.addCleanup(process.wait)
         self.addCleanup(process.kill)
-        everyone = {f"n{index}" for index in range(5)}
+        all_but_frozen = {f"n{index}" for index in range(5)}
         eventually(lambda: all(len(self.live_of(index)) == 6 for index in range(5)), 20.0)
         process.send_signal(signal.SIGSTOP)
-        eventually(lambda: all(self.live_of(index) == everyone for index in range(5)))
+        eventually(lambda: all(self.live_of(index) == all_but_frozen for index in range(5)))
         incarnations = [member.local().incarnation for member in self.members]
         process.send_signal(signal.SIGCONT)
         eventually(lambda: all(len(self.live_of(index)) == 6 for index in range(5)))
         self.assertEqual(incarnations, [member.local().incarnation for member in self.members])
 
 
-class LinkTest(MemberCase):
+class LinkTest(FiveMembersCase):
     """Links are cut, in one direction or both."""
 
-    def stays_live(self) -> None:
+    def assert_nobody_is_suspected(self) -> None:
         """Expect that nobody is suspected or held for dead during several suspicion times."""
         incarnations = [member.local().incarnation for member in self.members]
-        probed = [member.traffic.sent_datagrams for member in self.members]
+        sent_before = [member.traffic.sent_datagrams for member in self.members]
         eventually(
             lambda: all(
                 member.traffic.sent_datagrams > before + 60
-                for member, before in zip(self.members, probed, strict=True)
+                for member, before in zip(self.members, sent_before, strict=True)
             ),
             why="probes go on",
         )
@@ -186,16 +186,16 @@
         refuted = [member.local().incarnation for member in self.members]
         self.assertEqual(refuted, incarnations, "nobody had to refute a suspicion")
 
-    def test_one_way_cut_kills_nobody(self):
+    def test_one_way_cut_marks_nobody_dead(self):
         self.block(0, 1, 2)
-        self.stays_live()
+        self.assert_nobody_is_suspected()
 
-    def test_cut_between_two_nodes_in_both_directions_kills_nobody(self):
+    def test_cut_between_two_nodes_in_both_directions_marks_nobody_dead(self):
         self.block(0, 1)
         self.block(1, 0)
-        self.stays_live()
+        self.assert_nobody_is_suspected()
 
-    def test_partition_is_noticed_on_both_sides_and_heals(self):
+    def test_partition_is_detected_on_both_sides_and_heals(self):
         for index in (0, 1):
             self.block(index, 2, 3, 4)
         for index in (2, 3, 4):
@@ -215,37 +215,37 @@
             )
         )
 
-    def test_node_that_cannot_send_at_all_is_found_dead(self):
+    def test_node_that_cannot_send_is_marked_dead(self):
         self.block(0, 1, 2, 3, 4)
         self.expect_live((1, 2, 3, 4))
 
-    def test_datagrams_of_strangers_and_nonsense_do_no_harm(self):
-        with socket.socket(type=socket.SOCK_DGRAM) as stranger:
+    def test_invalid_datagrams_and_unknown_senders_are_tolerated(self):
+        with socket.socket(type=socket.SOCK_DGRAM) as unknown_sender:
             for line in (b"", b"nonsense", b"{}", encode_datagram(Notice("nobody", 1))):
-                stranger.sendto(line, ("127.0.0.1", self.settings[0].peer_port))
+                unknown_sender.sendto(line, ("127.0.0.1", self.settings[0].peer_port))
         self.members[1].stop()
         self.expect_live((0, 2, 3, 4))
 
 
-class DeadSenderTest(MemberCase):
+class DeadSenderTest(FiveMembersCase):
     """A node that is held for dead and sends again is told so, and can refute it."""
 
-    def test_dead_sender_is_shown_its_record(self):
+    def test_dead_sender_receives_its_record(self):
         first = self.settings[0].peer_endpoint
-        with socket.socket(type=socket.SOCK_DGRAM) as thawed:
-            thawed.bind(("127.0.0.1", 0))
-            thawed.settimeout(5.0)
-            endpoint = Endpoint(*thawed.getsockname())
+        with socket.socket(type=socket.SOCK_DGRAM) as resumed:
+            resumed.bind(("127.0.0.1", 0))
+            resumed.settimeout(5.0)
+            endpoint = Endpoint(*resumed.getsockname())
             dead = Member("n9", "a", "r", endpoint, endpoint, MemberState.DEAD, incarnation=5)
-            told = Notice("n1", self.members[1].local().incarnation)
-            told.records = (MemberRecord.of(dead),)
-            thawed.sendto(encode_datagram(told), (first.host, first.port))
-            thawed.sendto(encode_datagram(Notice("n9", 5)), (first.host, first.port))
-            answer = decode_datagram(thawed.recv(65536))
+            death_notice = Notice("n1", self.members[1].local().incarnation)
+            death_notice.records = (MemberRecord.of(dead),)
+            resumed.sendto(encode_datagram(death_notice), (first.host, first.port))
+            resumed.sendto(encode_datagram(Notice("n9", 5)), (first.host, first.port))
+            answer = decode_datagram(resumed.recv(65536))
         self.assertIn(MemberRecord.of(dead), answer.records)
 
 
-class SlowCrowdTest(unittest.TestCase):
+class SlowFleetTest(unittest.TestCase):
     """Forty members on processors that are busy with other work.
 
     Seen beside other load: nearly all members held nearly all others for dead and that never
@@ -255,9 +255,9 @@
     that slow down after a late reply all are, after 3.2 s, 5.2 s and 11.7 s.
     """
 
-    def test_members_that_are_slow_to_answer_are_not_held_for_dead_for_good(self):
-        members = crowd()
-        with mock.patch.object(MemberSocket, "start", _start_slowly):
+    def test_slow_members_are_all_seen_alive_in_the_end(self):
+        members = forty_members()
+        with mock.patch.object(MemberSocket, "start", _start_with_delay):
             for membership in members:
                 self.addCleanup(membership.stop)
                 membership.start()
@@ -266,7 +266,7 @@
         )
 
 
-def _start_slowly(member_socket: MemberSocket, receiver: Receiver) -> None:
+def _start_with_delay(member_socket: MemberSocket, receiver: Receiver) -> None:
     """Start a socket whose receiver takes 10 ms longer for each datagram."""
 
     def receive(datagram: Datagram, source: Endpoint) -> None:
@@ -279,27 +279,29 @@
 START_SOCKET = MemberSocket.start
 
 
-class PatienceTest(unittest.TestCase):
+class TimeoutFactorTest(unittest.TestCase):
     """What a node learns from late replies, without a network."""
 
     def setUp(self):
         self.sent: list[Datagram] = []
-        local = member_record("own")
+        local = live_member("own")
         self.table = MemberTable(local)
-        self.table.merge(member_record("other"))
+        self.table.merge(live_member("other"))
         self.detector = FailureDetector(
             self.table,
             MembershipSettings(probe_interval_s=0.04, probe_timeout_s=0.02, suspicion_s=0.2),
             lambda target, datagram, shown: self.sent.append(datagram),
-            lambda: HEAD,
+            lambda: HEADER_FIELDS,
             random.Random(1),
         )
 
     def reply_to_last(self) -> None:
         probe = next(one for one in reversed(self.sent) if isinstance(one, Probe))
-        self.detector.on_reply(ProbeReply(**HEAD, sequence=probe.sequence, subject="other"))
+        self.detector.on_reply(
+            ProbeReply(**HEADER_FIELDS, sequence=probe.sequence, subject="other")
+        )
 
-    def test_only_a_late_reply_makes_a_node_patient(self):
+    def test_only_a_late_reply_extends_timeouts(self):
         self.assertIsNotNone(self.detector.probe_next())
         self.assertEqual(self.detector.timeout_factor, 1.0, "a peer that is gone changes nothing")
         self.reply_to_last()
@@ -309,17 +311,17 @@
             self.detector.timeout_factor, TIMEOUT_FACTOR_GROWTH, "each probe counts once"
         )
 
-    def test_patience_is_bounded_and_shortened_by_early_replies(self):
+    def test_timeout_factor_is_bounded_and_decays_with_early_replies(self):
         for _ in range(6):
             self.detector.probe_next()
             self.reply_to_last()
         self.assertEqual(self.detector.timeout_factor, MAX_TIMEOUT_FACTOR)
-        self.detector._send = self.answer_at_once
+        self.detector._send = self.reply_at_once
         for _ in range(20):
             self.assertIsNone(self.detector.probe_next())
         self.assertEqual(self.detector.timeout_factor, 1.0)
 
-    def answer_at_once(self, target, datagram, shown) -> None:
+    def reply_at_once(self, target, datagram, shown) -> None:
         self.sent.append(datagram)
         if isinstance(datagram, Probe):
             self.reply_to_last()
@@ -328,20 +330,20 @@
 class CorrectionTest(unittest.TestCase):
     """Two nodes that hold each other for dead do not answer notice with notice for ever."""
 
-    def test_a_node_held_for_dead_is_told_once_a_probe_interval(self):
+    def test_dead_sender_is_notified_once_per_probe_interval(self):
         membership = Membership(settings_for("own", "a", 1))
         self.addCleanup(membership.stop)
-        other = msgspec.structs.replace(member_record("other"), state=MemberState.DEAD)
+        other = msgspec.structs.replace(live_member("other"), state=MemberState.DEAD)
         membership._table.merge(other)
         sent = []
         membership._socket.send = lambda target, datagram: sent.append(datagram)
-        notice = Notice(**(HEAD | {"sender": "other"}))
+        notice = Notice(**(HEADER_FIELDS | {"sender": "other"}))
         for _ in range(50):
             membership._handle(notice, other.peer)
         self.assertEqual(len(sent), 1)
 
 
-class ReturnTest(unittest.TestCase):
+class RestartTest(unittest.TestCase):
     """A member that restarted is known again to all who held its former process for dead.
 
     Seen as a member that stayed unknown to some for 10 s: it talked to all of them, and each told
@@ -349,7 +351,7 @@
     happened to greet the dead, or to be compared with one who had.
     """
 
-    def test_who_is_told_that_its_former_process_is_dead_introduces_itself(self):
+    def test_member_whose_former_process_is_reported_dead_spreads_its_record(self):
         timing = MembershipSettings(
             probe_interval_s=0.1, probe_timeout_s=0.05, suspicion_s=0.3, rejoin_interval_s=600.0
         )
@@ -361,10 +363,10 @@
         members = [Membership(first), Membership(second)]
         for membership in members:
             self.addCleanup(membership.stop)
-        held = msgspec.structs.replace(
+        former = msgspec.structs.replace(
             members[1].local(), state=MemberState.DEAD, incarnation=1, process_id="former"
         )
-        members[0]._table.merge(held)
+        members[0]._table.merge(former)
         for membership in members:
             # Nobody greets the dead, and no comparison brings the news.
             membership._synchronisation.begin = lambda target: None
@@ -377,11 +379,11 @@
         )
 
 
-class CrowdTest(unittest.TestCase):
+class LargeFleetTest(unittest.TestCase):
     """Forty members in one process."""
 
-    def test_all_find_each_other_with_small_datagrams(self):
-        members = crowd()
+    def test_all_discover_each_other_with_small_datagrams(self):
+        members = forty_members()
         for membership in members:
             self.addCleanup(membership.stop)
             membership.start()
--- a/tests/test_membership_table.py
+++ b/tests/test_membership_table.py
@@ -42,9 +42,9 @@
         self.table = MemberTable(member("self"))
 
     @params((DEAD, 4, True), (SUSPECT, 4, True), (ALIVE, 4, False), (DRAINING, 4, False))
-    def test_ill_news_of_a_former_process_is_answered(self, state, incarnation, answered):
-        news = self.table.merge(member("self", state, incarnation))
-        self.assertEqual(self.table.local() if answered else None, news)
+    def test_report_of_failure_of_a_former_process_is_answered(self, state, incarnation, answered):
+        updates = self.table.merge(member("self", state, incarnation))
+        self.assertEqual(self.table.local() if answered else None, updates)
         self.assertEqual(5, self.table.local().incarnation)
 
     @params(
@@ -62,28 +62,33 @@
         (DRAINING, 6, ALIVE, 5, DRAINING),
         (DRAINING, 6, SUSPECT, 6, SUSPECT),
     )
-    def test_later_news_holds(self, held, held_incarnation, told, told_incarnation, result):
-        self.table.merge(member("x", held, held_incarnation))
-        news = self.table.merge(member("x", told, told_incarnation))
+    def test_record_with_higher_precedence_wins(
+        self, known_state, known_incarnation, received_state, received_incarnation, result
+    ):
+        self.table.merge(member("x", known_state, known_incarnation))
+        updates = self.table.merge(member("x", received_state, received_incarnation))
         self.assertEqual(self.table.get("x").state, result)
-        taken = result == told and (held, held_incarnation) != (told, told_incarnation)
-        self.assertEqual(news is not None, taken)
+        merged = result == received_state and (known_state, known_incarnation) != (
+            received_state,
+            received_incarnation,
+        )
+        self.assertEqual(updates is not None, merged)
 
     @params(
         (SUSPECT, 5, 6), (DEAD, 5, 6), (DEAD, 9, 10), (ALIVE, 9, 10), (ALIVE, 5, 5), (DEAD, 4, 5)
     )
-    def test_node_refutes_what_is_said_of_it(self, state, incarnation, own):
+    def test_node_refutes_reports_about_itself(self, state, incarnation, expected_incarnation):
         self.table.merge(member("self", state, incarnation))
         self.assertEqual(self.table.local().state, ALIVE)
-        self.assertEqual(self.table.local().incarnation, own)
+        self.assertEqual(self.table.local().incarnation, expected_incarnation)
 
-    def test_draining_node_refutes_and_goes_on_draining(self):
+    def test_draining_node_refutes_and_stays_draining(self):
         self.table.update_local(state=DRAINING, draining=True, incarnation=6)
         self.table.merge(member("self", DEAD, 6))
         local = self.table.local()
         self.assertEqual((local.state, local.draining, local.incarnation), (DRAINING, True, 7))
 
-    def test_suspicion_keeps_the_mark_of_draining(self):
+    def test_suspect_keeps_its_draining_flag(self):
         self.table.merge(member("x", DRAINING, 6, draining=True))
         self.assertTrue(self.table.suspect("x").draining)
 
@@ -91,14 +96,16 @@
         self.table.merge(member("x", configuration_generation=4, machine_list_version=9))
         self.table.merge(member("x", configuration_generation=3, machine_list_version=12))
         self.table.record_versions("x", 5, 2, 2)
-        held = self.table.get("x")
-        self.assertEqual((held.configuration_generation, held.machine_list_version), (4, 12))
+        known_state = self.table.get("x")
+        self.assertEqual(
+            (known_state.configuration_generation, known_state.machine_list_version), (4, 12)
+        )
         self.table.record_versions("x", 4, 99, 99)
         self.assertEqual(self.table.get("x").configuration_generation, 4, "an older incarnation")
         self.table.merge(member("x", incarnation=6, configuration_generation=1))
         self.assertEqual(self.table.get("x").configuration_generation, 1, "it was restarted")
 
-    def test_suspect_dies_only_after_its_time(self):
+    def test_suspect_is_marked_dead_only_after_the_suspicion_time(self):
         self.table.merge(member("x"))
         self.table.suspect("x")
         self.assertEqual(self.table.expire_suspects(60.0), [])
@@ -124,31 +131,31 @@
     """Records ride on a bounded number of datagrams of bounded size."""
 
     def test_record_is_sent_a_bounded_number_of_times(self):
-        news = Dissemination()
-        news.add(member())
-        sent = sum(len(news.take(1000, members=330)) for _ in range(1000))
+        updates = Dissemination()
+        updates.add(member())
+        sent = sum(len(updates.take(1000, members=330)) for _ in range(1000))
         self.assertEqual(sent, 27)
 
-    def test_records_fill_a_datagram_and_not_more(self):
-        news = Dissemination()
+    def test_records_fill_a_datagram_without_exceeding_it(self):
+        updates = Dissemination()
         for number in range(300):
-            news.add(member(f"node-{number}"))
-        head = Notice("node-1", 5)
-        taken = news.take(MAX_DATAGRAM_BYTES - len(encode_datagram(head)), 300)
-        head.records = tuple(MemberRecord.of(record) for record in taken)
-        self.assertEqual([record.member() for record in head.records], taken)
-        self.assertGreater(len(head.records), 2)
-        self.assertLessEqual(len(encode_datagram(head)), MAX_DATAGRAM_BYTES)
-        self.assertEqual(decode_datagram(encode_datagram(head)), head)
-
-    def test_newer_record_of_a_member_takes_the_place_of_the_older(self):
-        news = Dissemination()
-        news.add(member(state=SUSPECT))
-        news.add(member(state=DEAD))
-        self.assertEqual([record.state for record in news.take(10_000, 10)], [DEAD])
+            updates.add(member(f"node-{number}"))
+        notice = Notice("node-1", 5)
+        merged = updates.take(MAX_DATAGRAM_BYTES - len(encode_datagram(notice)), 300)
+        notice.records = tuple(MemberRecord.of(record) for record in merged)
+        self.assertEqual([record.member() for record in notice.records], merged)
+        self.assertGreater(len(notice.records), 2)
+        self.assertLessEqual(len(encode_datagram(notice)), MAX_DATAGRAM_BYTES)
+        self.assertEqual(decode_datagram(encode_datagram(notice)), notice)
+
+    def test_newer_record_of_a_member_replaces_the_older(self):
+        updates = Dissemination()
+        updates.add(member(state=SUSPECT))
+        updates.add(member(state=DEAD))
+        self.assertEqual([record.state for record in updates.take(10_000, 10)], [DEAD])
 
     @params(b"", b"\n", b"{}", b"[1]", b'{"kind":"Probe"}', b"\xff\xfe", b'{"kind":"Nonsense"}\n')
-    def test_line_that_is_no_datagram_is_none(self, line):
+    def test_invalid_line_is_decoded_as_none(self, line):
         self.assertIsNone(decode_datagram(line))
 
     def test_record_of_long_names_fits(self):
@@ -159,7 +166,7 @@
 class RankingTest(unittest.TestCase):
     """Nodes that see the same members rank them alike."""
 
-    def test_own_zone_comes_first_and_a_loss_moves_little(self):
+    def test_given_zone_ranks_first_and_a_loss_moves_only_its_keys(self):
         members = [member(f"n{number}", zone="ab"[number % 2]) for number in range(20)]
         ranked = rank_nodes("key", members, "b")
         self.assertEqual({m.zone for m in ranked[:10]}, {"b"})
@@ -170,7 +177,7 @@
         moved = [key for key in keys if rank_nodes(key, fewer)[0].name != first[key]]
         self.assertEqual(moved, [key for key in keys if first[key] == "n3"])
 
-    def test_readers_are_two_of_the_zone(self):
+    def test_reader_nodes_are_two_of_the_zone(self):
         members = [member(f"n{number}", zone="ab"[number % 2]) for number in range(20)]
         self.assertEqual([m.zone for m in reader_nodes(members, "a")], ["a", "a"])
         self.assertEqual(reader_nodes(members, "c"), ())
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -23,11 +23,11 @@
 )
 
 MODEL = "drafting"
-CUT = OutcomeUnknown(502, "cut", "")
+CUT_ANSWER = OutcomeUnknown(502, "cut", "")
 FROZEN = OutcomeUnknown(504, "nothing came", "")
 REFUSED = NotRun(503, "connection refused", "")
 DRAINING = NotRun(503, "leaving", "", by_replica=True)
-OWN_REQUEST_AT_FAULT = Failed(400, "bad", "")
+REQUEST_AT_FAULT = Failed(400, "bad", "")
 
 
 class FakeLoadView:
@@ -48,7 +48,7 @@
     return view
 
 
-class Fleet:
+class RoutedFleet:
     """A router over some replicas; each zone is a group of its own unless named otherwise."""
 
     def __init__(
@@ -63,12 +63,12 @@
         self.groups = groups or {name: (name,) for name in zones}
         self.holder = ConfigurationHolder()
         self.online_limit = online_limit
-        self.weigh(weights or dict.fromkeys(self.groups, 1.0))
+        self.set_weights(weights or dict.fromkeys(self.groups, 1.0))
         settings = NodeSettings("node", zone, "r", "127.0.0.1", 1, 1, "127.0.0.1:1")
         self.router = Router(FakeLoadView(replicas), self.holder, settings, seed=1)
         self.replicas = {one.name: one for one in replicas}
 
-    def weigh(self, weights: dict[str, float]) -> None:
+    def set_weights(self, weights: dict[str, float]) -> None:
         routes = {
             name: Route(weight=weight, online_limit=self.online_limit)
             for name, weight in weights.items()
@@ -105,7 +105,7 @@
         ({"a": 33.0, "b": 33.0, "c": 34.0}, "x"),
     )
     def test_shares(self, weights, zone):
-        fleet = Fleet(
+        fleet = RoutedFleet(
             [replica(f"{name}{n}", name) for name in weights for n in (1, 2)], weights, zone
         )
         chosen = fleet.count(1000)
@@ -115,41 +115,43 @@
             if weight == 0.0:
                 self.assertEqual(share, 0.0)
 
-    def test_change_of_weights_counts_at_once(self):
-        fleet = Fleet([replica("a1", "a"), replica("b1", "b")], {"a": 1.0, "b": 0.0})
+    def test_changed_weights_apply_at_once(self):
+        fleet = RoutedFleet([replica("a1", "a"), replica("b1", "b")], {"a": 1.0, "b": 0.0})
         fleet.count(1000)
-        fleet.weigh({"a": 1.0, "b": 3.0})
+        fleet.set_weights({"a": 1.0, "b": 3.0})
         self.assertAlmostEqual(fleet.count(1000)["b1"] / 1000, 0.75, delta=0.02)
 
-    def test_weight_0_takes_none_even_when_the_others_are_gone(self):
-        fleet = Fleet([replica("a1", "a", draining=True), replica("b1", "b")], {"a": 1, "b": 0})
+    def test_group_with_weight_0_is_not_used_even_without_others(self):
+        fleet = RoutedFleet(
+            [replica("a1", "a", draining=True), replica("b1", "b")], {"a": 1, "b": 0}
+        )
         self.assertEqual(fleet.choose().status, 503)
 
 
-class PlaceTest(unittest.TestCase):
+class PlacementTest(unittest.TestCase):
     """Which replica within a group, and which group when one has nothing to offer."""
 
-    def test_own_zone_goes_first(self):
+    def test_local_zone_is_preferred(self):
         replicas = [replica("a1", "a"), replica("b1", "b"), replica("c1", "c")]
-        fleet = Fleet(replicas, groups={"all": ("a", "b", "c")}, zone="b")
+        fleet = RoutedFleet(replicas, groups={"all": ("a", "b", "c")}, zone="b")
         self.assertEqual(fleet.count(100), {"b1": 100})
 
-    def test_other_zones_of_the_group_when_the_own_one_is_full(self):
+    def test_other_zones_of_the_group_are_used_if_the_local_one_is_full(self):
         replicas = [replica("a1", "a", load=8), replica("b1", "b")]
-        fleet = Fleet(replicas, groups={"all": ("a", "b")}, online_limit=8)
+        fleet = RoutedFleet(replicas, groups={"all": ("a", "b")}, online_limit=8)
         self.assertEqual(fleet.count(10), {"b1": 10})
 
-    def test_full_group_passes_its_turn_on(self):
-        fleet = Fleet([replica("a1", "a", load=8), replica("b1", "b")], online_limit=8)
+    def test_other_group_is_used_if_one_is_full(self):
+        fleet = RoutedFleet([replica("a1", "a", load=8), replica("b1", "b")], online_limit=8)
         self.assertEqual(fleet.count(10), {"b1": 10})
 
-    def test_all_full(self):
-        fleet = Fleet([replica("a1", load=8), replica("a2", load=9)], online_limit=8)
+    def test_request_is_refused_if_all_replicas_are_full(self):
+        fleet = RoutedFleet([replica("a1", load=8), replica("a2", load=9)], online_limit=8)
         self.assertEqual(fleet.choose().status, 429)
 
-    def test_batch_work_does_not_count_against_a_replica(self):
-        full_of_batch = replica("a1", load=32, batch_running=32)
-        fleet = Fleet([full_of_batch, replica("a2", load=8)], online_limit=8)
+    def test_batch_work_does_not_count_as_load(self):
+        busy_with_batch = replica("a1", load=32, batch_running=32)
+        fleet = RoutedFleet([busy_with_batch, replica("a2", load=8)], online_limit=8)
         self.assertEqual(fleet.count(10), {"a1": 10})
 
     @params(
@@ -161,18 +163,18 @@
         ("answer of the replica", lambda one: one.record_draining_answer()),
         ("not polled", lambda one: one.offer_report(LoadReport(one.name, 0.0, reachable=False))),
     )
-    def test_replica_that_is_leaving_or_gone_takes_nothing(self, _, change):
-        leaving = replica("a1")
-        fleet = Fleet([leaving, replica("a2", load=20), replica("b1", "b")])
-        change(leaving)
+    def test_draining_or_unreachable_replica_is_not_chosen(self, _, change):
+        draining_replica = replica("a1")
+        fleet = RoutedFleet([draining_replica, replica("a2", load=20), replica("b1", "b")])
+        change(draining_replica)
         self.assertEqual(set(fleet.count(100)), {"a2", "b1"})
 
-    def test_group_without_usable_replica_leaves_its_share_to_the_others(self):
-        fleet = Fleet([replica("a1", "a", draining=True), replica("b1", "b")])
+    def test_share_of_a_group_without_usable_replica_goes_to_the_others(self):
+        fleet = RoutedFleet([replica("a1", "a", draining=True), replica("b1", "b")])
         self.assertEqual(fleet.count(10), {"b1": 10})
 
     def test_excluded_replicas_are_not_chosen_again(self):
-        fleet = Fleet([replica("a1"), replica("a2")])
+        fleet = RoutedFleet([replica("a1"), replica("a2")])
         self.assertEqual(fleet.choose(exclude=frozenset({"a1"})).name, "a2")
         self.assertEqual(fleet.choose(exclude=frozenset({"a1", "a2"})).status, 503)
 
@@ -180,33 +182,33 @@
 class LoadTest(unittest.TestCase):
     """The less loaded of two, with reports that are late, missing or untrue."""
 
-    def test_less_loaded_of_two(self):
-        fleet = Fleet([replica("a1", load=10), replica("a2", load=1)])
+    def test_less_loaded_of_two_is_chosen(self):
+        fleet = RoutedFleet([replica("a1", load=10), replica("a2", load=1)])
         self.assertEqual(fleet.count(100), {"a2": 100})
 
-    def test_own_requests_since_the_report_count(self):
-        fleet = Fleet([replica("a1", load=0), replica("a2", load=0)])
+    def test_local_requests_after_the_report_count(self):
+        fleet = RoutedFleet([replica("a1", load=0), replica("a2", load=0)])
         for _ in range(100):
             fleet.choose().begin()
         self.assertEqual([one.own_in_flight for one in fleet.replicas.values()], [50, 50])
 
-    def test_replica_that_says_it_is_idle_is_not_believed_against_own_knowledge(self):
-        liar = replica("a1", load=0)
-        fleet = Fleet([liar, replica("a2", load=0)])
+    def test_local_requests_override_a_report_of_an_idle_replica(self):
+        wrongly_idle = replica("a1", load=0)
+        fleet = RoutedFleet([wrongly_idle, replica("a2", load=0)])
         for _ in range(100):
             fleet.choose().begin()
-            liar.offer_report(LoadReport("a1", age_s=0.0, running=0, slots=32))
-        self.assertLessEqual(liar.own_in_flight, 51)
+            wrongly_idle.offer_report(LoadReport("a1", age_s=0.0, running=0, slots=32))
+        self.assertLessEqual(wrongly_idle.own_in_flight, 51)
 
     @params(("never heard of", None, 0.0), ("too old", 0, 60.0))
-    def test_unknown_load_is_not_idle(self, _, load, age_s):
-        silent = replica("a1", load=load, age_s=age_s)
-        fleet = Fleet([silent, replica("a2", load=5), replica("a3", load=9)])
+    def test_unknown_load_does_not_count_as_idle(self, _, load, age_s):
+        unknown = replica("a1", load=load, age_s=age_s)
+        fleet = RoutedFleet([unknown, replica("a2", load=5), replica("a3", load=9)])
         self.assertLess(fleet.count(300)["a1"], 150)
-        self.assertIsNone(silent.load())
+        self.assertIsNone(unknown.load())
 
-    def test_all_unknown_is_spread(self):
-        fleet = Fleet([replica(f"a{number}", load=None) for number in range(4)])
+    def test_requests_are_spread_if_all_loads_are_unknown(self):
+        fleet = RoutedFleet([replica(f"a{number}", load=None) for number in range(4)])
         for _ in range(100):
             fleet.choose().begin()
         self.assertLess(max(one.own_in_flight for one in fleet.replicas.values()), 30)
@@ -215,15 +217,15 @@
 class AffinityTest(unittest.TestCase):
     """Prompts with the same prefix go to the same replica while it is hardly more loaded."""
 
-    def test_same_prefix_same_replica(self):
-        fleet = Fleet([replica(f"a{number}") for number in range(6)])
+    def test_same_prefix_goes_to_the_same_replica(self):
+        fleet = RoutedFleet([replica(f"a{number}") for number in range(6)])
         for prefix in ("one", "two", "three"):
             self.assertEqual(len(fleet.count(50, prefix)), 1)
         chosen = {fleet.choose(str(number)).name for number in range(60)}
         self.assertEqual(len(chosen), 6)
 
-    def test_load_bounds_it(self):
-        fleet = Fleet([replica(f"a{number}") for number in range(4)])
+    def test_load_limits_affinity(self):
+        fleet = RoutedFleet([replica(f"a{number}") for number in range(4)])
         for _ in range(80):
             fleet.choose("same").begin()
         self.assertLess(max(one.own_in_flight for one in fleet.replicas.values()), 30)
@@ -236,33 +238,33 @@
         ("refused connection", (REFUSED,), True),
         ("no first byte", (FROZEN,), True),
         ("says it is leaving", (DRAINING,), True),
-        ("one cut answer", (CUT,), False),
-        ("two cut answers", (CUT, CUT), True),
-        ("fault of the request", (OWN_REQUEST_AT_FAULT,) * 5, False),
+        ("one cut answer", (CUT_ANSWER,), False),
+        ("two cut answers", (CUT_ANSWER, CUT_ANSWER), True),
+        ("fault of the request", (REQUEST_AT_FAULT,) * 5, False),
     )
-    def test_what_ejects(self, _, failures, left_out):
-        fleet = Fleet([replica("a1"), replica("a2"), replica("a3")])
+    def test_failures_that_eject(self, _, failures, is_ejected):
+        fleet = RoutedFleet([replica("a1"), replica("a2"), replica("a3")])
         fleet.fail("a1", *failures)
-        self.assertEqual(fleet.count(100)["a1"] == 0, left_out)
+        self.assertEqual(fleet.count(100)["a1"] == 0, is_ejected)
 
-    def test_a_success_between_failures_clears_them(self):
-        fleet = Fleet([replica("a1"), replica("a2")])
-        fleet.fail("a1", CUT)
+    def test_success_between_failures_resets_them(self):
+        fleet = RoutedFleet([replica("a1"), replica("a2")])
+        fleet.fail("a1", CUT_ANSWER)
         fleet.router.record_success(fleet.replicas["a1"], 0.1)
-        fleet.fail("a1", CUT)
+        fleet.fail("a1", CUT_ANSWER)
         self.assertFalse(fleet.replicas["a1"].ejected)
 
     @params(1, 2, 3, 4, 5)
-    def test_never_more_than_half(self, size):
-        fleet = Fleet([replica(f"a{number}") for number in range(size)])
+    def test_at_most_half_are_ejected(self, size):
+        fleet = RoutedFleet([replica(f"a{number}") for number in range(size)])
         for name in fleet.replicas:
             fleet.fail(name, FROZEN, FROZEN, FROZEN)
         ejected = sum(one.ejected for one in fleet.replicas.values())
         self.assertEqual(ejected, size // 2)
         self.assertNotIsInstance(fleet.choose(), NotRun)
 
-    def test_flapping_replica_is_left_out_longer_each_time(self):
-        fleet = Fleet([replica("a1"), replica("a2")])
+    def test_flapping_replica_is_ejected_longer_each_time(self):
+        fleet = RoutedFleet([replica("a1"), replica("a2")])
         times = []
         for _ in range(4):
             fleet.replicas["a1"].ejected_until = 0.0
@@ -275,13 +277,13 @@
         ("slow like the others", 1.0, 0.9, False),
         ("slower, yet quick", 0.1, 0.01, False),
     )
-    def test_slow_replica(self, _, its_first_byte_s, others_first_byte_s, ejected):
-        fleet = Fleet([replica("a1"), replica("a2"), replica("a3")])
+    def test_slow_replica_is_ejected(self, _, replica_first_byte_s, others_first_byte_s, ejected):
+        fleet = RoutedFleet([replica("a1"), replica("a2"), replica("a3")])
         for _ in range(6):
             for name, first_byte_s in (
                 ("a2", others_first_byte_s),
                 ("a3", others_first_byte_s),
-                ("a1", its_first_byte_s),
+                ("a1", replica_first_byte_s),
             ):
                 fleet.router.record_success(fleet.replicas[name], first_byte_s)
         self.assertEqual(fleet.replicas["a1"].ejected, ejected)
--- a/tests/test_zone_reachability.py
+++ b/tests/test_zone_reachability.py
@@ -31,34 +31,34 @@
 from standin_support import wait_until
 
 NOW = 1000.0
-QUIET = -math.inf
+NEVER = -math.inf
 STEP_S = 0.005
 ANSWER_S = 0.005
 CALL_TIMEOUT_S = 0.05
 OBJECTIVE_S = 0.3
 """The callers' shortest objective: a zone that is cut off is known before it has passed."""
-OWN, CUT, OTHER = "zone-a", "zone-b", "zone-c"
+LOCAL, CUT, OTHER = "zone-a", "zone-b", "zone-c"
 
 
 def ago(*seconds: float) -> tuple[float, ...]:
     return tuple(NOW - one for one in seconds)
 
 
-def asked(*seconds: float) -> dict[str, float]:
+def probed(*seconds: float) -> dict[str, float]:
     return {f"peer-{index}": NOW - one for index, one in enumerate(seconds)}
 
 
-class DecisionTest(unittest.TestCase):
+class AssessTest(unittest.TestCase):
     """What is known of a zone, from what was heard and is owed."""
 
     @params(
-        ("quiet, without traffic", Evidence(QUIET, 5), Reachability.REACHABLE),
+        ("quiet, without traffic", Evidence(NEVER, 5), Reachability.REACHABLE),
         ("quiet for long after a word", Evidence(NOW - 60.0, 5), Reachability.REACHABLE),
-        ("a call has just begun", Evidence(QUIET, 5, ago(0.01)), Reachability.REACHABLE),
-        ("a peer owes an answer", Evidence(QUIET, 5, ago(0.05)), Reachability.UNCERTAIN),
+        ("a call has just begun", Evidence(NEVER, 5, ago(0.01)), Reachability.REACHABLE),
+        ("a peer owes an answer", Evidence(NEVER, 5, ago(0.05)), Reachability.UNCERTAIN),
         (
             "three peers owe, none was asked",
-            Evidence(QUIET, 5, ago(1, 1, 1)),
+            Evidence(NEVER, 5, ago(1, 1, 1)),
             Reachability.UNCERTAIN,
         ),
         (
@@ -74,10 +74,10 @@
         ("so does a replica", Evidence(NOW - 0.3, 5, (), ago(0.5)), Reachability.UNCERTAIN),
         (
             "a replica reads a prompt",
-            Evidence(QUIET, 5, (), ago(0.08)),
+            Evidence(NEVER, 5, (), ago(0.08)),
             Reachability.REACHABLE,
         ),
-        ("a replica is silent", Evidence(QUIET, 5, (), ago(0.2)), Reachability.UNCERTAIN),
+        ("a replica is silent", Evidence(NEVER, 5, (), ago(0.2)), Reachability.UNCERTAIN),
         (
             "replicas are silent, peers not",
             Evidence(NOW, 5, (), ago(9, 9, 9)),
@@ -85,36 +85,36 @@
         ),
         (
             "asked just now",
-            Evidence(QUIET, 5, ago(0.1), (), asked(0, 0, 0)),
+            Evidence(NEVER, 5, ago(0.1), (), probed(0, 0, 0)),
             Reachability.UNCERTAIN,
         ),
         (
             "two of many are silent",
-            Evidence(QUIET, 5, (), (), asked(0.2, 0.2)),
+            Evidence(NEVER, 5, (), (), probed(0.2, 0.2)),
             Reachability.UNCERTAIN,
         ),
         (
             "three of many are silent",
-            Evidence(QUIET, 5, (), (), asked(0.2, 0.2, 0.2)),
+            Evidence(NEVER, 5, (), (), probed(0.2, 0.2, 0.2)),
             Reachability.UNREACHABLE,
         ),
         (
             "one has answered",
-            Evidence(NOW - 0.1, 5, (), (), asked(0.2, 0.2, 0.2)),
+            Evidence(NOW - 0.1, 5, (), (), probed(0.2, 0.2, 0.2)),
             Reachability.REACHABLE,
         ),
         (
             "both of two",
-            Evidence(QUIET, 2, (), (), asked(0.2, 0.2)),
+            Evidence(NEVER, 2, (), (), probed(0.2, 0.2)),
             Reachability.UNREACHABLE,
         ),
-        ("the only one", Evidence(QUIET, 1, ago(9.0), (), asked(9.0)), Reachability.UNCERTAIN),
+        ("the only one", Evidence(NEVER, 1, ago(9.0), (), probed(9.0)), Reachability.UNCERTAIN),
     )
-    def test_verdict(self, _name: str, evidence: Evidence, expected: Reachability) -> None:
+    def test_assessment(self, _name: str, evidence: Evidence, expected: Reachability) -> None:
         self.assertIs(expected, assess(evidence, NOW))
 
-    def test_where_answers_come_late_silence_counts_later(self) -> None:
-        evidence = Evidence(QUIET, 5, (), (), asked(0.2, 0.2, 0.2))
+    def test_longer_timeout_delays_silence(self) -> None:
+        evidence = Evidence(NEVER, 5, (), (), probed(0.2, 0.2, 0.2))
         self.assertIs(Reachability.UNCERTAIN, assess(evidence, NOW, silent_after_s=0.4))
 
 
@@ -128,12 +128,12 @@
     """What the zones are told by of a replica."""
 
     zone: str
-    heard_at: float = QUIET
+    heard_at: float = NEVER
     owes_since: float | None = None
     entry: object = attrs.field(factory=mock.Mock)
 
 
-class Play:
+class ZoneSimulation:
     """One process and its peers in virtual time; it alone knows what is cut or down.
 
     Attributes
@@ -144,21 +144,21 @@
         Whether this process does not run: what comes waits unread.
     """
 
-    def __init__(self, members_a_zone: int = 5) -> None:
+    def __init__(self, members_per_zone: int = 5) -> None:
         self.now = NOW
         self.cut_zones: set[str] = set()
         self.down: set[str] = set()
-        self.held_up = False
+        self.paused = False
         self.timeout_factor = 1.0
-        self.questions = 0
+        self.probes_sent = 0
         self._known = [
-            member(zone, index) for zone in (OWN, CUT, OTHER) for index in range(members_a_zone)
+            member(zone, index) for zone in (LOCAL, CUT, OTHER) for index in range(members_per_zone)
         ]
-        self._due: list[tuple[float, Callable[[], None]]] = []
-        self._take_word: Callable[[str], None] = lambda name: None
+        self._scheduled: list[tuple[float, Callable[[], None]]] = []
+        self._datagram_listener: Callable[[str], None] = lambda name: None
         self._checked_at = self.now
         self.replicas: list[FakeReplica] = []
-        self.reach = ZoneReachability(OWN, self)
+        self.reach = ZoneReachability(LOCAL, self)
         self.reach._random = random.Random(1)
         self.reach.watch_replicas(lambda: self.replicas)
 
@@ -182,281 +182,296 @@
         pass
 
     def on_datagram(self, listener: Callable[[str], None]) -> None:
-        self._take_word = listener
+        self._datagram_listener = listener
 
     def probe(self, members: Iterable[Member]) -> None:
         for one in members:
-            self.questions += 1
-            if self.answers(one):
-                self.after(ANSWER_S, lambda name=one.name: self._take_word(name))
+            self.probes_sent += 1
+            if self.is_up(one):
+                self.schedule(ANSWER_S, lambda name=one.name: self._datagram_listener(name))
 
     # The world.
 
-    def answers(self, one: Member) -> bool:
+    def is_up(self, one: Member) -> bool:
         return one.zone not in self.cut_zones and one.name not in self.down
 
-    def of_zone(self, zone: str) -> list[Member]:
+    def members_in(self, zone: str) -> list[Member]:
         return [one for one in self._known if one.zone == zone]
 
-    def after(self, delay_s: float, happens: Callable[[], None]) -> None:
-        self._due.append((self.now + delay_s, happens))
+    def schedule(self, delay_s: float, action: Callable[[], None]) -> None:
+        self._scheduled.append((self.now + delay_s, action))
 
     def call(self, one: Member) -> None:
         """Call a peer; it answers at once, or the call ends without an answer."""
         token = self.reach.began(one.peer)
-        if self.answers(one):
-            self.after(ANSWER_S, lambda: self.reach.ended(token, PeerRefusal("")))
+        if self.is_up(one):
+            self.schedule(ANSWER_S, lambda: self.reach.ended(token, PeerRefusal("")))
         else:
             failure = PeerNoReply(one.peer, "")
-            self.after(CALL_TIMEOUT_S, lambda: self.reach.ended(token, failure))
+            self.schedule(CALL_TIMEOUT_S, lambda: self.reach.ended(token, failure))
 
-    def run(self, for_s: float, each_step: Callable[[], None] = lambda: None) -> None:
+    def run(self, duration_s: float, on_step: Callable[[], None] = lambda: None) -> None:
         """Let time pass; the process checks as often as it does."""
-        until = self.now + for_s
+        until = self.now + duration_s
         while self.now < until - STEP_S / 2:
             self.now += STEP_S
-            each_step()
-            if self.held_up:
+            on_step()
+            if self.paused:
                 continue
-            due = [one for one in self._due if one[0] <= self.now]
-            self._due = [one for one in self._due if one[0] > self.now]
-            for _, happens in due:
-                happens()
+            due = [one for one in self._scheduled if one[0] <= self.now]
+            self._scheduled = [one for one in self._scheduled if one[0] > self.now]
+            for _, action in due:
+                action()
             if self.now - self._checked_at >= CHECK_INTERVAL_S - STEP_S / 2:
                 self._checked_at = self.now
                 self.reach.check()
 
-    def until_lost(self, zone: str, each_step: Callable[[], None] = lambda: None) -> float:
+    def run_until_unreachable(self, zone: str, on_step: Callable[[], None] = lambda: None) -> float:
         """Let time pass until a zone cannot be reached; return how long that took."""
         began = self.now
         while not self.reach.is_unreachable(zone) and self.now < began + 5.0:
-            self.run(STEP_S, each_step)
+            self.run(STEP_S, on_step)
         return self.now - began
 
 
-class PlayTest(unittest.TestCase):
+class SimulationTest(unittest.TestCase):
     """What a process tells under load and under failure."""
 
-    def play(self, members_a_zone: int = 5) -> Play:
-        play = Play(members_a_zone)
-        patch = mock.patch.object(boot_clock, "now", lambda: play.now)
+    def simulation(self, members_per_zone: int = 5) -> ZoneSimulation:
+        simulation = ZoneSimulation(members_per_zone)
+        patch = mock.patch.object(boot_clock, "now", lambda: simulation.now)
         patch.start()
         self.addCleanup(patch.stop)
-        play.start()
-        play.run(0.2)
-        return play
-
-    def lost(self, play: Play) -> set[str]:
-        return {zone for zone in (OWN, CUT, OTHER) if play.reach.is_unreachable(zone)}
-
-    def test_zone_that_is_cut_off_is_known_within_the_objective(self) -> None:
-        play = self.play()
-        play.cut_zones = {CUT}
-        play.call(play.of_zone(CUT)[0])
-        self.assertLess(play.until_lost(CUT), OBJECTIVE_S)
-        self.assertEqual({CUT}, self.lost(play))
-
-    def test_silent_replica_leads_to_it_too(self) -> None:
-        play = self.play()
-        play.cut_zones = {CUT}
-        play.replicas = [FakeReplica(CUT, owes_since=play.now)]
-        self.assertLess(play.until_lost(CUT), OBJECTIVE_S)
-
-    def test_word_just_before_the_cut_hides_it_for_a_moment_only(self) -> None:
-        play = self.play()
-        play.replicas = [FakeReplica(CUT, owes_since=play.now)]
-        play.run(STEP_S)
-        play._take_word(f"{CUT}/1")
-        play.cut_zones = {CUT}
-        self.assertLess(play.until_lost(CUT), REPROBE_AFTER_S + OBJECTIVE_S)
-
-    def test_one_silent_machine_never_makes_a_zone_unreachable(self) -> None:
-        play = self.play()
-        play.down = {play.of_zone(CUT)[0].name, play.of_zone(CUT)[1].name}
-        play.replicas = [FakeReplica(CUT, owes_since=play.now)]
+        simulation.start()
+        simulation.run(0.2)
+        return simulation
+
+    def unreachable_in(self, simulation: ZoneSimulation) -> set[str]:
+        return {zone for zone in (LOCAL, CUT, OTHER) if simulation.reach.is_unreachable(zone)}
+
+    def test_cut_zone_is_detected_within_the_latency_objective(self) -> None:
+        simulation = self.simulation()
+        simulation.cut_zones = {CUT}
+        simulation.call(simulation.members_in(CUT)[0])
+        self.assertLess(simulation.run_until_unreachable(CUT), OBJECTIVE_S)
+        self.assertEqual({CUT}, self.unreachable_in(simulation))
+
+    def test_silent_replica_leads_to_detection(self) -> None:
+        simulation = self.simulation()
+        simulation.cut_zones = {CUT}
+        simulation.replicas = [FakeReplica(CUT, owes_since=simulation.now)]
+        self.assertLess(simulation.run_until_unreachable(CUT), OBJECTIVE_S)
+
+    def test_message_just_before_the_cut_delays_detection_only_briefly(self) -> None:
+        simulation = self.simulation()
+        simulation.replicas = [FakeReplica(CUT, owes_since=simulation.now)]
+        simulation.run(STEP_S)
+        simulation._datagram_listener(f"{CUT}/1")
+        simulation.cut_zones = {CUT}
+        self.assertLess(simulation.run_until_unreachable(CUT), REPROBE_AFTER_S + OBJECTIVE_S)
+
+    def test_two_silent_machines_never_make_a_larger_zone_unreachable(self) -> None:
+        simulation = self.simulation()
+        simulation.down = {simulation.members_in(CUT)[0].name, simulation.members_in(CUT)[1].name}
+        simulation.replicas = [FakeReplica(CUT, owes_since=simulation.now)]
 
         def call() -> None:
-            play.call(play.of_zone(CUT)[0])
-            play.call(play.of_zone(CUT)[1])
-            self.assertEqual(set(), self.lost(play))
+            simulation.call(simulation.members_in(CUT)[0])
+            simulation.call(simulation.members_in(CUT)[1])
+            self.assertEqual(set(), self.unreachable_in(simulation))
 
-        play.run(3.0, call)
+        simulation.run(3.0, call)
 
     def test_only_machine_of_a_zone_never_makes_it_unreachable(self) -> None:
-        play = self.play(members_a_zone=1)
-        play.cut_zones = {CUT}
-        play.call(play.of_zone(CUT)[0])
-        play.run(3.0)
-        self.assertEqual(set(), self.lost(play))
-
-    def test_zone_without_traffic_is_asked_nothing(self) -> None:
-        play = self.play()
-        play.cut_zones = {CUT}
-        play.run(10.0)
-        self.assertEqual(set(), self.lost(play))
-        self.assertEqual(0, play.questions)
-
-    def test_calm_traffic_costs_no_questions(self) -> None:
-        play = self.play()
-        play.run(1.0, lambda: play.call(play.of_zone(CUT)[0]))
-        self.assertEqual(0, play.questions)
-
-    def test_replicas_that_are_slow_cost_few_questions(self) -> None:
-        play = self.play()
-        play.replicas = [FakeReplica(CUT, owes_since=play.now) for _ in range(8)]
-        play.run(2.0)
-        self.assertEqual(set(), self.lost(play))
-        times = 1 + 2.0 / REPROBE_AFTER_S
-        self.assertLessEqual(play.questions, 2 * PEERS_PROBED_AT_ONCE * times)
-
-    def test_own_link_cut(self) -> None:
-        play = self.play()
-        play.cut_zones = {OWN, CUT, OTHER}
-        for zone in (OWN, CUT, OTHER):
-            play.call(play.of_zone(zone)[0])
-        play.run(OBJECTIVE_S)
-        self.assertEqual({CUT, OTHER}, self.lost(play))
-
-    def test_zone_in_which_nothing_waits_is_known_as_soon_as_the_other(self) -> None:
-        play = self.play()
-        play.cut_zones = {CUT, OTHER}
-        play.call(play.of_zone(CUT)[0])
-        play.until_lost(CUT)
-        self.assertEqual({CUT, OTHER}, self.lost(play))
-
-    def test_process_that_was_suspended_judges_by_nothing_that_waited(self) -> None:
-        play = self.play()
-        for one in play.of_zone(CUT):
-            play.call(one)
-        play.replicas = [FakeReplica(CUT, owes_since=play.now)]
-        play.held_up = True
-        play.run(5.0)
-        play.held_up = False
-        play.reach.check()
-        self.assertEqual(set(), self.lost(play))
-        self.assertEqual(0, play.questions)
-        play.run(1.0)
-        self.assertEqual(set(), self.lost(play))
-
-    def test_zone_is_found_cut_off_after_a_suspension_too(self) -> None:
-        play = self.play()
-        play.held_up = True
-        play.run(5.0)
-        play.held_up = False
-        play.cut_zones = {CUT}
-        play.run(CHECK_INTERVAL_S)
-        play.call(play.of_zone(CUT)[0])
-        self.assertLess(play.until_lost(CUT), OBJECTIVE_S)
-
-    def test_healed_cut_is_seen_at_the_first_word(self) -> None:
-        play = self.play()
-        play.cut_zones = {CUT}
-        play.call(play.of_zone(CUT)[0])
-        play.until_lost(CUT)
-        play.run(4.0)
-        self.assertEqual({CUT}, self.lost(play))
-        before = play.questions
-        play.run(1.0)
-        self.assertLessEqual(play.questions - before, 1.0 / UNREACHABLE_PROBE_INTERVAL_S + 1)
-        play.cut_zones = set()
-        play.run(UNREACHABLE_PROBE_INTERVAL_S + CHECK_INTERVAL_S + ANSWER_S)
-        self.assertEqual(set(), self.lost(play))
-
-    def test_word_of_any_kind_ends_it(self) -> None:
-        words: dict[str, Callable[[Play], None]] = {
-            "datagram": lambda play: play._take_word(f"{CUT}/3"),
-            "answer": lambda play: play.reach.ended(
-                play.reach.began(Endpoint(CUT, 2)), PeerRefusal("")
+        simulation = self.simulation(members_per_zone=1)
+        simulation.cut_zones = {CUT}
+        simulation.call(simulation.members_in(CUT)[0])
+        simulation.run(3.0)
+        self.assertEqual(set(), self.unreachable_in(simulation))
+
+    def test_zone_without_traffic_is_not_probed(self) -> None:
+        simulation = self.simulation()
+        simulation.cut_zones = {CUT}
+        simulation.run(10.0)
+        self.assertEqual(set(), self.unreachable_in(simulation))
+        self.assertEqual(0, simulation.probes_sent)
+
+    def test_normal_traffic_causes_no_probes(self) -> None:
+        simulation = self.simulation()
+        simulation.run(1.0, lambda: simulation.call(simulation.members_in(CUT)[0]))
+        self.assertEqual(0, simulation.probes_sent)
+
+    def test_slow_replicas_cause_few_probes(self) -> None:
+        simulation = self.simulation()
+        simulation.replicas = [FakeReplica(CUT, owes_since=simulation.now) for _ in range(8)]
+        simulation.run(2.0)
+        self.assertEqual(set(), self.unreachable_in(simulation))
+        probe_rounds = 1 + 2.0 / REPROBE_AFTER_S
+        self.assertLessEqual(simulation.probes_sent, 2 * PEERS_PROBED_AT_ONCE * probe_rounds)
+
+    def test_cut_local_link_makes_all_other_zones_unreachable(self) -> None:
+        simulation = self.simulation()
+        simulation.cut_zones = {LOCAL, CUT, OTHER}
+        for zone in (LOCAL, CUT, OTHER):
+            simulation.call(simulation.members_in(zone)[0])
+        simulation.run(OBJECTIVE_S)
+        self.assertEqual({CUT, OTHER}, self.unreachable_in(simulation))
+
+    def test_zone_without_outstanding_calls_is_detected_with_the_other(self) -> None:
+        simulation = self.simulation()
+        simulation.cut_zones = {CUT, OTHER}
+        simulation.call(simulation.members_in(CUT)[0])
+        simulation.run_until_unreachable(CUT)
+        self.assertEqual({CUT, OTHER}, self.unreachable_in(simulation))
+
+    def test_suspension_of_this_process_makes_no_zone_unreachable(self) -> None:
+        simulation = self.simulation()
+        for one in simulation.members_in(CUT):
+            simulation.call(one)
+        simulation.replicas = [FakeReplica(CUT, owes_since=simulation.now)]
+        simulation.paused = True
+        simulation.run(5.0)
+        simulation.paused = False
+        simulation.reach.check()
+        self.assertEqual(set(), self.unreachable_in(simulation))
+        self.assertEqual(0, simulation.probes_sent)
+        simulation.run(1.0)
+        self.assertEqual(set(), self.unreachable_in(simulation))
+
+    def test_cut_zone_is_detected_after_a_suspension(self) -> None:
+        simulation = self.simulation()
+        simulation.paused = True
+        simulation.run(5.0)
+        simulation.paused = False
+        simulation.cut_zones = {CUT}
+        simulation.run(CHECK_INTERVAL_S)
+        simulation.call(simulation.members_in(CUT)[0])
+        self.assertLess(simulation.run_until_unreachable(CUT), OBJECTIVE_S)
+
+    def test_healed_zone_is_reachable_after_the_next_probe(self) -> None:
+        simulation = self.simulation()
+        simulation.cut_zones = {CUT}
+        simulation.call(simulation.members_in(CUT)[0])
+        simulation.run_until_unreachable(CUT)
+        simulation.run(4.0)
+        self.assertEqual({CUT}, self.unreachable_in(simulation))
+        probes_before = simulation.probes_sent
+        simulation.run(1.0)
+        self.assertLessEqual(
+            simulation.probes_sent - probes_before, 1.0 / UNREACHABLE_PROBE_INTERVAL_S + 1
+        )
+        simulation.cut_zones = set()
+        simulation.run(UNREACHABLE_PROBE_INTERVAL_S + CHECK_INTERVAL_S + ANSWER_S)
+        self.assertEqual(set(), self.unreachable_in(simulation))
+
+    def test_any_message_makes_the_zone_reachable(self) -> None:
+        messages: dict[str, Callable[[ZoneSimulation], None]] = {
+            "datagram": lambda simulation: simulation._datagram_listener(f"{CUT}/3"),
+            "answer": lambda simulation: simulation.reach.ended(
+                simulation.reach.began(Endpoint(CUT, 2)), PeerRefusal("")
+            ),
+            "replica": lambda simulation: simulation.replicas.append(
+                FakeReplica(CUT, simulation.now)
             ),
-            "replica": lambda play: play.replicas.append(FakeReplica(CUT, play.now)),
         }
-        for name, say in words.items():
+        for name, send in messages.items():
             with self.subTest(name):
-                play = self.play()
-                play.cut_zones = {CUT}
-                play.call(play.of_zone(CUT)[0])
-                play.until_lost(CUT)
-                play.run(1.0)
-                say(play)
-                play.reach.check()
-                self.assertEqual(set(), self.lost(play))
-
-    def test_refused_connection_is_no_silence(self) -> None:
-        play = self.play()
-        endpoint = play.of_zone(CUT)[0].peer
-        token = play.reach.began(endpoint)
-        play.run(STEP_S)
-        play.reach.ended(token, PeerUnreachable(endpoint, "refused"))
-        play.run(1.0)
-        self.assertEqual(0, play.questions)
-
-    def test_calls_there_fail_at_once_and_others_are_chosen(self) -> None:
-        play = self.play()
-        play.cut_zones = {CUT}
-        play.call(play.of_zone(CUT)[0])
-        play.until_lost(CUT)
-        self.assertTrue(play.reach.refuses(play.of_zone(CUT)[1].peer))
-        self.assertFalse(play.reach.refuses(play.of_zone(OTHER)[1].peer))
-        chosen = play.reach.reachable(play.members())
-        self.assertEqual({OWN, OTHER}, {one.zone for one in chosen})
-        only_there = play.of_zone(CUT)
-        self.assertEqual(tuple(only_there), play.reach.reachable(only_there))
-
-    def test_a_zone_whose_members_are_forgotten_counts_no_more(self) -> None:
-        play = self.play()
-        play.cut_zones = {CUT}
-        play.call(play.of_zone(CUT)[0])
-        play.until_lost(CUT)
-        play._known = [one for one in play._known if one.zone != CUT]
-        play.reach._on_members_changed()
-        play.run(0.2)
-        self.assertEqual(0, play.reach.unreachable_zones)
-        self.assertFalse(play.reach.is_unreachable(CUT))
-
-    def test_a_zone_whose_nodes_are_dead_is_reached_by_its_replicas(self) -> None:
+                simulation = self.simulation()
+                simulation.cut_zones = {CUT}
+                simulation.call(simulation.members_in(CUT)[0])
+                simulation.run_until_unreachable(CUT)
+                simulation.run(1.0)
+                send(simulation)
+                simulation.reach.check()
+                self.assertEqual(set(), self.unreachable_in(simulation))
+
+    def test_refused_connection_causes_no_probe(self) -> None:
+        simulation = self.simulation()
+        endpoint = simulation.members_in(CUT)[0].peer
+        token = simulation.reach.began(endpoint)
+        simulation.run(STEP_S)
+        simulation.reach.ended(token, PeerUnreachable(endpoint, "refused"))
+        simulation.run(1.0)
+        self.assertEqual(0, simulation.probes_sent)
+
+    def test_calls_to_an_unreachable_zone_are_refused_and_others_preferred(self) -> None:
+        simulation = self.simulation()
+        simulation.cut_zones = {CUT}
+        simulation.call(simulation.members_in(CUT)[0])
+        simulation.run_until_unreachable(CUT)
+        self.assertTrue(simulation.reach.refuses(simulation.members_in(CUT)[1].peer))
+        self.assertFalse(simulation.reach.refuses(simulation.members_in(OTHER)[1].peer))
+        chosen = simulation.reach.reachable(simulation.members())
+        self.assertEqual({LOCAL, OTHER}, {one.zone for one in chosen})
+        in_cut_zone = simulation.members_in(CUT)
+        self.assertEqual(tuple(in_cut_zone), simulation.reach.reachable(in_cut_zone))
+
+    def test_zone_without_members_is_not_unreachable(self) -> None:
+        simulation = self.simulation()
+        simulation.cut_zones = {CUT}
+        simulation.call(simulation.members_in(CUT)[0])
+        simulation.run_until_unreachable(CUT)
+        simulation._known = [one for one in simulation._known if one.zone != CUT]
+        simulation.reach._on_members_changed()
+        simulation.run(0.2)
+        self.assertEqual(0, simulation.reach.unreachable_zones)
+        self.assertFalse(simulation.reach.is_unreachable(CUT))
+
+    def test_zone_of_dead_nodes_is_assessed_by_its_replicas(self) -> None:
         """An upgrade may stop all nodes of a small zone; its replicas go on."""
-        play = self.play()
-        there = {one.name for one in play.of_zone(CUT)}
-        play.down = there
-        play._known = [
-            msgspec.structs.replace(one, state=MemberState.DEAD) if one.name in there else one
-            for one in play._known
+        simulation = self.simulation()
+        names_in_cut_zone = {one.name for one in simulation.members_in(CUT)}
+        simulation.down = names_in_cut_zone
+        simulation._known = [
+            msgspec.structs.replace(one, state=MemberState.DEAD)
+            if one.name in names_in_cut_zone
+            else one
+            for one in simulation._known
         ]
-        play.reach._on_members_changed()
-        play.call(play.of_zone(OTHER)[0])
-        play.run(1.0)
-        self.assertFalse(play.reach.is_unreachable(CUT))
-        play.replicas = [FakeReplica(CUT, owes_since=play.now) for _ in range(3)]
-        play.run(0.5)
-        self.assertTrue(play.reach.is_unreachable(CUT))
-        play.replicas = [FakeReplica(CUT)]
-        play.reach._is_reached = lambda endpoint: True
-        play.run(0.5)
-        wait_until(lambda: not play.reach.is_unreachable(CUT), "a replica takes a connection")
-
-    def test_own_zone_is_cut_off_where_more_is_lost_than_may_be(self) -> None:
-        rows = (({CUT}, {OWN: True, CUT: True}), ({CUT, OTHER}, {OWN: True, CUT: False}))
+        simulation.reach._on_members_changed()
+        simulation.call(simulation.members_in(OTHER)[0])
+        simulation.run(1.0)
+        self.assertFalse(simulation.reach.is_unreachable(CUT))
+        simulation.replicas = [FakeReplica(CUT, owes_since=simulation.now) for _ in range(3)]
+        simulation.run(0.5)
+        self.assertTrue(simulation.reach.is_unreachable(CUT))
+        simulation.replicas = [FakeReplica(CUT)]
+        simulation.reach._is_reached = lambda endpoint: True
+        simulation.run(0.5)
+        wait_until(lambda: not simulation.reach.is_unreachable(CUT), "a replica takes a connection")
+
+    def test_local_zone_counts_as_cut_off_if_too_many_zones_are_unreachable(self) -> None:
+        rows = (({CUT}, {LOCAL: True, CUT: True}), ({CUT, OTHER}, {LOCAL: True, CUT: False}))
         for cut_zones, expected in rows:
             with self.subTest(cut=sorted(cut_zones)):
-                play = self.play()
+                simulation = self.simulation()
                 network = PeerNetwork(
-                    play, mock.Mock(), mock.Mock(), play.reach, mock.Mock(), zones_lost_at_once=1
+                    simulation,
+                    mock.Mock(),
+                    mock.Mock(),
+                    simulation.reach,
+                    mock.Mock(),
+                    zones_lost_at_once=1,
                 )
-                play.cut_zones = cut_zones
-                play.call(play.of_zone(CUT)[0])
-                play.until_lost(CUT)
-                play.run(0.2)
-                told = {zone: network.may_have_ended(f"{zone}/1#p") for zone in expected}
-                self.assertEqual(expected, told)
-
-    def test_granter_is_one_that_is_reached_and_grants_a_part(self) -> None:
-        play = self.play()
-        fleet = GatewayFleet(play, f"{OWN}/0", lambda one: True, play.reach.is_unreachable)
+                simulation.cut_zones = cut_zones
+                simulation.call(simulation.members_in(CUT)[0])
+                simulation.run_until_unreachable(CUT)
+                simulation.run(0.2)
+                may_have_ended_by_zone = {
+                    zone: network.may_have_ended(f"{zone}/1#p") for zone in expected
+                }
+                self.assertEqual(expected, may_have_ended_by_zone)
+
+    def test_unreachable_gateways_are_not_ranked_and_not_counted_as_live(self) -> None:
+        simulation = self.simulation()
+        fleet = GatewayFleet(
+            simulation, f"{LOCAL}/0", lambda one: True, simulation.reach.is_unreachable
+        )
         self.assertEqual(15, len(fleet.ranked("tenant")))
-        play.cut_zones = {CUT}
-        play.call(play.of_zone(CUT)[0])
-        play.until_lost(CUT)
-        play.run(0.5)
-        self.assertEqual({OWN, OTHER}, {one.zone for one in fleet.ranked("tenant")})
+        simulation.cut_zones = {CUT}
+        simulation.call(simulation.members_in(CUT)[0])
+        simulation.run_until_unreachable(CUT)
+        simulation.run(0.5)
+        self.assertEqual({LOCAL, OTHER}, {one.zone for one in fleet.ranked("tenant")})
         view = fleet.view()
         self.assertEqual((10, 15), (view.live, view.known))
