--- a/tests/test_load_view.py
+++ b/tests/test_load_view.py
@@ -1,4 +1,4 @@
-"""Who polls a replica, how its reports travel, and what that costs."""
+"""Which node polls a replica, and how its reports reach the other nodes."""
 
 import unittest
 from collections import Counter
@@ -20,7 +20,7 @@
 
 
 class CountingPeerClient(PeerClient):
-    """Counts questions by the peer asked."""
+    """Counts pulls of load reports by peer."""
 
     def __init__(self, links: LinkFilter) -> None:
         super().__init__(links)
@@ -75,7 +75,7 @@
         )
 
     def set_live(self, *names: str) -> None:
-        """Let every node see these nodes as live."""
+        """Set the nodes that all nodes see as live."""
         for membership in self.memberships.values():
             membership.members_now = tuple(self.members[name] for name in names)
 
@@ -91,7 +91,7 @@
         ]
 
     def first_poller(self, engine: str) -> str:
-        """Return who polls an engine; members see each other a moment after the start."""
+        """Wait until an engine is polled and return the first node that polls it."""
         wait_until(lambda: self.pollers(engine))
         return self.pollers(engine)[0]
 
--- a/tests/test_membership_faults.py
+++ b/tests/test_membership_faults.py
@@ -1,4 +1,4 @@
-"""Nodes find each other, and notice losses, whatever fails between them."""
+"""Nodes discover each other and detect failures, with network and process faults."""
 
 from __future__ import annotations
 
@@ -45,11 +45,11 @@
     "machines": 0,
     "confirmed_ms_ago": -1,
 }
-"""What every datagram has."""
+"""Fields of every datagram."""
 
 
 def live_member(name: str) -> Member:
-    """Return the record of a member that lives."""
+    """Return the record of a live member."""
     return Member(
         name=name,
         zone="a",
@@ -62,7 +62,7 @@
 
 
 def forty_members() -> list[Membership]:
-    """Return forty members in four zones, not started, that know the first one as their seed."""
+    """Return forty members in four zones, not started, with the first one as their seed."""
     seed = settings_for("m0", "a", 1)
     settings = [seed] + [
         settings_for(f"m{index}", "abcd"[index % 4], 1, (seed.peer_endpoint,))
@@ -72,7 +72,7 @@
 
 
 class FiveMembersCase(unittest.TestCase):
-    """Five members that have found each other through the first."""
+    """Five members that have discovered each other through the first."""
 
     def setUp(self):
         self.settings = []
@@ -93,7 +93,7 @@
         return membership
 
     def block(self, index: int, *targets: int) -> None:
-        """Cut the links from one node to others, in this direction only."""
+        """Block datagrams from one node to others, in this direction only."""
         endpoints = frozenset(self.settings[target].peer_endpoint for target in targets)
         self.link_filters[index].set_blocked(endpoints)
 
@@ -113,7 +113,7 @@
 
 
 class LossTest(FiveMembersCase):
-    """Members die, come back, stop and freeze."""
+    """Members stop, restart, drain and freeze."""
 
     def test_stopped_member_is_marked_dead_and_returns_after_a_restart(self):
         self.members[3].stop()
@@ -168,10 +168,10 @@
 
 
 class LinkTest(FiveMembersCase):
-    """Links are cut, in one direction or both."""
+    """Links are blocked, in one direction or both."""
 
     def assert_nobody_is_suspected(self) -> None:
-        """Expect that nobody is suspected or held for dead during several suspicion times."""
+        """Expect that nobody is suspected or marked dead during several suspicion times."""
         incarnations = [member.local().incarnation for member in self.members]
         sent_before = [member.traffic.sent_datagrams for member in self.members]
         eventually(
@@ -179,12 +179,12 @@
                 member.traffic.sent_datagrams > before + 60
                 for member, before in zip(self.members, sent_before, strict=True)
             ),
-            why="probes go on",
+            why="probes continue",
         )
         for index in range(5):
             self.assertEqual(self.live_of(index), {f"n{number}" for number in range(5)})
         refuted = [member.local().incarnation for member in self.members]
-        self.assertEqual(refuted, incarnations, "nobody had to refute a suspicion")
+        self.assertEqual(refuted, incarnations, "no suspicion had to be refuted")
 
     def test_one_way_cut_marks_nobody_dead(self):
         self.block(0, 1, 2)
@@ -228,7 +228,7 @@
 
 
 class DeadSenderTest(FiveMembersCase):
-    """A node that is held for dead and sends again is told so, and can refute it."""
+    """A node that is marked as dead but sends receives its record, so that it can refute it."""
 
     def test_dead_sender_receives_its_record(self):
         first = self.settings[0].peer_endpoint
@@ -246,13 +246,10 @@
 
 
 class SlowFleetTest(unittest.TestCase):
-    """Forty members on processors that are busy with other work.
+    """Forty members on busy processors.
 
-    Seen beside other load: nearly all members held nearly all others for dead and that never
-    ended, though each lived and calm times take a tenth of what they can do. Late replies made
-    members suspect, each suspect costs seven datagrams and news, and these made replies later.
-    With 5 ms, 10 ms and 20 ms a datagram 25% or less were seen alive after 20 s; with probes
-    that slow down after a late reply all are, after 3.2 s, 5.2 s and 11.7 s.
+    Guards against a state in which late replies cause suspicions, the datagrams about these delay
+    further replies, and members that are alive stay marked as dead.
     """
 
     def test_slow_members_are_all_seen_alive_in_the_end(self):
@@ -262,12 +259,14 @@
                 self.addCleanup(membership.stop)
                 membership.start()
         eventually(
-            lambda: all(len(each.live()) == 40 for each in members), 40.0, "all see all alive"
+            lambda: all(len(each.live()) == 40 for each in members),
+            40.0,
+            "all members see all others as live",
         )
 
 
 def _start_with_delay(member_socket: MemberSocket, receiver: Receiver) -> None:
-    """Start a socket whose receiver takes 10 ms longer for each datagram."""
+    """Start a socket that takes 10 ms longer for each received datagram."""
 
     def receive(datagram: Datagram, source: Endpoint) -> None:
         time.sleep(0.01)
@@ -280,7 +279,7 @@
 
 
 class TimeoutFactorTest(unittest.TestCase):
-    """What a node learns from late replies, without a network."""
+    """Timeouts are extended after late replies; tested without a network."""
 
     def setUp(self):
         self.sent: list[Datagram] = []
@@ -303,7 +302,7 @@
 
     def test_only_a_late_reply_extends_timeouts(self):
         self.assertIsNotNone(self.detector.probe_next())
-        self.assertEqual(self.detector.timeout_factor, 1.0, "a peer that is gone changes nothing")
+        self.assertEqual(self.detector.timeout_factor, 1.0, "no reply changes nothing")
         self.reply_to_last()
         self.assertEqual(self.detector.timeout_factor, TIMEOUT_FACTOR_GROWTH)
         self.reply_to_last()
@@ -328,7 +327,7 @@
 
 
 class CorrectionTest(unittest.TestCase):
-    """Two nodes that hold each other for dead do not answer notice with notice for ever."""
+    """Two nodes that mark each other as dead do not exchange notices without end."""
 
     def test_dead_sender_is_notified_once_per_probe_interval(self):
         membership = Membership(settings_for("own", "a", 1))
@@ -344,11 +343,10 @@
 
 
 class RestartTest(unittest.TestCase):
-    """A member that restarted is known again to all who held its former process for dead.
+    """A restarted member becomes live for all nodes that marked its former process as dead.
 
-    Seen as a member that stayed unknown to some for 10 s: it talked to all of them, and each told
-    it that its former process was dead, which it held for old news. It was found only by those who
-    happened to greet the dead, or to be compared with one who had.
+    Guards against a member that ignores reports about its former process and so stays unknown to
+    their senders until they contact dead members or make a comparison.
     """
 
     def test_member_whose_former_process_is_reported_dead_spreads_its_record(self):
@@ -368,14 +366,14 @@
         )
         members[0]._table.merge(former)
         for membership in members:
-            # Nobody greets the dead, and no comparison brings the news.
+            # No node contacts dead members or starts a comparison.
             membership._synchronisation.begin = lambda target: None
             membership.start()
         members[1]._table.merge(members[0].local())
         eventually(
             lambda: {member.name for member in members[0].live()} == {"first", "second"},
             5.0,
-            "the first knows the second's new process",
+            "the first member sees the second's new process as live",
         )
 
 
@@ -400,5 +398,5 @@
                 )
                 >= 5
             ),
-            why="some hear of it at once",
+            why="some receive it at once",
         )
--- a/tests/test_membership_table.py
+++ b/tests/test_membership_table.py
@@ -1,4 +1,4 @@
-"""Rules by which news of members is taken, spread and compared."""
+"""Rules by which records of members are merged, spread and compared."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class MergeTest(unittest.TestCase):
-    """What one record does to another."""
+    """Precedence of two records of a member."""
 
     def setUp(self):
         self.table = MemberTable(member("self"))
@@ -103,7 +103,7 @@
         self.table.record_versions("x", 4, 99, 99)
         self.assertEqual(self.table.get("x").configuration_generation, 4, "an older incarnation")
         self.table.merge(member("x", incarnation=6, configuration_generation=1))
-        self.assertEqual(self.table.get("x").configuration_generation, 1, "it was restarted")
+        self.assertEqual(self.table.get("x").configuration_generation, 1, "a newer incarnation")
 
     def test_suspect_is_marked_dead_only_after_the_suspicion_time(self):
         self.table.merge(member("x"))
@@ -128,7 +128,7 @@
 
 
 class DisseminationTest(unittest.TestCase):
-    """Records ride on a bounded number of datagrams of bounded size."""
+    """Records are sent in a bounded number of datagrams of bounded size."""
 
     def test_record_is_sent_a_bounded_number_of_times(self):
         updates = Dissemination()
@@ -164,7 +164,7 @@
 
 
 class RankingTest(unittest.TestCase):
-    """Nodes that see the same members rank them alike."""
+    """Nodes that know the same members rank them equally."""
 
     def test_given_zone_ranks_first_and_a_loss_moves_only_its_keys(self):
         members = [member(f"n{number}", zone="ab"[number % 2]) for number in range(20)]
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -1,4 +1,4 @@
-"""The choice of a replica: exact weights, own zone, load, affinity, draining, ejection."""
+"""The choice of a replica: exact weights, local zone, load, affinity, draining, ejection."""
 
 import unittest
 from collections import Counter
@@ -26,12 +26,12 @@
 CUT_ANSWER = OutcomeUnknown(502, "cut", "")
 FROZEN = OutcomeUnknown(504, "nothing came", "")
 REFUSED = NotRun(503, "connection refused", "")
-DRAINING = NotRun(503, "leaving", "", by_replica=True)
+DRAINING = NotRun(503, "draining", "", by_replica=True)
 REQUEST_AT_FAULT = Failed(400, "bad", "")
 
 
 class FakeLoadView:
-    """Holds the replicas that a test names."""
+    """A load view with the replicas of a test, all of one service."""
 
     def __init__(self, replicas: list[ReplicaView]) -> None:
         self._replicas = tuple(replicas)
@@ -49,7 +49,7 @@
 
 
 class RoutedFleet:
-    """A router over some replicas; each zone is a group of its own unless named otherwise."""
+    """A router over some replicas; by default each zone is a group of its own."""
 
     def __init__(
         self,
@@ -129,7 +129,7 @@
 
 
 class PlacementTest(unittest.TestCase):
-    """Which replica within a group, and which group when one has nothing to offer."""
+    """The choice of a replica within a group, and of another group if one has none."""
 
     def test_local_zone_is_preferred(self):
         replicas = [replica("a1", "a"), replica("b1", "b"), replica("c1", "c")]
@@ -160,8 +160,8 @@
             lambda one: one.set_machine(msgspec.structs.replace(one.machine, draining=True)),
         ),
         ("load report", lambda one: one.offer_report(LoadReport(one.name, 0.0, draining=True))),
-        ("answer of the replica", lambda one: one.record_draining_answer()),
-        ("not polled", lambda one: one.offer_report(LoadReport(one.name, 0.0, reachable=False))),
+        ("response of the replica", lambda one: one.record_draining_answer()),
+        ("unreachable", lambda one: one.offer_report(LoadReport(one.name, 0.0, reachable=False))),
     )
     def test_draining_or_unreachable_replica_is_not_chosen(self, _, change):
         draining_replica = replica("a1")
@@ -180,7 +180,7 @@
 
 
 class LoadTest(unittest.TestCase):
-    """The less loaded of two, with reports that are late, missing or untrue."""
+    """The less loaded of two is chosen, also with reports that are old, missing or wrong."""
 
     def test_less_loaded_of_two_is_chosen(self):
         fleet = RoutedFleet([replica("a1", load=10), replica("a2", load=1)])
@@ -200,7 +200,7 @@
             wrongly_idle.offer_report(LoadReport("a1", age_s=0.0, running=0, slots=32))
         self.assertLessEqual(wrongly_idle.own_in_flight, 51)
 
-    @params(("never heard of", None, 0.0), ("too old", 0, 60.0))
+    @params(("no report", None, 0.0), ("too old", 0, 60.0))
     def test_unknown_load_does_not_count_as_idle(self, _, load, age_s):
         unknown = replica("a1", load=load, age_s=age_s)
         fleet = RoutedFleet([unknown, replica("a2", load=5), replica("a3", load=9)])
@@ -215,7 +215,7 @@
 
 
 class AffinityTest(unittest.TestCase):
-    """Prompts with the same prefix go to the same replica while it is hardly more loaded."""
+    """Prompts with the same prefix go to the same replica while it has little more load."""
 
     def test_same_prefix_goes_to_the_same_replica(self):
         fleet = RoutedFleet([replica(f"a{number}") for number in range(6)])
@@ -232,15 +232,15 @@
 
 
 class EjectionTest(unittest.TestCase):
-    """Failing replicas are left out for a time, never more than half of a set."""
+    """Failing replicas are excluded for a time, never more than half of a service's."""
 
     @params(
         ("refused connection", (REFUSED,), True),
         ("no first byte", (FROZEN,), True),
-        ("says it is leaving", (DRAINING,), True),
+        ("says that it is draining", (DRAINING,), True),
         ("one cut answer", (CUT_ANSWER,), False),
         ("two cut answers", (CUT_ANSWER, CUT_ANSWER), True),
-        ("fault of the request", (REQUEST_AT_FAULT,) * 5, False),
+        ("the request is at fault", (REQUEST_AT_FAULT,) * 5, False),
     )
     def test_failures_that_eject(self, _, failures, is_ejected):
         fleet = RoutedFleet([replica("a1"), replica("a2"), replica("a3")])
@@ -275,7 +275,7 @@
     @params(
         ("much slower than the others", 1.0, 0.1, True),
         ("slow like the others", 1.0, 0.9, False),
-        ("slower, yet quick", 0.1, 0.01, False),
+        ("slower, but still fast", 0.1, 0.01, False),
     )
     def test_slow_replica_is_ejected(self, _, replica_first_byte_s, others_first_byte_s, ejected):
         fleet = RoutedFleet([replica("a1"), replica("a2"), replica("a3")])
--- a/tests/test_zone_reachability.py
+++ b/tests/test_zone_reachability.py
@@ -1,4 +1,4 @@
-"""Which zones can be reached: the decision in a table, and plays in virtual time."""
+"""Zone reachability: the assessment by a table of cases, and simulations in virtual time."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 ANSWER_S = 0.005
 CALL_TIMEOUT_S = 0.05
 OBJECTIVE_S = 0.3
-"""The callers' shortest objective: a zone that is cut off is known before it has passed."""
+"""The shortest latency objective, within which a cut zone has to be detected."""
 LOCAL, CUT, OTHER = "zone-a", "zone-b", "zone-c"
 
 
@@ -49,42 +49,42 @@
 
 
 class AssessTest(unittest.TestCase):
-    """What is known of a zone, from what was heard and is owed."""
+    """A zone is assessed by the messages received from it and the answers outstanding."""
 
     @params(
-        ("quiet, without traffic", Evidence(NEVER, 5), Reachability.REACHABLE),
-        ("quiet for long after a word", Evidence(NOW - 60.0, 5), Reachability.REACHABLE),
+        ("no message and no traffic", Evidence(NEVER, 5), Reachability.REACHABLE),
+        ("last message long ago", Evidence(NOW - 60.0, 5), Reachability.REACHABLE),
         ("a call has just begun", Evidence(NEVER, 5, ago(0.01)), Reachability.REACHABLE),
-        ("a peer owes an answer", Evidence(NEVER, 5, ago(0.05)), Reachability.UNCERTAIN),
+        ("an answer is overdue", Evidence(NEVER, 5, ago(0.05)), Reachability.UNCERTAIN),
         (
-            "three peers owe, none was asked",
+            "three answers are overdue, no probe",
             Evidence(NEVER, 5, ago(1, 1, 1)),
             Reachability.UNCERTAIN,
         ),
         (
-            "it owes, the zone was heard",
+            "overdue, but a recent message",
             Evidence(NOW - 0.02, 5, ago(0.05)),
             Reachability.REACHABLE,
         ),
         (
-            "it owes, nothing since a word",
+            "overdue, last message not recent",
             Evidence(NOW - 0.3, 5, ago(0.5)),
             Reachability.UNCERTAIN,
         ),
-        ("so does a replica", Evidence(NOW - 0.3, 5, (), ago(0.5)), Reachability.UNCERTAIN),
+        ("a replica too", Evidence(NOW - 0.3, 5, (), ago(0.5)), Reachability.UNCERTAIN),
         (
-            "a replica reads a prompt",
+            "a replica processes a prompt",
             Evidence(NEVER, 5, (), ago(0.08)),
             Reachability.REACHABLE,
         ),
         ("a replica is silent", Evidence(NEVER, 5, (), ago(0.2)), Reachability.UNCERTAIN),
         (
-            "replicas are silent, peers not",
+            "replicas are silent, peers are not",
             Evidence(NOW, 5, (), ago(9, 9, 9)),
             Reachability.REACHABLE,
         ),
         (
-            "asked just now",
+            "probed just now",
             Evidence(NEVER, 5, ago(0.1), (), probed(0, 0, 0)),
             Reachability.UNCERTAIN,
         ),
@@ -125,7 +125,7 @@
 
 @attrs.define
 class FakeReplica:
-    """What the zones are told by of a replica."""
+    """The attributes of a replica that zone reachability uses."""
 
     zone: str
     heard_at: float = NEVER
@@ -134,14 +134,14 @@
 
 
 class ZoneSimulation:
-    """One process and its peers in virtual time; it alone knows what is cut or down.
+    """Simulates one process, as its own membership, and its peers in virtual time.
 
     Attributes
     ----------
     cut_zones, down
-        Zones and members from which nothing comes.
-    held_up
-        Whether this process does not run: what comes waits unread.
+        Zones and members that send nothing.
+    paused
+        Whether this process is paused, so that incoming messages remain unread.
     """
 
     def __init__(self, members_per_zone: int = 5) -> None:
@@ -163,11 +163,11 @@
         self.reach.watch_replicas(lambda: self.replicas)
 
     def start(self) -> None:
-        """Begin to tell; the checks are made by the play."""
+        """Start zone reachability without its thread; ``run`` makes the checks."""
         with mock.patch("threading.Thread.start"):
             self.reach.start()
 
-    # What the zones ask of the membership.
+    # The interface of the membership.
 
     def members(self) -> tuple[Member, ...]:
         return tuple(self._known)
@@ -190,7 +190,7 @@
             if self.is_up(one):
                 self.schedule(ANSWER_S, lambda name=one.name: self._datagram_listener(name))
 
-    # The world.
+    # The simulated fleet.
 
     def is_up(self, one: Member) -> bool:
         return one.zone not in self.cut_zones and one.name not in self.down
@@ -202,7 +202,7 @@
         self._scheduled.append((self.now + delay_s, action))
 
     def call(self, one: Member) -> None:
-        """Call a peer; it answers at once, or the call ends without an answer."""
+        """Call a peer, which answers after ``ANSWER_S`` unless it is cut off or down."""
         token = self.reach.began(one.peer)
         if self.is_up(one):
             self.schedule(ANSWER_S, lambda: self.reach.ended(token, PeerRefusal("")))
@@ -211,7 +211,7 @@
             self.schedule(CALL_TIMEOUT_S, lambda: self.reach.ended(token, failure))
 
     def run(self, duration_s: float, on_step: Callable[[], None] = lambda: None) -> None:
-        """Let time pass; the process checks as often as it does."""
+        """Advance the time, with checks at ``CHECK_INTERVAL_S`` unless paused."""
         until = self.now + duration_s
         while self.now < until - STEP_S / 2:
             self.now += STEP_S
@@ -227,7 +227,7 @@
                 self.reach.check()
 
     def run_until_unreachable(self, zone: str, on_step: Callable[[], None] = lambda: None) -> float:
-        """Let time pass until a zone cannot be reached; return how long that took."""
+        """Advance the time until a zone is unreachable, for at most 5 s; return the duration."""
         began = self.now
         while not self.reach.is_unreachable(zone) and self.now < began + 5.0:
             self.run(STEP_S, on_step)
@@ -235,7 +235,7 @@
 
 
 class SimulationTest(unittest.TestCase):
-    """What a process tells under load and under failure."""
+    """Reachability of zones under load and under failures."""
 
     def simulation(self, members_per_zone: int = 5) -> ZoneSimulation:
         simulation = ZoneSimulation(members_per_zone)
@@ -418,7 +418,7 @@
         self.assertFalse(simulation.reach.is_unreachable(CUT))
 
     def test_zone_of_dead_nodes_is_assessed_by_its_replicas(self) -> None:
-        """An upgrade may stop all nodes of a small zone; its replicas go on."""
+        """An upgrade may stop all nodes of a small zone while its replicas continue to run."""
         simulation = self.simulation()
         names_in_cut_zone = {one.name for one in simulation.members_in(CUT)}
         simulation.down = names_in_cut_zone
