--- a/src/quaymill/process/membership/dissemination.py
+++ b/src/quaymill/process/membership/dissemination.py
@@ -36,19 +36,19 @@
             self._pending.pop(record.name, None)
             self._pending[record.name] = _PendingUpdate(record, encoded_size(record))
 
-    def take(self, budget_bytes: int, members: int) -> list[Member]:
+    def take_records(self, budget_bytes: int, members: int) -> list[Member]:
         """Return records for one datagram, with an encoded size of at most ``budget_bytes``."""
         if not self._pending:
             return []
         limit = TRANSMISSIONS_PER_LOG2_MEMBERS * max(math.ceil(math.log2(members + 1)), 1)
-        taken = []
+        selected = []
         with self._lock:
             for update in sorted(reversed(self._pending.values()), key=lambda update: update.sent):
                 if update.size > budget_bytes:
                     break
                 budget_bytes -= update.size
-                taken.append(update.record)
+                selected.append(update.record)
                 update.sent += 1
                 if update.sent >= limit:
                     del self._pending[update.record.name]
-        return taken
+        return selected
--- a/src/quaymill/process/membership/failure_detector.py
+++ b/src/quaymill/process/membership/failure_detector.py
@@ -94,7 +94,7 @@
         if target is None:
             return None
         began = boot_clock.now()
-        if self._is_answered(target):
+        if self._probe_is_answered(target):
             return None
         elapsed_s = boot_clock.now() - began
         if elapsed_s > self._max_round_s() + PROCESS_PAUSE_S:
@@ -142,7 +142,7 @@
         self._relayed[sequence] = _RelayedProbe(asker, request.sequence, expires)
         self._send(request.target, Probe(**self._header_fields(), sequence=sequence), ())
 
-    def _is_answered(self, target: Member) -> bool:
+    def _probe_is_answered(self, target: Member) -> bool:
         sequence = self._next_sequence()
         answered = threading.Event()
         self._replies[sequence] = answered
--- a/src/quaymill/process/membership/member_table.py
+++ b/src/quaymill/process/membership/member_table.py
@@ -94,7 +94,7 @@
                 return None
             if known is not None and record.incarnation == known.incarnation:
                 record = _with_versions(record, known)
-            self._put(record)
+            self._store(record)
             return record
 
     def record_versions(self, name: str, incarnation: int, generation: int, machines: int) -> None:
@@ -128,7 +128,7 @@
             newly_dead = []
             for name in names:
                 record = msgspec.structs.replace(self._members[name], state=MemberState.DEAD)
-                self._put(record)
+                self._store(record)
                 newly_dead.append(record)
         return newly_dead
 
@@ -188,7 +188,7 @@
                 self._members[known.name] = updated
                 self.revision += 1
 
-    def _put(self, record: Member) -> None:
+    def _store(self, record: Member) -> None:
         """Store a record and when its state began; the caller holds the lock."""
         now = boot_clock.now()
         self._members[record.name] = record
--- a/src/quaymill/process/membership/membership.py
+++ b/src/quaymill/process/membership/membership.py
@@ -297,7 +297,7 @@
                 self._rejoin()
                 next_rejoin = now + self._timing.rejoin_interval_s * self._random.uniform(0.8, 1.2)
             if now >= next_sync:
-                self._sync_with_one()
+                self._sync_with_random_peer()
                 next_sync = now + SYNC_INTERVAL_S * self._random.uniform(0.8, 1.2)
             self._probe_once()
             pause_s = interval_s * self._detector.timeout_factor
@@ -356,7 +356,7 @@
         while boot_clock.now() < until and not self._stopping.wait(JOIN_INTERVAL_S):
             for seed in self._unknown_seeds():
                 self._synchronisation.begin(seed)
-            self._sync_with_one()
+            self._sync_with_random_peer()
 
     def _unknown_seeds(self) -> set[Endpoint]:
         """Return the seeds that are not among the known live members."""
@@ -371,7 +371,7 @@
         if targets:
             self._synchronisation.begin(self._random.choice(sorted(targets)))
 
-    def _sync_with_one(self) -> None:
+    def _sync_with_random_peer(self) -> None:
         peers = self._table.peers()
         if peers:
             self._synchronisation.begin(self._random.choice(peers).peer)
@@ -401,7 +401,7 @@
         datagram.records = tuple(MemberRecord.of(record) for record in shown)
         remaining_bytes = MAX_DATAGRAM_BYTES - len(encode_datagram(datagram))
         names = {record.name for record in shown}
-        updates = self._updates.take(remaining_bytes, len(self._table.all()))
+        updates = self._updates.take_records(remaining_bytes, len(self._table.all()))
         datagram.records += tuple(
             MemberRecord.of(record) for record in updates if record.name not in names
         )
--- a/src/quaymill/process/membership/ranking.py
+++ b/src/quaymill/process/membership/ranking.py
@@ -62,8 +62,8 @@
     if not members:
         return ()
     by_cores = sorted((member.cores for member in members), reverse=True)
-    considered = max(MIN_STRONGEST_MEMBERS, math.ceil(STRONGEST_SHARE * len(members)))
-    min_cores = max(statistics.median(by_cores), by_cores[min(considered, len(members)) - 1])
+    min_members = max(MIN_STRONGEST_MEMBERS, math.ceil(STRONGEST_SHARE * len(members)))
+    min_cores = max(statistics.median(by_cores), by_cores[min(min_members, len(members)) - 1])
     return tuple(member for member in members if member.cores >= min_cores)
 
 
--- a/src/quaymill/process/membership/synchronisation.py
+++ b/src/quaymill/process/membership/synchronisation.py
@@ -48,7 +48,11 @@
     def answer(self, sync: Sync, source: Endpoint) -> None:
         """Send the records of the buckets that differ, and request the sender's records."""
         pairs = zip(self._table.digests(), sync.digests, strict=False)
-        differing = tuple(bucket for bucket, (own, other) in enumerate(pairs) if own != other)
+        differing = tuple(
+            bucket
+            for bucket, (local_digest, other_digest) in enumerate(pairs)
+            if local_digest != other_digest
+        )
         if differing:
             self.send_records(source, frozenset(differing), wanted=differing)
 
--- a/src/quaymill/process/replicas/load_view.py
+++ b/src/quaymill/process/replicas/load_view.py
@@ -71,7 +71,7 @@
         self._scheduled_here: frozenset[str] = frozenset()
         self._schedulers: dict[str, Member] = {}
         self._assigned_for: tuple[int, frozenset[tuple[str, Endpoint]]] | None = None
-        self._polled_here: set[str] = set()
+        self._replicas_being_polled: set[str] = set()
         self._peers_to_pull_from: dict[Endpoint, str] = {}
         self._peers_being_pulled: set[Endpoint] = set()
         self._stopping = threading.Event()
@@ -80,7 +80,7 @@
     def start(self) -> None:
         """Begin to poll replicas and to pull reports from other nodes."""
         self._machine_list.subscribe(self._update_replicas)
-        _start_thread("load-view", self._keep_assigned)
+        _start_thread("load-view", self._assign_periodically)
 
     def stop(self) -> None:
         """Stop polling and pulling."""
@@ -134,7 +134,7 @@
         view.set_machine(machine)
         return view
 
-    def _keep_assigned(self) -> None:
+    def _assign_periodically(self) -> None:
         while True:
             self._assign()
             self._start_missing_threads()
@@ -154,8 +154,8 @@
 
     def _start_missing_threads(self) -> None:
         """Start a thread for each newly assigned replica or peer; they end by themselves."""
-        for name in self._scheduled_here - self._polled_here:
-            self._polled_here.add(name)
+        for name in self._scheduled_here - self._replicas_being_polled:
+            self._replicas_being_polled.add(name)
             _start_thread(f"poll-{name}", self._poll, name)
         for peer in self._peers_to_pull_from.keys() - self._peers_being_pulled:
             self._peers_being_pulled.add(peer)
@@ -202,7 +202,7 @@
             report = poll_replica(self._connections, view)
             if report is not None:
                 view.offer_report(report)
-        self._polled_here.discard(name)
+        self._replicas_being_polled.discard(name)
 
     def _poll_interval_s(self) -> float:
         return max(POLL_INTERVAL_S, len(self._scheduled_here) / POLLS_PER_S)
--- a/src/quaymill/process/replicas/replica.py
+++ b/src/quaymill/process/replicas/replica.py
@@ -25,7 +25,7 @@
         self._machine = machine
         self._report: LoadReport | None = None
         self._measured_at = 0.0
-        self._started_at: dict[int, float] = {}
+        self._started_at_by_ticket: dict[int, float] = {}
         self._next_ticket = 0
         self._answered_draining_at: float | None = None
         self.ejected_until = 0.0
@@ -67,18 +67,18 @@
         """Count a request that is being sent; return the ticket for ``end``."""
         with self._lock:
             self._next_ticket += 1
-            self._started_at[self._next_ticket] = boot_clock.now()
+            self._started_at_by_ticket[self._next_ticket] = boot_clock.now()
             return self._next_ticket
 
     def end(self, ticket: int) -> None:
         """Stop counting a request."""
         with self._lock:
-            self._started_at.pop(ticket, None)
+            self._started_at_by_ticket.pop(ticket, None)
 
     @property
     def own_in_flight(self) -> int:
         """Requests of this node in flight to the replica."""
-        return len(self._started_at)
+        return len(self._started_at_by_ticket)
 
     @property
     def ejected(self) -> bool:
@@ -140,9 +140,11 @@
             if report is None or boot_clock.now() - self._measured_at > REPORT_LIFETIME_S:
                 return None
             measured_at = self._measured_at
-            since = sum(1 for started_at in self._started_at.values() if started_at > measured_at)
+            since = sum(
+                1 for started_at in self._started_at_by_ticket.values() if started_at > measured_at
+            )
             reported = report.running - report.batch_running + report.waiting
-            return max(reported + since, len(self._started_at))
+            return max(reported + since, len(self._started_at_by_ticket))
 
     @property
     def slots(self) -> int:
--- a/tests/test_membership_table.py
+++ b/tests/test_membership_table.py
@@ -133,7 +133,7 @@
     def test_record_is_sent_a_bounded_number_of_times(self):
         updates = Dissemination()
         updates.add(member())
-        sent = sum(len(updates.take(1000, members=330)) for _ in range(1000))
+        sent = sum(len(updates.take_records(1000, members=330)) for _ in range(1000))
         self.assertEqual(sent, 27)
 
     def test_records_fill_a_datagram_without_exceeding_it(self):
@@ -141,9 +141,9 @@
         for number in range(300):
             updates.add(member(f"node-{number}"))
         notice = Notice("node-1", 5)
-        merged = updates.take(MAX_DATAGRAM_BYTES - len(encode_datagram(notice)), 300)
-        notice.records = tuple(MemberRecord.of(record) for record in merged)
-        self.assertEqual([record.member() for record in notice.records], merged)
+        selected = updates.take_records(MAX_DATAGRAM_BYTES - len(encode_datagram(notice)), 300)
+        notice.records = tuple(MemberRecord.of(record) for record in selected)
+        self.assertEqual([record.member() for record in notice.records], selected)
         self.assertGreater(len(notice.records), 2)
         self.assertLessEqual(len(encode_datagram(notice)), MAX_DATAGRAM_BYTES)
         self.assertEqual(decode_datagram(encode_datagram(notice)), notice)
@@ -152,7 +152,7 @@
         updates = Dissemination()
         updates.add(member(state=SUSPECT))
         updates.add(member(state=DEAD))
-        self.assertEqual([record.state for record in updates.take(10_000, 10)], [DEAD])
+        self.assertEqual([record.state for record in updates.take_records(10_000, 10)], [DEAD])
 
     @params(b"", b"\n", b"{}", b"[1]", b'{"kind":"Probe"}', b"\xff\xfe", b'{"kind":"Nonsense"}\n')
     def test_invalid_line_is_decoded_as_none(self, line):
