--- a/src/quaymill/process/membership/failure_detector.py
+++ b/src/quaymill/process/membership/failure_detector.py
@@ -18,10 +18,11 @@
 
 INDIRECT_PROBES = 3
 PROCESS_PAUSE_S = 1.0
+"""Delay of a probe from which on this process itself is assumed to have been paused."""
 MAX_RELAYED_PROBES = 1000
 RELAYED_PROBE_LIFETIME_S = 5.0
 MAX_TIMEOUT_FACTOR = 8.0
-"""Upper bound of the factor: with probes every 0.5 s, one is then sent every 4 s."""
+"""Upper bound of the timeout factor: with probes every 0.5 s, one is then sent every 4 s."""
 TIMEOUT_FACTOR_GROWTH = 2.0
 """Factor by which a late reply extends the timeouts."""
 TIMEOUT_FACTOR_DECAY = 0.8
--- a/src/quaymill/process/membership/membership.py
+++ b/src/quaymill/process/membership/membership.py
@@ -50,6 +50,7 @@
 PROCESS_ID_BYTES = 4
 
 MAX_CONFIRMED_AGE_S = 60.0
+"""Age from which on a confirmation is no longer reported to other nodes."""
 MIN_LOGGED_SUSPENSION_S = 0.2
 """Shortest suspension that is logged; no timeout that other nodes rely on is shorter."""
 
--- a/src/quaymill/process/replicas/load_view.py
+++ b/src/quaymill/process/replicas/load_view.py
@@ -175,7 +175,7 @@
         return ranked_here
 
     def _choose_peers_to_pull_from(self, live: tuple[Member, ...]) -> dict[Endpoint, str]:
-        """Return the peers to pull from, each with a zone, or "" for what the peer polls."""
+        """Return the peers to pull from, each with a zone (empty for what the peer polls)."""
         peers: dict[Endpoint, str] = {}
         for zone, views in self._by_zone.items():
             if zone == self._settings.zone:
