--- a/src/quaymill/process/membership/failure_detector.py
+++ b/src/quaymill/process/membership/failure_detector.py
@@ -76,7 +76,7 @@
         self._header_fields = header_fields
         self._random = random_source
         self._probe_order: list[str] = []
-        self._replies: dict[int, threading.Event] = {}
+        self._awaited_replies: dict[int, threading.Event] = {}
         self._abandoned: deque[int] = deque(maxlen=REMEMBERED_ABANDONED_PROBES)
         self._timeout_factor = 1.0
         self._relayed: dict[int, _RelayedProbe] = {}
@@ -114,7 +114,7 @@
 
     def on_reply(self, reply: ProbeReply) -> None:
         """Handle a reply, which may belong to a probe sent on behalf of another node."""
-        answered = self._replies.get(reply.sequence)
+        answered = self._awaited_replies.get(reply.sequence)
         if answered is not None:
             answered.set()
         elif reply.sequence in self._abandoned:
@@ -146,7 +146,7 @@
     def _probe_is_answered(self, target: Member) -> bool:
         sequence = self._next_sequence()
         answered = threading.Event()
-        self._replies[sequence] = answered
+        self._awaited_replies[sequence] = answered
         # A suspect receives its own record, so that it can refute the suspicion.
         shown = (target,) if target.state is MemberState.SUSPECT else ()
         timeout_s = self._timing.probe_timeout_s * self._timeout_factor
@@ -163,7 +163,7 @@
             self._abandoned.append(sequence)
             return False
         finally:
-            del self._replies[sequence]
+            del self._awaited_replies[sequence]
 
     def _probe_indirectly(self, target: Member, sequence: int) -> None:
         helpers = [
--- a/tests/test_membership_table.py
+++ b/tests/test_membership_table.py
@@ -43,8 +43,8 @@
 
     @params((DEAD, 4, True), (SUSPECT, 4, True), (ALIVE, 4, False), (DRAINING, 4, False))
     def test_report_of_failure_of_a_former_process_is_answered(self, state, incarnation, answered):
-        updates = self.table.merge(member("self", state, incarnation))
-        self.assertEqual(self.table.local() if answered else None, updates)
+        update = self.table.merge(member("self", state, incarnation))
+        self.assertEqual(self.table.local() if answered else None, update)
         self.assertEqual(5, self.table.local().incarnation)
 
     @params(
@@ -66,13 +66,13 @@
         self, known_state, known_incarnation, received_state, received_incarnation, result
     ):
         self.table.merge(member("x", known_state, known_incarnation))
-        updates = self.table.merge(member("x", received_state, received_incarnation))
+        update = self.table.merge(member("x", received_state, received_incarnation))
         self.assertEqual(self.table.get("x").state, result)
         merged = result == received_state and (known_state, known_incarnation) != (
             received_state,
             received_incarnation,
         )
-        self.assertEqual(updates is not None, merged)
+        self.assertEqual(update is not None, merged)
 
     @params(
         (SUSPECT, 5, 6), (DEAD, 5, 6), (DEAD, 9, 10), (ALIVE, 9, 10), (ALIVE, 5, 5), (DEAD, 4, 5)
@@ -96,10 +96,8 @@
         self.table.merge(member("x", configuration_generation=4, machine_list_version=9))
         self.table.merge(member("x", configuration_generation=3, machine_list_version=12))
         self.table.record_versions("x", 5, 2, 2)
-        known_state = self.table.get("x")
-        self.assertEqual(
-            (known_state.configuration_generation, known_state.machine_list_version), (4, 12)
-        )
+        known = self.table.get("x")
+        self.assertEqual((known.configuration_generation, known.machine_list_version), (4, 12))
         self.table.record_versions("x", 4, 99, 99)
         self.assertEqual(self.table.get("x").configuration_generation, 4, "an older incarnation")
         self.table.merge(member("x", incarnation=6, configuration_generation=1))
