--- a/src/quaymill/process/membership/membership.py
+++ b/src/quaymill/process/membership/membership.py
@@ -1,11 +1,11 @@
-"""SWIM-style membership over UDP: who lives, who drains, and what versions they hold.
+"""SWIM-style membership over UDP: which nodes are alive or draining, and their versions.
 
-Each node probes one other node a period, in a shuffled order that reaches all. A node that
-answers neither directly nor through others is SUSPECT; unless it refutes that in time it is
-DEAD. News rides on the probes, and a periodic comparison with a random node, sometimes one
-held for dead, brings everything that was missed, also after a partition has healed.
+Each period, a node probes one other node, in a shuffled order that covers all nodes. A node that
+answers neither directly nor through others becomes SUSPECT, and DEAD unless it refutes that in
+time. Updates are piggybacked on the probes. A periodic comparison with a random node, sometimes
+one marked as dead, transfers all that was missed, also after a partition has healed.
 
-Two threads serve a node: one receives, one probes; a third one looks for the others at the start.
+One thread receives datagrams and one sends probes; a third one joins the fleet after the start.
 """
 
 from __future__ import annotations
@@ -50,36 +50,37 @@
 PROCESS_ID_BYTES = 4
 
 MAX_CONFIRMED_AGE_S = 60.0
-TOLD_SUSPENSION_S = 0.2
-"""A suspension from which on a line is written; below it nothing runs out that others rely on."""
+"""Age from which on a confirmation is no longer reported to other nodes."""
+MIN_LOGGED_SUSPENSION_S = 0.2
+"""Shortest suspension that is logged; no timeout that other nodes rely on is shorter."""
 
 Listener = Callable[[], None]
 ConfirmationListener = Callable[[int, int, float], None]
-"""Takes generation, machine list version, and when they were known to be the newest."""
+"""Receives generation, machine list version, and when they were known to be the newest."""
 CrashListener = Callable[[str, int], None]
-"""Takes a node's name and its digest of crashes."""
+"""Receives a node's name and its digest of crashes."""
 DatagramListener = Callable[[str], None]
-"""Takes the name of a node from which a datagram has come."""
+"""Receives the name of the node that sent a datagram."""
 UNAWAITED_SEQUENCE = 0
-"""Of a probe whose reply nobody waits for; those of the failure detector begin at 1."""
+"""Sequence number of probes whose reply nobody waits for; the failure detector's begin at 1."""
 
 
 class Membership:
-    """One node's part in the membership.
+    """Membership protocol of one node.
 
     Parameters
     ----------
     settings
         Name, zone, addresses, seeds and timing of this node.
     link_filter
-        Fault switch: nothing is sent to a blocked endpoint.
+        Fault injection: nothing is sent to a blocked endpoint.
     """
 
     def __init__(self, settings: NodeSettings, link_filter: LinkFilter | None = None) -> None:
         self._timing = settings.membership
         self._random = random.Random(f"{settings.name}/{time.time_ns()}")
         self._table = MemberTable(_local_member(settings))
-        self._news = Dissemination()
+        self._updates = Dissemination()
         self._seeds_lock = threading.Lock()
         self._seeds = {Endpoint.parse(seed) for seed in settings.seeds}
         self._seeds.discard(settings.peer_endpoint)
@@ -88,26 +89,28 @@
         self._confirmed_at: float | None = None
         self._crash_digest = 0
         self._crash_listener: CrashListener | None = None
-        self._word_listener: DatagramListener | None = None
+        self._datagram_listener: DatagramListener | None = None
         self._corrected_at_by_name: dict[str, float] = {}
-        self._told_lock = threading.Lock()
-        self._told_states: dict[str, tuple[MemberState, str]] = {}
+        self._logged_lock = threading.Lock()
+        self._logged_states: dict[str, tuple[MemberState, str]] = {}
         self._suspended_s = boot_clock.suspended_s()
         self._stopping = threading.Event()
         self._prober: threading.Thread | None = None
         self._socket = MemberSocket(settings.peer_endpoint, link_filter or LinkFilter())
         self._detector = FailureDetector(
-            self._table, self._timing, self._send, self._head, self._random
+            self._table, self._timing, self._send, self._header_fields, self._random
+        )
+        self._synchronisation = Synchronisation(
+            self._table, self._socket, self._header_fields, self._random
         )
-        self._synchronisation = Synchronisation(self._table, self._socket, self._head, self._random)
 
     @property
     def traffic(self) -> Traffic:
-        """What this node's membership has sent and received."""
+        """Datagrams and bytes that this node's membership has sent and received."""
         return self._socket.traffic
 
     def start(self) -> None:
-        """Begin to answer and to probe."""
+        """Begin to answer datagrams and to probe other nodes."""
         self._socket.start(self._handle)
         self._prober = threading.Thread(target=self._probe_loop, name="member-probe", daemon=True)
         self._prober.start()
@@ -115,7 +118,10 @@
             threading.Thread(target=self._join, name="member-join", daemon=True).start()
 
     def stop(self) -> None:
-        """Stop without a word; peers find the node dead. Announce draining first if planned."""
+        """Stop without notifying peers, which then detect the failure.
+
+        For a planned stop, call ``announce_draining`` first.
+        """
         self._stopping.set()
         if self._prober is not None:
             self._prober.join(STOP_TIMEOUT_S)
@@ -130,7 +136,7 @@
         return self._table.dead_for_s(name)
 
     def live(self) -> tuple[Member, ...]:
-        """Return the members that may be given work: alive or suspect, and not draining."""
+        """Return the members that may receive work: alive or suspect, and not draining."""
         return tuple(
             member
             for member in self._table.all()
@@ -142,98 +148,103 @@
         return self._table.local()
 
     def subscribe(self, listener: Listener) -> None:
-        """Call ``listener`` after news of members or of versions; it must not block."""
+        """Call ``listener`` after each change of members or versions; it must not block."""
         self._listeners.append(listener)
 
     def on_confirmation(self, listener: ConfirmationListener) -> None:
-        """Call ``listener`` with what others know to be the platform's newest versions."""
+        """Call ``listener`` with the versions that other nodes report as the newest."""
         self._confirmation_listener = listener
 
     def on_crash_digest(self, listener: CrashListener) -> None:
-        """Call ``listener`` with each digest of crashes that another node tells, and its name."""
+        """Call ``listener`` when a node reports a digest of crashes other than the local one."""
         self._crash_listener = listener
 
     def on_datagram(self, listener: DatagramListener) -> None:
         """Call ``listener`` with the sender's name of each datagram; it must not block."""
-        self._word_listener = listener
+        self._datagram_listener = listener
 
     @property
-    def patience(self) -> float:
-        """By how much answers to probes are waited for longer now; 1 in a calm fleet."""
-        return self._detector.patience
+    def timeout_factor(self) -> float:
+        """Factor by which timeouts of probes are extended now; 1 while replies arrive early."""
+        return self._detector.timeout_factor
 
-    def ask(self, members: Iterable[Member]) -> None:
-        """Probe these members beside the usual probes; a listener hears of their replies."""
+    def probe(self, members: Iterable[Member]) -> None:
+        """Probe these members in addition to the periodic probes, without waiting.
+
+        Replies are passed to the datagram listener.
+        """
         for member in members:
-            self._send(member.peer, Probe(**self._head(), sequence=UNAWAITED_SEQUENCE))
+            self._send(member.peer, Probe(**self._header_fields(), sequence=UNAWAITED_SEQUENCE))
 
     def tell_crash_digest(self, digest: int) -> None:
-        """Tell others with each datagram the digest of the crashes known here."""
+        """Include this digest of the locally known crashes in each datagram."""
         self._crash_digest = digest
 
     def confirm(self, at: float) -> None:
-        """Note that the versions published were the platform's newest at a monotonic time."""
+        """Record that the published versions were the newest at this time of the boot clock."""
         if self._confirmed_at is None or at > self._confirmed_at:
             self._confirmed_at = at
 
     def confirmed_age_s(self) -> float:
-        """Return how long ago the versions published were known to be the newest."""
+        """Return how long ago the published versions were known to be the newest."""
         at = self._confirmed_at
         return float("inf") if at is None else boot_clock.now() - at
 
     def tell(self, members: Iterable[Member]) -> None:
-        """Send a notice to these members at once."""
+        """Send a notice with pending updates to these members at once."""
         for member in members:
-            self._send(member.peer, Notice(**self._head()))
+            self._send(member.peer, Notice(**self._header_fields()))
 
     def add_seeds(self, endpoints: Iterable[Endpoint]) -> None:
-        """Add nodes to join through, such as those of the machine list."""
+        """Add nodes through which to join, such as those of the machine list."""
         with self._seeds_lock:
             self._seeds.update(endpoints)
             self._seeds.discard(self.local().peer)
 
     def announce_draining(self) -> None:
-        """Tell all nodes that this one is about to stop; they give it no new work."""
+        """Announce that this node is about to stop, so that it receives no new work."""
         local = self._table.update_local(
             state=MemberState.DRAINING, draining=True, incarnation=self.local().incarnation + 1
         )
-        self._news.add(local)
-        self._notify(DRAINING_FANOUT)
-        self._tell_listeners()
+        self._updates.add(local)
+        self._notify_peers(DRAINING_FANOUT)
+        self._notify_listeners()
 
     def publish(
         self, configuration_generation: int | None = None, machine_list_version: int | None = None
     ) -> None:
-        """Tell what this node holds now; some peers hear of it at once, all with the probes."""
+        """Publish this node's versions: to some peers at once, to all others with the probes."""
         fields = {}
         if configuration_generation is not None:
             fields["configuration_generation"] = configuration_generation
         if machine_list_version is not None:
             fields["machine_list_version"] = machine_list_version
         self._table.update_local(**fields)
-        self._notify(NOTICE_FANOUT)
+        self._notify_peers(NOTICE_FANOUT)
 
     def _handle(self, datagram: Datagram, source: Endpoint) -> None:
-        """Take one datagram; runs on the receiving thread."""
-        if self._word_listener is not None:
-            self._word_listener(datagram.sender)
+        """Handle one datagram; runs on the receiving thread."""
+        if self._datagram_listener is not None:
+            self._datagram_listener(datagram.sender)
         revision = self._table.revision
         for record in datagram.records:
-            news = self._table.merge(record.member())
-            # What a comparison brings is passed on by comparisons; only what its own member
-            # says, and what a probe found, is worth a datagram of each node.
-            if news is not None and (
-                not isinstance(datagram, SyncAnswer) or news.name == self.local().name
+            update = self._table.merge(record.member())
+            # Records from a comparison are not spread further, except the local one, since
+            # other nodes receive them from their own comparisons.
+            if update is not None and (
+                not isinstance(datagram, SyncAnswer) or update.name == self.local().name
             ):
-                self._news.add(news)
-        self._table.heard_from(
+                self._updates.add(update)
+        self._table.record_versions(
             datagram.sender, datagram.incarnation, datagram.generation, datagram.machines
         )
-        self._take_head(datagram)
+        self._handle_header(datagram)
         match datagram:
             case Probe():
                 name = self.local().name
-                reply = ProbeReply(**self._head(), sequence=datagram.sequence, subject=name)
+                reply = ProbeReply(
+                    **self._header_fields(), sequence=datagram.sequence, subject=name
+                )
                 self._send(source, reply)
             case ProbeReply():
                 self._detector.on_reply(datagram)
@@ -245,10 +256,10 @@
                 self._synchronisation.send_records(source, frozenset(datagram.wanted))
         self._correct_sender(datagram, source)
         if self._table.revision != revision:
-            self._tell_listeners()
+            self._notify_listeners()
 
-    def _take_head(self, datagram: Datagram) -> None:
-        """Pass on what every datagram tells of its sender."""
+    def _handle_header(self, datagram: Datagram) -> None:
+        """Pass the confirmation and the crash digest of a datagram to the listeners."""
         if datagram.confirmed_ms_ago >= 0 and self._confirmation_listener is not None:
             at = boot_clock.now() - datagram.confirmed_ms_ago / 1000
             self._confirmation_listener(datagram.generation, datagram.machines, at)
@@ -256,13 +267,13 @@
             self._crash_listener(datagram.sender, datagram.crashes)
 
     def _correct_sender(self, datagram: Datagram, source: Endpoint) -> None:
-        """Introduce this node to a stranger, and tell a node that it is held for dead."""
+        """Start a comparison with an unknown sender; notify one that is marked as dead."""
         if isinstance(datagram, SyncAnswer):
             return
-        held = self._table.get(datagram.sender)
-        if held is not None and held.state is not MemberState.DEAD:
+        known = self._table.get(datagram.sender)
+        if known is not None and known.state is not MemberState.DEAD:
             return
-        # Two nodes that hold each other for dead would else answer each notice with another.
+        # The rate limit keeps two nodes that mark each other as dead from an endless exchange.
         now = boot_clock.now()
         if (
             now - self._corrected_at_by_name.get(datagram.sender, -math.inf)
@@ -270,10 +281,10 @@
         ):
             return
         self._corrected_at_by_name[datagram.sender] = now
-        if held is None:
+        if known is None:
             self._synchronisation.begin(source)
         else:
-            self._send(source, Notice(**self._head()), shown=(held,))
+            self._send(source, Notice(**self._header_fields()), shown=(known,))
 
     def _probe_loop(self) -> None:
         interval_s = self._timing.probe_interval_s
@@ -282,97 +293,99 @@
         next_rejoin = next_probe
         while not self._stopping.is_set():
             now = boot_clock.now()
-            self._note_suspension()
+            self._log_suspension()
             if now >= next_rejoin:
                 self._rejoin()
                 next_rejoin = now + self._timing.rejoin_interval_s * self._random.uniform(0.8, 1.2)
             if now >= next_sync:
-                self._sync_with_one()
+                self._sync_with_random_peer()
                 next_sync = now + SYNC_INTERVAL_S * self._random.uniform(0.8, 1.2)
             self._probe_once()
-            pause_s = interval_s * self._detector.patience
+            pause_s = interval_s * self._detector.timeout_factor
             next_probe = max(next_probe + pause_s, boot_clock.now() - interval_s)
             self._stopping.wait(max(next_probe - boot_clock.now(), 0.0))
 
-    def _note_suspension(self) -> None:
-        """Write a line if the machine was suspended since the last look.
+    def _log_suspension(self) -> None:
+        """Log if the machine was suspended since the last check.
 
-        Nothing else is to be done: whatever may have run out meanwhile is measured by the clock
-        that ran on.
+        Timeouts need no correction, since the boot clock also runs during a suspension.
         """
         suspended_s = boot_clock.suspended_s()
         for_s = suspended_s - self._suspended_s
-        if for_s >= TOLD_SUSPENSION_S:
+        if for_s >= MIN_LOGGED_SUSPENSION_S:
             self._suspended_s = suspended_s
             log_message("node:suspended", for_s=round(for_s, 3))
 
     def _probe_once(self) -> None:
         suspect = self._detector.probe_next()
-        buried = self._detector.bury_suspects()
+        newly_dead = self._detector.expire_suspects()
         self._table.forget_dead()
-        for record in buried:
+        for record in newly_dead:
             log_message("membership:dead", node=record.name, zone=record.zone)
-        changed = [*buried] if suspect is None else [suspect, *buried]
+        changed = [*newly_dead] if suspect is None else [suspect, *newly_dead]
         for record in changed:
-            self._news.add(record)
+            self._updates.add(record)
         if changed:
-            self._tell_listeners()
+            self._notify_listeners()
 
     def _log_changes(self) -> None:
-        """Write a line for each member that this node sees in another state than before."""
-        with self._told_lock:
+        """Log each member whose state or process has changed since it was last logged."""
+        with self._logged_lock:
             for member in self._table.all():
-                told = (_shown_state(member), member.process_id)
-                if self._told_states.get(member.name) == told or member.name == self.local().name:
+                state_and_process = (_logged_state(member), member.process_id)
+                if (
+                    self._logged_states.get(member.name) == state_and_process
+                    or member.name == self.local().name
+                ):
                     continue
-                self._told_states[member.name] = told
+                self._logged_states[member.name] = state_and_process
                 log_message(
                     "membership:member",
                     member=member.name,
                     zone=member.zone,
-                    state=told[0].value,
+                    state=state_and_process[0].value,
                     process=member.process_id,
                 )
 
     def _join(self) -> None:
-        """Look for the others often while this node is new.
+        """Contact seeds and members frequently during the first seconds.
 
-        When many nodes start together, a seed may not listen yet at the first greeting, and
-        who comes a moment later would be heard of only with the slow spread of news.
+        When many nodes start together, a seed may not listen yet at the first attempt, and nodes
+        that join a moment later would only become known with the slower periodic comparison.
         """
         until = boot_clock.now() + self._timing.join_period_s
         while boot_clock.now() < until and not self._stopping.wait(JOIN_INTERVAL_S):
-            for seed in self._strange_seeds():
+            for seed in self._unknown_seeds():
                 self._synchronisation.begin(seed)
-            self._sync_with_one()
+            self._sync_with_random_peer()
 
-    def _strange_seeds(self) -> set[Endpoint]:
-        """Return the seeds that are no members here."""
-        known = {member.peer for member in self._table.peers()}
+    def _unknown_seeds(self) -> set[Endpoint]:
+        """Return the seeds that are not among the known live members."""
+        member_endpoints = {member.peer for member in self._table.peers()}
         with self._seeds_lock:
-            return {seed for seed in self._seeds if seed not in known}
+            return {seed for seed in self._seeds if seed not in member_endpoints}
 
     def _rejoin(self) -> None:
-        """Greet a seed that is not a member, or a dead member: it may be back, or reachable."""
-        strangers = self._strange_seeds()
-        strangers.update(member.peer for member in self._table.dead())
-        if strangers:
-            self._synchronisation.begin(self._random.choice(sorted(strangers)))
+        """Start a comparison with an unknown seed or a dead member, which may be back."""
+        targets = self._unknown_seeds()
+        targets.update(member.peer for member in self._table.dead())
+        if targets:
+            self._synchronisation.begin(self._random.choice(sorted(targets)))
 
-    def _sync_with_one(self) -> None:
+    def _sync_with_random_peer(self) -> None:
         peers = self._table.peers()
         if peers:
             self._synchronisation.begin(self._random.choice(peers).peer)
 
-    def _notify(self, fanout: int) -> None:
-        """Send news at once to some random peers and to the readers of this zone."""
+    def _notify_peers(self, fanout: int) -> None:
+        """Send a notice at once to random peers and to the reader nodes of this zone."""
         peers = self._table.peers()
         chosen = {member.name: member for member in reader_nodes(peers, self.local().zone)}
         for member in self._random.sample(peers, min(fanout, len(peers))):
             chosen[member.name] = member
         self.tell(chosen.values())
 
-    def _head(self) -> dict[str, str | int]:
+    def _header_fields(self) -> dict[str, str | int]:
         local = self._table.local()
         age_s = self.confirmed_age_s()
         return {
@@ -385,23 +398,23 @@
         }
 
     def _send(self, target: Endpoint, datagram: Datagram, shown: tuple[Member, ...] = ()) -> None:
-        """Send a datagram with the records ``shown``, filled with news as far as there is room."""
+        """Send a datagram with the records ``shown`` and as many updates as fit."""
         datagram.records = tuple(MemberRecord.of(record) for record in shown)
-        room = MAX_DATAGRAM_BYTES - len(encode_datagram(datagram))
+        remaining_bytes = MAX_DATAGRAM_BYTES - len(encode_datagram(datagram))
         names = {record.name for record in shown}
-        news = self._news.take(room, len(self._table.all()))
+        updates = self._updates.take_records(remaining_bytes, len(self._table.all()))
         datagram.records += tuple(
-            MemberRecord.of(record) for record in news if record.name not in names
+            MemberRecord.of(record) for record in updates if record.name not in names
         )
         self._socket.send(target, datagram)
 
-    def _tell_listeners(self) -> None:
+    def _notify_listeners(self) -> None:
         self._log_changes()
         for listener in self._listeners:
             listener()
 
 
-def _shown_state(member: Member) -> MemberState:
+def _logged_state(member: Member) -> MemberState:
     return MemberState.DRAINING if member.draining else member.state
 
 
@@ -412,8 +425,8 @@
         region=settings.region,
         peer=settings.peer_endpoint,
         http=settings.http_endpoint,
-        # A restarted node starts above the incarnation that its peers remember; if its
-        # clock went back, refutation raises the number further.
+        # The time puts a restarted node above the incarnation that its peers remember. If its
+        # clock was set back, refutation raises the number further.
         incarnation=int(time.time() * 1000),
         has_disk=bool(settings.data_folder),
         process_id=secrets.token_hex(PROCESS_ID_BYTES),
