--- a/src/quaymill/connection/idle_connections.py
+++ b/src/quaymill/connection/idle_connections.py
@@ -1,9 +1,8 @@
-"""Connections that lie idle until the next request to the same endpoint.
+"""Pool of idle connections, kept for the next request to the same endpoint.
 
-A connection may go silent for good without a reset, and then all of an endpoint usually do, while
-new ones work. Nothing shows it but a request that waits in vain: ``drop`` then closes all that lie
-idle, so that the request after it goes out on a new one. With eight kept connections, calls in a
-row to a sound peer would else each wait for their whole time-out, eight times.
+A network fault can make established connections unresponsive without a reset while new ones
+work. This shows only when a request times out. ``drop`` then closes all idle connections to the
+endpoint, so that the following requests do not time out on them one after the other.
 """
 
 from __future__ import annotations
@@ -31,16 +30,16 @@
 
 
 class IdleConnections(Generic[Connection]):
-    """Idle connections by endpoint; safe to use from any thread.
+    """Idle connections by endpoint; thread-safe.
 
     Parameters
     ----------
     most_per_endpoint
-        Beyond these a connection is closed instead of kept.
+        Maximum number kept per endpoint; further connections are closed.
     is_open
-        Whether the other end has not closed a connection.
+        Returns whether a connection has not been closed by the other end.
     close
-        Closes one.
+        Closes a connection.
     """
 
     def __init__(
@@ -57,7 +56,7 @@
         self._next_sweep = 0.0
 
     def take(self, endpoint: Endpoint, max_idle_s: float) -> Connection | None:
-        """Return the connection used last that is good and was used within a time, if any."""
+        """Return the most recently used open connection, if one was used within ``max_idle_s``."""
         while True:
             with self._lock:
                 pool = self._by_endpoint.get(endpoint)
@@ -71,7 +70,7 @@
             self._close(idle.connection)
 
     def put(self, endpoint: Endpoint, connection: Connection, keep_s: float) -> None:
-        """Keep a connection for at most ``keep_s``."""
+        """Keep a connection, for at most ``keep_s`` seconds."""
         now = boot_clock.now()
         with self._lock:
             closing = self._take_expired(now, keep_s)
@@ -84,14 +83,14 @@
             self._close(closed)
 
     def drop(self, endpoint: Endpoint) -> None:
-        """Close all that are idle to one endpoint."""
+        """Close the idle connections to an endpoint."""
         with self._lock:
             pool = self._by_endpoint.pop(endpoint, [])
         for idle in pool:
             self._close(idle.connection)
 
     def close(self) -> None:
-        """Close all."""
+        """Close all idle connections."""
         with self._lock:
             pools, self._by_endpoint = self._by_endpoint, {}
         for pool in pools.values():
@@ -99,10 +98,9 @@
                 self._close(idle.connection)
 
     def _take_expired(self, now: float, pause_s: float) -> list[Connection]:
-        """Take out what has lain too long, at all endpoints; the caller holds the lock.
+        """Remove and return the expired connections to all endpoints; the caller holds the lock.
 
-        To an endpoint that is called no more a connection would else stay for good, and with it a
-        thread at the other end.
+        Without this, connections to an endpoint that is no longer used would never be closed.
         """
         if now < self._next_sweep:
             return []
--- a/src/quaymill/connection/peer_link.py
+++ b/src/quaymill/connection/peer_link.py
@@ -1,8 +1,8 @@
-"""The internal protocol: one JSON document a line over TCP, one reply for each request.
+"""Client of the internal protocol: JSON lines over TCP, one reply per request.
 
-A connection carries one request at a time, so answers cannot cross. A connection whose
-reply did not arrive in time is closed and never used again. The client keeps a few idle
-connections to each peer; the server's side is in ``peer_server``.
+A connection carries one request at a time, so a reply cannot reach another request. A
+connection whose reply did not arrive in time is closed and never reused. The client keeps a
+few idle connections to each peer; the server is in ``peer_server``.
 
 Every message is a tagged ``msgspec.Struct``; the tag field is ``kind``.
 """
@@ -26,7 +26,7 @@
 MAX_IDLE_CONNECTIONS_PER_PEER = 8
 IDLE_CONNECTION_LIFETIME_S = 30.0
 KEPT_CONNECTION_SHARE = 0.5
-"""Part of its time that a message which may be repeated waits on a kept connection."""
+"""Share of the timeout that a repeatable message waits on a reused connection."""
 MIN_TIMEOUT_S = 0.001
 CONNECT_TIMEOUT_S = 1.0
 
@@ -37,19 +37,19 @@
     Attributes
     ----------
     repeatable
-        Of a type of message: whether it does no harm that a peer receives one twice.
+        Class attribute: whether a peer may safely receive the same message twice.
     """
 
     repeatable: ClassVar[bool] = False
 
 
 class PeerRefusal(PeerMessage, frozen=True):
-    """The peer understood the request, did nothing, and says why.
+    """The peer refused the request and did nothing.
 
     Attributes
     ----------
     retry_after_s
-        Time after which it is worth asking this peer again; 0 where it does not tell.
+        Time after which the sender may retry with this peer; 0 if unknown.
     """
 
     reason: str
@@ -57,14 +57,14 @@
 
 
 class PeerUnreachable(msgspec.Struct, frozen=True):
-    """The request was not sent: the peer cannot have acted on it."""
+    """The request was not sent, so the peer cannot have acted on it."""
 
     endpoint: Endpoint
     reason: str
 
 
 class PeerNoReply(msgspec.Struct, frozen=True):
-    """The request may have been sent and no reply came: the peer may have acted on it."""
+    """The request may have been sent but got no reply; the peer may have acted on it."""
 
     endpoint: Endpoint
     reason: str
@@ -75,39 +75,39 @@
 
 
 class CallObserver(Protocol):
-    """Hears of every call to a peer; must be quick and safe to use from any thread."""
+    """Is notified of every call to a peer; must be fast and thread-safe."""
 
     def refuses(self, endpoint: Endpoint) -> bool:
-        """Return whether a call to this peer is not to be begun now."""
+        """Return whether calls to this peer are to fail immediately, without being sent."""
 
     def began(self, endpoint: Endpoint) -> int:
-        """Take note of a call; returns what ``ended`` is given."""
+        """Record the start of a call; return the token to pass to ``ended``."""
 
     def ended(self, token: int, reply: object) -> None:
-        """Take note of what came of a call: a reply, a ``PeerFailure``, ``None`` after a bug."""
+        """Record the result of a call: a reply, a ``PeerFailure``, or ``None`` if it raised."""
 
 
 @attrs.frozen
 class _Received:
-    """A line that came, and the connection on which it did."""
+    """A received line and the connection that it was received on."""
 
     connection: socket.socket
     line: bytes
 
 
 class PeerClient:
-    """Sends messages to peers over a small pool of connections for each of them.
+    """Sends messages to peers over a small connection pool per peer.
 
     Parameters
     ----------
     observer
-        Hears of every call, and may have calls fail that would only wait for their time-out.
+        Is notified of every call, and may make a call fail immediately.
     """
 
     def __init__(self, link_filter: LinkFilter, observer: CallObserver | None = None) -> None:
         self._link_filter = link_filter
         self._observer = observer
-        # A readable idle connection holds an end of stream: the peer has closed it.
+        # An idle connection becomes readable only when the peer has closed it.
         self._idle = IdleConnections[socket.socket](
             MAX_IDLE_CONNECTIONS_PER_PEER,
             lambda connection: not is_readable(connection, 0.0),
@@ -157,10 +157,10 @@
     def _exchange(
         self, endpoint: Endpoint, message: PeerMessage, timeout_s: float, deadline: float
     ) -> _Received | PeerFailure:
-        """Send a message and return what comes back.
+        """Send a message and return the received line.
 
-        On a kept connection, which may have gone silent, a message that may be repeated waits for
-        a part of its time only; the rest is for a new one.
+        A reused connection may no longer respond. A repeatable message therefore waits on it for
+        only a share of the timeout, and is then sent again on a new connection.
         """
         line = msgspec.json.encode(message) + b"\n"
         kept = self._idle.take(endpoint, IDLE_CONNECTION_LIFETIME_S)
@@ -170,7 +170,7 @@
             reply = self._send(endpoint, kept, line, boot_clock.now() + patience_s)
             if isinstance(reply, _Received):
                 return reply
-            # What else lies idle to this peer has probably gone silent or ended with it.
+            # The other idle connections to this peer have probably failed as well.
             self._idle.drop(endpoint)
             log_message(
                 "peer:kept_connection_failed",
@@ -184,14 +184,14 @@
             connection = self._connect(endpoint, deadline - boot_clock.now())
         except OSError as error:
             if kept is not None:
-                return PeerNoReply(endpoint, f"no reply, and cannot connect again: {error}")
+                return PeerNoReply(endpoint, f"no reply, and cannot reconnect: {error}")
             return PeerUnreachable(endpoint, f"cannot connect: {error}")
         return self._send(endpoint, connection, line, deadline)
 
     def _send(
         self, endpoint: Endpoint, connection: socket.socket, line: bytes, until: float
     ) -> _Received | PeerNoReply:
-        """Send a line on a connection and wait for one; the connection is closed if none came."""
+        """Send a line and wait for the reply; close the connection if there is none."""
         began = boot_clock.now()
         try:
             connection.settimeout(max(until - began, MIN_TIMEOUT_S))
@@ -203,7 +203,7 @@
             return PeerNoReply(endpoint, f"no reply within {waited_s:.2f} s: {error}")
         if self._link_filter.blocks(endpoint):
             connection.close()
-            return PeerNoReply(endpoint, "the link was cut while the request was under way")
+            return PeerNoReply(endpoint, "the link was cut before the reply arrived")
         return _Received(connection, reply)
 
     def _connect(self, endpoint: Endpoint, timeout_s: float) -> socket.socket:
@@ -217,7 +217,7 @@
     def _decode(
         self, endpoint: Endpoint, received: _Received, reply_type: type[Reply]
     ) -> Reply | PeerFailure:
-        """Read a reply; the connection is kept only if it was one."""
+        """Decode a reply; keep the connection for reuse only if the reply is valid."""
         decoder = self._decoders.get(reply_type)
         if decoder is None:
             decoder = msgspec.json.Decoder(Union[reply_type, PeerRefusal])  # noqa: UP007
@@ -226,18 +226,18 @@
             reply = decoder.decode(received.line)
         except msgspec.MsgspecError as error:
             received.connection.close()
-            return PeerNoReply(endpoint, f"reply not understood: {error}")
+            return PeerNoReply(endpoint, f"invalid reply: {error}")
         self._idle.put(endpoint, received.connection, IDLE_CONNECTION_LIFETIME_S)
         return reply
 
 
 def _read_line(connection: socket.socket, deadline: float) -> bytes:
-    """Read up to the newline; raises ``OSError`` at the deadline or the end of the stream."""
+    """Read up to a newline; raises ``OSError`` at the deadline or the end of the stream."""
     chunks: list[bytes] = []
     while True:
         remaining_s = deadline - boot_clock.now()
         if remaining_s <= 0:
-            raise TimeoutError("deadline passed")
+            raise TimeoutError("deadline exceeded")
         connection.settimeout(remaining_s)
         chunk = connection.recv(65536)
         if not chunk:
--- a/src/quaymill/connection/peer_server.py
+++ b/src/quaymill/connection/peer_server.py
@@ -1,12 +1,10 @@
-"""Answers peers: a few threads for many connections, most of which rest.
+"""Server of the internal protocol: a small pool of threads for many, mostly idle connections.
 
-All resting connections lie in one poll set, which every waiting thread polls. The thread that
-gets a connection reads what has come, answers it, and puts the connection back. As the last
-waiting thread takes one, another is started; threads that find nothing to do end. Threads grow
-with the messages that are answered at the same time, not with the peers: with a thread for each
-connection a fleet of 195 nodes had 15,900, a storage node 170 to 211 of them.
-
-Answering needs no hand-over between threads: the thread that is woken reads by itself.
+All idle connections are registered with one epoll object, which every idle thread polls. The
+thread that is woken for a connection reads it, answers its messages and registers it again, so
+that no message is handed from one thread to another. When the last idle thread takes a
+connection, a new thread is started; threads that are idle for too long end. The number of
+threads therefore depends on the messages handled at the same time, not on the number of peers.
 """
 
 from __future__ import annotations
@@ -32,19 +30,19 @@
 )
 
 ACCEPT_BACKLOG = 512
-"""Connections that wait to be accepted: all peers of some hundred may connect at once."""
+"""Maximum number of connections waiting to be accepted; all peers may connect at once."""
 SERVED_CONNECTION_LIFETIME_S = 2 * IDLE_CONNECTION_LIFETIME_S
-"""After this a served connection on which nothing came is closed: its peer has dropped it."""
+"""Idle time after which a connection is closed; the peer has stopped using it before that."""
 SEND_TIMEOUT_S = 10.0
-"""A peer that takes nothing of its answer for so long is gone; no call waits for longer."""
+"""Longest wait for a peer to accept more of its reply. No call waits longer for one."""
 READ_BLOCK_BYTES = 256 * 1024
 SPARE_WORKERS = 2
-"""Threads that wait although nothing comes: one may read a message that is followed by another."""
+"""Idle threads that are kept."""
 MAX_WORKERS = 128
-"""Messages answered at once. Some handlers call other peers and wait for them for seconds; what
-is beyond waits in its connection, and the caller's time-out holds."""
+"""Maximum number of messages handled at once. Handlers may wait for other peers for seconds.
+Further messages stay unread in their connections, and their senders may time out."""
 POLL_TIMEOUT_S = 5.0
-"""Time after which a waiting thread looks for connections to close, and whether it is needed."""
+"""Interval at which an idle thread closes idle connections and checks whether it should end."""
 _EVENTS = select.EPOLLIN | select.EPOLLRDHUP | select.EPOLLONESHOT
 
 Handler = Callable[[Any], PeerMessage]
@@ -57,11 +55,11 @@
     Attributes
     ----------
     received
-        What has come of a line that is not whole.
+        Bytes received that have not been taken as lines yet.
     searched
-        Bytes of it that hold no end of a line.
+        Number of bytes at their start that are known to hold no newline.
     quiet_since
-        Monotonic time at which it was last put to rest.
+        Monotonic time at which the connection last became idle.
     """
 
     connection: socket.socket
@@ -70,7 +68,7 @@
     quiet_since: float = 0.0
 
     def receive(self) -> bool:
-        """Take what has come; return whether more may come."""
+        """Read all available bytes; return whether the peer may send more."""
         while True:
             try:
                 block = self.connection.recv(READ_BLOCK_BYTES)
@@ -81,7 +79,7 @@
                 return bool(block)
 
     def next_line(self) -> bytes | None:
-        """Take a whole line from what was received; ``None`` if there is none."""
+        """Remove and return the first complete line; ``None`` if there is none."""
         end = self.received.find(b"\n", self.searched)
         if end < 0:
             self.searched = len(self.received)
@@ -92,7 +90,7 @@
         return line
 
     def send(self, line: bytes) -> None:
-        """Send an answer; raises ``OSError`` if the peer does not take it."""
+        """Send a reply; raises ``OSError`` if the peer does not accept it in time."""
         try:
             sent = self.connection.send(line)
         except BlockingIOError:
@@ -104,12 +102,12 @@
 
 
 class PeerServer:
-    """Accepts peers on a TCP port and hands each message to the handler of its type.
+    """Accepts peers on a TCP port and passes each message to the handler for its type.
 
     Parameters
     ----------
     endpoint
-        Where to listen; port 0 takes a free port, read back from ``endpoint``.
+        Address to listen on; with port 0 the attribute ``endpoint`` holds the port chosen.
     """
 
     def __init__(self, endpoint: Endpoint) -> None:
@@ -130,12 +128,12 @@
         self._stopping = False
 
     def register(self, message_type: type[PeerMessage], handler: Handler) -> None:
-        """Answer messages of ``message_type`` with ``handler``; call before ``start``."""
+        """Handle messages of ``message_type`` with ``handler``; call this before ``start``."""
         self._handlers[message_type] = handler
 
     def start(self) -> None:
-        """Begin to accept peers."""
-        # A union with one member is the member itself; the padding keeps the tag decoding on.
+        """Start accepting peers."""
+        # A union of one type is that type, which msgspec decodes without a tag; so add a second.
         self._decoder = msgspec.json.Decoder(Union[tuple([*self._handlers, PeerRefusal])])  # noqa: UP007
         threading.Thread(target=self._accept_peers, name="peer-accept", daemon=True).start()
         self._start_worker()
@@ -171,7 +169,7 @@
             self._put_to_rest(served)
 
     def _put_to_rest(self, served: _Served) -> None:
-        """Let the next thread that polls have a connection once something comes on it."""
+        """Register an idle connection, so that a thread is woken when a message arrives."""
         with self._lock:
             if not self._stopping:
                 served.quiet_since = boot_clock.now()
@@ -186,14 +184,14 @@
         threading.Thread(target=self._work, name="peer", daemon=True).start()
 
     def _work(self) -> None:
-        """Answer one connection after another, until there are threads to spare."""
+        """Serve one connection after another until this thread is no longer needed."""
         while (served := self._next_ready()) is not None:
             self._serve(served)
         with self._lock:
             self._workers -= 1
 
     def _next_ready(self) -> _Served | None:
-        """Wait for a connection that has something to read; ``None`` if this thread is to end."""
+        """Wait for a readable connection; ``None`` if this thread is to end."""
         with self._lock:
             self._waiting += 1
         served = None
@@ -201,7 +199,7 @@
             events = self._poll.poll(POLL_TIMEOUT_S, 1)
             with self._lock:
                 if events:
-                    # One whose time was over meanwhile is not there any more.
+                    # The connection may have been closed as idle in the meantime.
                     served = self._resting_by_fd.pop(events[0][0], None)
                 elif self._waiting > SPARE_WORKERS:
                     break
@@ -215,7 +213,7 @@
         return served
 
     def _close_quiet(self) -> None:
-        """Close the connections on which nothing has come for long."""
+        """Close the connections that have been idle for ``SERVED_CONNECTION_LIFETIME_S``."""
         horizon = boot_clock.now() - SERVED_CONNECTION_LIFETIME_S
         with self._lock:
             quiet = [
@@ -228,12 +226,12 @@
             self._close(served)
 
     def _serve(self, served: _Served) -> None:
-        """Answer what has come on a connection, then put it to rest or close it."""
+        """Answer the messages received on a connection, then mark it idle or close it."""
         try:
             stays_open = self._answer_lines(served)
         except OSError:
-            stays_open = False  # The peer went away; it learns nothing from this connection.
-        except Exception as error:  # A reply that cannot be sent must not end this thread.
+            stays_open = False  # The peer has disconnected, so it cannot be notified.
+        except Exception as error:  # An unencodable reply must not end the thread.
             log_message("peer:reply_error", error=repr(error))
             stays_open = False
         if stays_open:
@@ -242,7 +240,10 @@
             self._close(served)
 
     def _answer_lines(self, served: _Served) -> bool:
-        """Return whether the connection can be used on; raises ``OSError`` if it broke."""
+        """Answer all complete lines; return whether the connection can stay open.
+
+        Raises ``OSError`` if the connection fails.
+        """
         may_go_on = served.receive()
         while (line := served.next_line()) is not None:
             reply = self._answer(line)
@@ -257,15 +258,15 @@
     def _close(self, served: _Served) -> None:
         with self._lock:
             self._connections.discard(served)
-        # Closing takes it out of the poll set.
+        # Closing a socket also removes it from the epoll object.
         served.connection.close()
 
     def _answer(self, line: bytes) -> PeerMessage | None:
-        """Return the reply; ``None`` if the handler failed midway, perhaps after an effect."""
+        """Return the reply to a line; ``None`` if the handler raised an exception."""
         try:
             message = self._decoder.decode(line)
         except msgspec.MsgspecError as error:
-            return PeerRefusal(reason=f"message not understood: {error}")
+            return PeerRefusal(reason=f"invalid message: {error}")
         handler = self._handlers.get(type(message))
         if handler is None:
             return PeerRefusal(
@@ -273,9 +274,9 @@
             )
         try:
             return handler(message)
-        except Exception as error:  # A bug in one handler must not end the other peers' service.
+        except Exception as error:  # A bug in a handler must not stop the server.
             log_message(
                 "peer:handler_error", kind=type(message).__struct_config__.tag, error=repr(error)
             )
-            # A refusal would promise that nothing was done; without a reply the peer knows less.
+            # A refusal would promise that nothing was done, which is not known here.
             return None
--- a/src/quaymill/connection/replica_connection.py
+++ b/src/quaymill/connection/replica_connection.py
@@ -1,9 +1,9 @@
-"""HTTP connections to replicas: one request at a time on each, with exact failure kinds.
+"""HTTP connections to replicas, each of which carries one request at a time.
 
-``NotRun`` is returned only when no byte of the request left: the link is cut, or the
-connection could not be made. Once a byte may have left, the failure is ``OutcomeUnknown``.
-A connection that is given up in the middle of an answer is closed and never used again, so
-a late answer cannot reach another request.
+``NotRun`` is returned only if no byte of the request was sent: the link is cut, or the
+connection could not be opened. Once a byte may have been sent, the failure is
+``OutcomeUnknown``. A connection that is abandoned in the middle of an answer is closed and never
+reused, so a late answer cannot reach another request.
 """
 
 from __future__ import annotations
@@ -32,16 +32,16 @@
 READ_BLOCK_BYTES = 64 * 1024
 RETRY_AFTER_UNREACHABLE_S = 1.0
 PROBE_CONNECT_TIMEOUT_S = 0.1
-"""A process that has ended is known by a reset, which comes within a round trip of some
-milliseconds; nothing at all for so long tells of a lost packet or a full queue instead."""
+"""A machine without a listening process refuses the connection within a round trip of some
+milliseconds; no response for this long means a lost packet or a full accept queue instead."""
 PROBE_STAYS_OPEN_S = 0.02
-"""A connection that something in between took for a process that has ended is closed sooner."""
+"""A proxy that accepts connections for a stopped process closes them within this time."""
 
 _READ_ERRORS = (HTTPError, HTTPException, OSError, ValueError)
 
 
 class ReplicaRequest(msgspec.Struct, frozen=True):
-    """What is sent to a replica."""
+    """An HTTP request to a replica."""
 
     method: str
     path: str
@@ -50,11 +50,11 @@
 
 
 class Exchange:
-    """One request that has been sent, and the answer to it.
+    """A request that has been sent, and its answer.
 
     The states are sent -> answered (``read_head``) -> ended (``release`` after the whole
-    body, or ``abandon`` at any time). ``reused`` tells that the connection had carried an
-    earlier request, so that the replica may have closed it just as this one went out.
+    body, or ``abandon`` at any time). ``reused`` is true if the connection has carried an
+    earlier request; the replica may then have closed it just before this one was sent.
     """
 
     def __init__(
@@ -83,31 +83,30 @@
 
     @property
     def headers(self) -> HTTPHeaderDict:
-        """Headers of the answer, repeated ones kept apart."""
+        """Headers of the answer; repeated headers are not merged."""
         return self._response.headers
 
     def header(self, name: str) -> str:
-        """Return a header of the answer; empty if it is not there."""
+        """Return a header of the answer; empty if it is missing."""
         return self._response.headers.get(name, "")
 
     def wait_readable(self, timeout_s: float) -> bool:
-        """Return whether the replica has sent something, or closed, within the timeout."""
+        """Return whether the replica sends data or closes the connection within the timeout."""
         return is_readable(self._socket, timeout_s)
 
     @property
     def descriptor(self) -> int:
-        """Descriptor of the connection; negative once it is closed."""
+        """File descriptor of the connection; negative once it is closed."""
         return self._socket.fileno()
 
     def has_arrived(self) -> bool:
-        """Return whether a read of the body would not wait: there is more, its end, or an error.
+        """Return whether a read of the body returns at once, with data, its end or an error.
 
-        Leaves the connection without a timeout: ``set_read_timeout`` is to be called before the
-        next read.
+        This leaves the socket non-blocking: call ``set_read_timeout`` before the next read.
         """
         if is_readable(self._socket, 0.0):
             return True
-        # The library's reader may hold bytes that it has read ahead; the socket does not show them.
+        # urllib3 may have buffered bytes, which polling the socket does not show.
         ahead = getattr(getattr(self._response, "_fp", None), "fp", None)
         if ahead is None:
             return True
@@ -115,11 +114,11 @@
             self._socket.setblocking(False)
             return bool(ahead.peek(1))
         except (OSError, ValueError):
-            return True  # The read that follows meets the same error, and reports it.
+            return True  # The next read reports the same error.
 
     def read_head(self, timeout_s: float) -> OutcomeUnknown | None:
         """Read the status line and the headers of the answer."""
-        # The library sets the socket's timeout anew from the connection's.
+        # urllib3 sets the socket's timeout from that of the connection.
         self._connection.timeout = max(timeout_s, 0.001)
         try:
             self._response = self._connection.getresponse()
@@ -132,13 +131,13 @@
         return None
 
     def set_read_timeout(self, timeout_s: float) -> None:
-        """Bound the wait of each later read."""
-        # A socket whose answer has been read to its end may be closed already.
+        """Set the timeout of each following read."""
+        # The socket may be closed if the whole answer has been read.
         with contextlib.suppress(OSError):
             self._socket.settimeout(max(timeout_s, 0.001))
 
     def read_block(self) -> bytes | OutcomeUnknown:
-        """Read what has arrived of the body; empty at its proper end."""
+        """Read the next available part of the body; empty at its regular end."""
         if self._pool.link_filter.blocks(self.endpoint):
             self.abandon()
             return self._no_answer("the link was cut")
@@ -150,7 +149,7 @@
             return self._no_answer(error, connection_closed=not timed_out)
 
     def read_body(self, limit_bytes: int, deadline: float) -> bytes | OutcomeUnknown:
-        """Read the whole body; a body cut short or over the limit is no answer."""
+        """Read the whole body; a truncated or too long body is an ``OutcomeUnknown``."""
         blocks: list[bytes] = []
         total_bytes = 0
         while True:
@@ -164,27 +163,27 @@
             total_bytes += len(block)
             if total_bytes > limit_bytes:
                 self.abandon()
-                return self._no_answer(f"the answer is longer than {limit_bytes} bytes")
+                return self._no_answer(f"the answer exceeds the limit of {limit_bytes} bytes")
 
     def release(self, keep_s: float = IDLE_CONNECTION_LIFETIME_S) -> None:
-        """Give the connection back for other requests; the body has been read to its end.
+        """Make the connection available for other requests, after the whole body has been read.
 
         Parameters
         ----------
         keep_s
-            How long the connection may lie idle; the other end may have told.
+            How long the connection may stay idle; the replica may have announced it.
         """
         self._response.close()
         if self._connection.sock is not None:
             self._pool.keep(self.endpoint, self._connection, keep_s)
 
     def cancel(self) -> None:
-        """End the connection from another thread; a read that waits fails at once."""
+        """Shut the connection down from another thread; a blocked read fails immediately."""
         with contextlib.suppress(OSError):
             self._socket.shutdown(socket.SHUT_RDWR)
 
     def abandon(self) -> None:
-        """Close the connection; the replica sees that its answer is not wanted any more."""
+        """Close the connection, which lets the replica notice that its answer is not needed."""
         with contextlib.suppress(OSError):
             self._socket.shutdown(socket.SHUT_RDWR)
         if self._response is not None:
@@ -195,10 +194,11 @@
             self._socket.close()
 
     def give_up(self) -> None:
-        """Close the connection after nothing came for long; it may have gone silent for good.
+        """Close the connection after a timeout.
 
-        A connection that carried a request before is then no proof against the replica. What
-        lies idle to the same endpoint is closed with it: the next request takes a new one.
+        If the connection was reused, the replica may be healthy and only its existing connections
+        dead. All idle connections to the endpoint are then closed as well, so that the next
+        request opens a new one.
         """
         self.abandon()
         if self.reused:
@@ -207,7 +207,7 @@
     def _no_answer(self, error: object, *, connection_closed: bool = False) -> OutcomeUnknown:
         return OutcomeUnknown(
             502,
-            f"no whole answer came from {self.endpoint}: {error}",
+            f"no complete answer from {self.endpoint}: {error}",
             "look up the request before you send it again, unless it may be repeated",
             connection_closed=connection_closed,
         )
@@ -219,9 +219,9 @@
     Parameters
     ----------
     connect_timeout_s
-        Longest wait for a new connection to come up.
+        Timeout for opening a connection.
     socket_options
-        Set on each new connection, beside the library's own.
+        Options set on each new connection, in addition to the defaults of urllib3.
     """
 
     def __init__(
@@ -234,7 +234,7 @@
         self.opened = 0
         self._connect_timeout_s = connect_timeout_s
         self._socket_options = [*HTTPConnection.default_socket_options, *socket_options]
-        # A connection that holds an end of stream is not connected: the replica has closed it.
+        # ``is_connected`` is false if the replica has closed the connection.
         self._idle = IdleConnections[HTTPConnection](
             MAX_IDLE_CONNECTIONS_PER_REPLICA,
             lambda connection: connection.is_connected,
@@ -255,16 +255,16 @@
         Parameters
         ----------
         fresh
-            Use a new connection. Needed where a repeat is not allowed: on an idle one the
-            replica may close just as the request goes out.
+            Use a new connection. Needed for requests that must not be repeated, since a replica
+            may close an idle connection while the request is being sent.
         max_idle_s
-            Use no connection that has been idle for longer.
+            Longest idle time of a connection that is reused.
         send_timeout_s
-            Longest wait until the replica has taken the request.
+            Timeout for sending the request.
 
         Returns
         -------
-        The exchange; ``NotRun`` if nothing was sent; ``OutcomeUnknown`` if a part was.
+        The exchange; ``NotRun`` if nothing was sent; ``OutcomeUnknown`` if a part may have been.
         """
         if self.link_filter.blocks(endpoint):
             time.sleep(CONNECT_TIMEOUT_S)
@@ -295,15 +295,15 @@
             exchange.abandon()
             return OutcomeUnknown(
                 502,
-                f"the connection to {endpoint} broke while the request was sent: {error}",
+                f"the connection to {endpoint} failed while the request was sent: {error}",
                 "look up the request before you send it again, unless it may be repeated",
             )
         return exchange
 
     def takes_connection(self, endpoint: Endpoint) -> bool:
-        """Return whether an endpoint may be in service: it does not refuse a new connection.
+        """Return whether an endpoint may be in service, judged by opening a connection.
 
-        No answer at all counts as in service: a lost packet looks the same.
+        A timeout counts as in service, since it may be due to a lost packet.
         """
         try:
             address = (endpoint.host, endpoint.port)
@@ -316,7 +316,7 @@
             return not is_readable(probe, PROBE_STAYS_OPEN_S)
 
     def is_reached(self, endpoint: Endpoint) -> bool:
-        """Return whether anything comes back from an endpoint, a refused connection included."""
+        """Return whether an endpoint responds, even if it refuses the connection."""
         try:
             socket.create_connection(
                 (endpoint.host, endpoint.port), timeout=PROBE_CONNECT_TIMEOUT_S
@@ -336,11 +336,11 @@
         )
 
     def keep(self, endpoint: Endpoint, connection: HTTPConnection, keep_s: float) -> None:
-        """Put a connection aside for the next request."""
+        """Keep an idle connection for the next request."""
         self._idle.put(endpoint, connection, keep_s)
 
     def forget(self, endpoint: Endpoint) -> None:
-        """Close the idle connections to an endpoint: its replica is gone, or they are silent."""
+        """Close the idle connections to an endpoint that has stopped or no longer responds."""
         self._idle.drop(endpoint)
 
     def close(self) -> None:
