--- a/src/quaymill/connection/crash_messages.py
+++ b/src/quaymill/connection/crash_messages.py
@@ -1,4 +1,4 @@
-"""Messages by which gateways share which requests have crashed replicas."""
+"""Messages by which gateways share records of requests that crashed replicas."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class CrashRecord(msgspec.Struct, frozen=True, array_like=True):
-    """Crashes under one request.
+    """Crashes of replicas while they ran the same request.
 
     Attributes
     ----------
     content
-        Digest of what the request asks for.
+        Digest of the content of the request.
     incarnations
-        Starts of replicas that crashed while they ran it.
+        Incarnations of the replicas that crashed while they ran it.
     age_s
         Time since the last of these crashes.
     """
@@ -26,12 +26,12 @@
 
 
 class ShareCrashes(PeerMessage, frozen=True):
-    """These crashes are known to the sender; answered by ``KnownCrashes``.
+    """Send crash records to a peer; answered by ``KnownCrashes``.
 
     Attributes
     ----------
     wants_all
-        Whether the sender wants all records of the receiver.
+        Whether the receiver is to return all its records.
     """
 
     records: tuple[CrashRecord, ...]
@@ -39,14 +39,14 @@
 
 
 class KnownCrashes(PeerMessage, frozen=True):
-    """The records were taken.
+    """The records were received.
 
     Attributes
     ----------
     records
-        What the answering gateway knows, if it was asked for.
+        All records of the answering gateway, if they were requested.
     settled
-        Whether it has learned, since its start, what was known before.
+        Whether the answering gateway has received, since its start, the earlier records of others.
     """
 
     records: tuple[CrashRecord, ...] = ()
--- a/src/quaymill/connection/job_messages.py
+++ b/src/quaymill/connection/job_messages.py
@@ -1,8 +1,8 @@
 """Messages of the job store: files, jobs, leases, completions and at-most-once calls.
 
-Every node may receive them; a node that does not lead the group answers ``NotLeader``.
-An answer other than ``NotLeader``, ``StoreUnavailable`` or a refusal is committed on a
-majority of the group's disks before it is sent.
+Every node may receive them; a node that is not the leader of the group answers ``NotLeader``.
+Any answer other than ``NotLeader``, ``StoreUnavailable`` or a refusal is sent only after the
+change is committed on a majority of the group's disks.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class CompletionVerdict(enum.StrEnum):
-    """What became of a reported completion."""
+    """How the job store handled a reported completion."""
 
     RECORDED = "recorded"
     ALREADY_COMPLETE = "already_complete"
@@ -38,18 +38,18 @@
 
 
 class NotLeader(PeerMessage, frozen=True):
-    """The answering node does not lead the group; ``leader`` may."""
+    """The answering node is not the leader of the group; ``leader`` may be."""
 
     leader: Endpoint | None = None
 
 
 class StoreUnavailable(PeerMessage, frozen=True):
-    """The group cannot say whether the change was committed; ask again with the same ids.
+    """It is unknown whether the change was committed; retry with the same ids.
 
     Attributes
     ----------
     proposed
-        Whether the change may be in the log; ``False`` says that it certainly is not.
+        Whether the change may be in the log; ``False`` if it certainly is not.
     """
 
     reason: str
@@ -70,7 +70,7 @@
 
 
 class Item(msgspec.Struct, frozen=True):
-    """One batch item: a line of the input file, with its body kept as it came."""
+    """One batch item: a line of the input file, with its body unchanged."""
 
     index: int
     custom_id: str
@@ -79,7 +79,7 @@
 
 
 class CreateFile(PeerMessage, frozen=True):
-    """Begin a file. A resend with the same ``idempotency_key`` finds the file that exists."""
+    """Create a file. A retry with the same ``idempotency_key`` returns the existing file."""
 
     group: int
     file_id: str
@@ -89,7 +89,7 @@
 
 
 class AppendItems(PeerMessage, frozen=True):
-    """Add one chunk of items; a chunk that is already there is accepted and ignored."""
+    """Append one chunk of items; a chunk that is already stored is accepted and ignored."""
 
     group: int
     file_id: str
@@ -100,8 +100,8 @@
 class CommitFile(PeerMessage, frozen=True):
     """Seal a file; refused with a conflict if chunks are missing.
 
-    ``digest`` (xxh128 of the raw bytes, hexadecimal) tells a resend from other content under
-    the same idempotency key.
+    ``digest`` (xxh128 of the raw bytes, hexadecimal) distinguishes a retry from a different file
+    with the same idempotency key.
     """
 
     group: int
@@ -113,14 +113,14 @@
 
 
 class CreateJob(PeerMessage, frozen=True):
-    """Start a job over a sealed file of the same group.
+    """Create a job for a sealed file of the same group.
 
     Attributes
     ----------
     service
-        Model or application that the items are for.
+        Model or application that runs the items.
     deadline_unix_s
-        When the tenant needs the results; orders jobs of one tenant.
+        Time by which the tenant needs the results; determines the order of a tenant's jobs.
     """
 
     group: int
@@ -136,14 +136,14 @@
 
 
 class GetJob(PeerMessage, frozen=True):
-    """Ask for one job, confirmed by a majority."""
+    """Request one job, as confirmed by a majority."""
 
     group: int
     job_id: str
 
 
 class ListJobs(PeerMessage, frozen=True):
-    """Ask for the jobs of a tenant, newest first."""
+    """Request the jobs of a tenant, newest first."""
 
     group: int
     tenant: str
@@ -151,7 +151,7 @@
 
 
 class JobRecord(PeerMessage, frozen=True):
-    """One job as stored. ``failed`` counts items that ended with an error."""
+    """A stored job. ``failed`` is the number of items that ended with an error."""
 
     job_id: str
     file_id: str
@@ -180,7 +180,7 @@
     Attributes
     ----------
     first_item
-        The first item of a sealed file. The gateway has checked that all items of a file are
+        The first item of a sealed file. The gateway has checked that all items of the file are
         for the same service.
     """
 
@@ -195,27 +195,27 @@
 
 
 class GetFile(PeerMessage, frozen=True):
-    """Ask for one file, confirmed by a majority."""
+    """Request one file, as confirmed by a majority."""
 
     group: int
     file_id: str
 
 
 class CancelJob(PeerMessage, frozen=True):
-    """Stop a job; a job that has already ended stays as it is. Answered by ``JobRecord``."""
+    """Cancel a job; a job that has ended is unchanged. Answered by ``JobRecord``."""
 
     group: int
     job_id: str
 
 
 class LeaseItems(PeerMessage, frozen=True):
-    """Ask for up to ``count`` items of a service for ``worker``.
+    """Request up to ``count`` items of a service for ``worker``.
 
     Attributes
     ----------
     request_id
-        Random id of this request: a resend after a lost answer gets the same items. Filled
-        in by the job store's client if it is empty.
+        Random id of this request, so that a retry after a lost answer returns the same items. The
+        client of the job store sets it if it is empty.
     """
 
     group: int
@@ -227,7 +227,7 @@
 
 
 class LeasedItem(msgspec.Struct, frozen=True):
-    """An item with the attempt that its worker may report."""
+    """An item and the number of the attempt that the worker reports."""
 
     job_id: str
     tenant: str
@@ -236,13 +236,13 @@
 
 
 class LeasedItems(PeerMessage, frozen=True):
-    """Answer to ``LeaseItems``; empty when there is no work."""
+    """Answer to ``LeaseItems``; empty if there are no items to run."""
 
     items: tuple[LeasedItem, ...]
 
 
 class ItemRef(msgspec.Struct, frozen=True):
-    """Names one attempt at one item."""
+    """Identifies one attempt at one item."""
 
     job_id: str
     index: int
@@ -250,7 +250,7 @@
 
 
 class RenewLeases(PeerMessage, frozen=True):
-    """Keep leases for another ``lease_s``; also tells which items are no longer wanted."""
+    """Extend leases by ``lease_s``; the answer lists the items to stop."""
 
     group: int
     worker: str
@@ -259,13 +259,13 @@
 
 
 class RenewedLeases(PeerMessage, frozen=True):
-    """Items to stop at once: their job was cancelled, or they are complete or leased anew."""
+    """Items to stop at once: the job was cancelled, or they are complete or leased again."""
 
     stop: tuple[ItemRef, ...]
 
 
 class ReturnItems(PeerMessage, frozen=True):
-    """Give leases back unfinished, without counting a failed attempt."""
+    """Return leases of unfinished items, without counting a failed attempt."""
 
     group: int
     worker: str
@@ -273,16 +273,16 @@
 
 
 class ItemCompletion(msgspec.Struct, frozen=True):
-    """The end of one attempt.
+    """The result of one attempt.
 
     Attributes
     ----------
     status
-        HTTP status of the back end's answer; 0 if there was none.
+        HTTP status of the engine's or application's answer; 0 if there was none.
     response
-        The answer's JSON body, kept as it came.
+        JSON body of the answer, unchanged.
     retryable
-        Whether another attempt may succeed; counts towards the most attempts of an item.
+        Whether another attempt may succeed; limited by the maximum number of attempts.
     """
 
     ref: ItemRef
@@ -292,7 +292,7 @@
 
 
 class CompleteItems(PeerMessage, frozen=True):
-    """Report ends of attempts, in bulk."""
+    """Report the results of several attempts."""
 
     group: int
     worker: str
@@ -306,7 +306,7 @@
 
 
 class ReadResults(PeerMessage, frozen=True):
-    """Ask for results of a job with index above ``after_index``, in the order of indexes."""
+    """Request results of a job with index above ``after_index``, in the order of indexes."""
 
     group: int
     job_id: str
@@ -316,7 +316,7 @@
 
 
 class ItemResult(msgspec.Struct, frozen=True):
-    """The recorded end of one item."""
+    """The recorded result of one item."""
 
     index: int
     custom_id: str
@@ -325,7 +325,7 @@
 
 
 class ResultPage(PeerMessage, frozen=True):
-    """Answer to ``ReadResults``; ``more`` tells whether a further page may hold results."""
+    """Answer to ``ReadResults``; ``more`` is true if a further page may have results."""
 
     results: tuple[ItemResult, ...]
     more: bool
--- a/src/quaymill/connection/job_storage_messages.py
+++ b/src/quaymill/connection/job_storage_messages.py
@@ -14,11 +14,11 @@
 
 
 LEASE_S = 2.5
-"""How long a storage node takes a coordinator for alive after it has renewed."""
+"""Duration of a coordinator's lease on a job at a storage node, from each renewal."""
 
 
 class StoreJob(PeerMessage, frozen=True):
-    """Keep a job; answered by ``JobStored`` once it is on the disk."""
+    """Store a job; answered by ``JobStored`` once it is on disk."""
 
     repeatable: ClassVar[bool] = True
 
@@ -27,12 +27,12 @@
 
 
 class JobStored(PeerMessage, frozen=True):
-    """The job is on the disk.
+    """The job is on disk.
 
     Attributes
     ----------
     coordinator
-        Who runs the job, as this node knows it: the sender itself unless another was first.
+        Coordinator of the job according to this node: the sender, unless another was first.
     """
 
     coordinator: str
@@ -40,7 +40,7 @@
 
 
 class ResultKey(msgspec.Struct, frozen=True, array_like=True):
-    """Names the content of one item's result."""
+    """Identifies one version of an item's result by the digest of its content."""
 
     index: int
     digest: str
@@ -54,7 +54,7 @@
 
 
 class StoreResults(PeerMessage, frozen=True):
-    """Keep contents of results; answered by ``ResultsStored`` once they are on the disk."""
+    """Store results; answered by ``ResultsStored`` once they are on disk."""
 
     repeatable: ClassVar[bool] = True
 
@@ -63,11 +63,11 @@
 
 
 class ResultsStored(PeerMessage, frozen=True):
-    """The contents are on the disk."""
+    """The results are on disk."""
 
 
 class FetchResults(PeerMessage, frozen=True):
-    """Ask for contents of results."""
+    """Request stored results."""
 
     repeatable: ClassVar[bool] = True
 
@@ -76,22 +76,22 @@
 
 
 class FetchedResults(PeerMessage, frozen=True):
-    """Those of the contents that the node has."""
+    """The requested results that the node has."""
 
     results: tuple[KeyedResult, ...]
 
 
 class ItemProgress(msgspec.Struct, frozen=True, array_like=True):
-    """What is known of an item that is not finished.
+    """The partial result of an unfinished item.
 
     Attributes
     ----------
     last_event_id, texts
-        The last event that came, and the data of all that came from ``first`` on.
+        Id of the last event received, and the data of all events received from ``first`` on.
     failures
-        Runs that the replica answered with an error.
+        Number of runs that a replica answered with an error.
     first
-        Events before these; 0 where all are told.
+        Number of events before ``texts``; 0 if all events are included.
     """
 
     index: int
@@ -101,7 +101,7 @@
     first: int = 0
 
     def extended_by(self, later: ItemProgress) -> ItemProgress:
-        """Return this progress with the next part of it; unchanged if that does not follow it."""
+        """Return this progress extended by ``later``; unchanged if ``later`` does not follow it."""
         if later.first != self.first + len(self.texts):
             return self
         texts = self.texts + later.texts
@@ -110,15 +110,16 @@
 
 
 class StoreProgress(PeerMessage, frozen=True):
-    """Keep what runs of a job's items have brought so far; answered by ``ProgressStored``.
+    """Store partial results of a job's items; answered by ``ProgressStored``.
 
-    It is kept at one storage node only: whoever adopts the job goes on from it if it is there.
+    They are stored at one storage node only. A gateway that adopts the job continues from them if
+    that node still has them.
 
     Attributes
     ----------
     lineage
-        Names the texts that these parts belong to. Only parts of one lineage may be joined: a run
-        continues exactly where it was asked to, and two coordinators asked at different events.
+        Id of the sequence of texts that ``progress`` belongs to. Only parts of the same lineage may
+        be joined, since two coordinators may have resumed an item at different events.
     """
 
     repeatable: ClassVar[bool] = True
@@ -129,16 +130,16 @@
 
 
 class ProgressStored(PeerMessage, frozen=True):
-    """The progress is on the disk."""
+    """The progress is on disk."""
 
 
 class FindJob(PeerMessage, frozen=True):
-    """Ask for a job.
+    """Request a job.
 
     Attributes
     ----------
     whole
-        Whether its items are wanted too.
+        Whether to return the items too.
     """
 
     repeatable: ClassVar[bool] = True
@@ -153,9 +154,9 @@
     Attributes
     ----------
     total
-        Number of items.
+        Number of items in the job.
     job
-        The job, if it was asked for whole.
+        The job, if ``FindJob.whole`` was set.
     """
 
     coordinator: str
@@ -169,7 +170,7 @@
 
 
 class FetchBody(PeerMessage, frozen=True):
-    """Ask for the body of one item."""
+    """Request the body of one item."""
 
     repeatable: ClassVar[bool] = True
 
@@ -184,7 +185,7 @@
 
 
 class EndJob(PeerMessage, frozen=True):
-    """Mark a job as ended; answered by ``JobEnded`` once that is on the disk."""
+    """Mark a job as ended; answered by ``JobEnded`` once the mark is on disk."""
 
     repeatable: ClassVar[bool] = True
 
@@ -192,25 +193,25 @@
 
 
 class JobEnded(PeerMessage, frozen=True):
-    """The mark is on the disk."""
+    """The mark is on disk."""
 
     coordinator: str
 
 
 class HandedOverJob(msgspec.Struct, frozen=True, array_like=True):
-    """A job, and who runs it from now on."""
+    """A job and its new coordinator."""
 
     job_id: str
     successor: str
 
 
 class KnownOrder(msgspec.Struct, frozen=True, array_like=True):
-    """Which items of a job its coordinator knows to be listed.
+    """The items of a job that are in the listing, as far as its coordinator knows.
 
     Attributes
     ----------
     listed
-        Bit mask over the indexes of the items, in hexadecimal: 25 bytes for 100 items.
+        Bit mask over the indexes of the items, in hexadecimal.
     """
 
     job_id: str
@@ -218,20 +219,20 @@
 
 
 class RenewJobs(PeerMessage, frozen=True):
-    """Renew the leases of a coordinator, and compare what it knows of the jobs' orders.
+    """Renew the leases of a coordinator, and compare its listings with the stored results.
 
     Attributes
     ----------
     open_jobs
-        Jobs that it runs.
+        Jobs that the coordinator runs.
     complete_jobs
-        Jobs all of whose items are listed.
+        Jobs whose items are all in the listing.
     released_jobs
-        Jobs that it gives up; others may adopt them at once.
+        Jobs that the coordinator gives up; other gateways may adopt them at once.
     handed_over_jobs
-        Jobs that it has given to another coordinator.
+        Jobs that the coordinator has handed over to another one.
     orders
-        Of every open job, also of those whose lease the node does not keep.
+        Listed items of every open job, including jobs whose lease this node does not hold.
     """
 
     repeatable: ClassVar[bool] = True
@@ -245,17 +246,17 @@
 
 
 class JobsRenewed(PeerMessage, frozen=True):
-    """What the coordinator must know.
+    """Answer to ``RenewJobs``.
 
     Attributes
     ----------
     ended_jobs
-        Those of its jobs that were ended.
+        Jobs of the coordinator that are marked as ended.
     taken_jobs
-        Those of its jobs whose lease another coordinator has.
+        Jobs of the coordinator whose lease another coordinator has.
     confirmed_jobs
-        Those of its jobs of which the node has no result beyond the order that was told. Of the
-        others somebody may have listed more.
+        Jobs for which the node has no results other than those listed in ``RenewJobs.orders``.
+        For the other jobs, another gateway may have listed more.
     """
 
     ended_jobs: tuple[str, ...] = ()
@@ -267,7 +268,7 @@
 
 
 class AdoptJob(PeerMessage, frozen=True):
-    """Run a job whose coordinator is gone, from what is known of its progress."""
+    """Run a job whose coordinator has stopped, continuing from its stored progress."""
 
     repeatable: ClassVar[bool] = True
 
@@ -276,7 +277,7 @@
 
 
 class JobAdopted(PeerMessage, frozen=True):
-    """Whether the gateway runs the job now, and under which name."""
+    """The job is adopted; ``coordinator`` is the process that runs it now."""
 
     coordinator: str
 
@@ -285,14 +286,14 @@
 
 
 class HandOverJob(PeerMessage, frozen=True):
-    """Take over a job from a coordinator that stops.
+    """Take over a job from a coordinator that is stopping.
 
     Attributes
     ----------
     unlisted
-        Results that are not listed yet.
+        Results that are not in the listing yet.
     order
-        The listing as the coordinator last knew it; ``None`` if it knew none.
+        The last listing that the coordinator has read or written; ``None`` if there is none.
     """
 
     repeatable: ClassVar[bool] = True
@@ -304,7 +305,7 @@
 
 
 class SubmitJob(PeerMessage, frozen=True):
-    """Accept a job for a gateway that storage nodes do not answer; answered by ``JobSubmitted``."""
+    """Accept a job for a gateway that cannot reach storage nodes; answered by ``JobSubmitted``."""
 
     repeatable: ClassVar[bool] = True
 
@@ -317,7 +318,7 @@
     Attributes
     ----------
     may_run
-        Whether a part of it may run although it is not accepted.
+        Whether some of its items may run although it is not accepted.
     """
 
     accepted: bool
@@ -326,7 +327,7 @@
 
 
 class ReadResults(PeerMessage, frozen=True):
-    """Ask the coordinator for results from a position on."""
+    """Request results from the coordinator, starting at the position ``since``."""
 
     job_id: str
     since: int
@@ -334,12 +335,12 @@
 
 
 class ResultsPage(PeerMessage, frozen=True):
-    """Results from the position asked for.
+    """Results from the requested position on.
 
     Attributes
     ----------
     following
-        Position after them.
+        Position after the last of these results.
     """
 
     total: int
@@ -348,13 +349,13 @@
 
 
 class NotCoordinator(PeerMessage, frozen=True):
-    """The gateway does not run the job, or cannot tell the results now."""
+    """The gateway does not run the job, or cannot return its results now."""
 
     reason: str = ""
 
 
 class StopJob(PeerMessage, frozen=True):
-    """Tell the coordinator that a job was ended."""
+    """Notify the coordinator that a job was ended."""
 
     repeatable: ClassVar[bool] = True
 
@@ -362,14 +363,14 @@
 
 
 class JobStopped(PeerMessage, frozen=True):
-    """The coordinator starts nothing more of the job."""
+    """The coordinator starts no more items of the job."""
 
 
 # Storage node to storage node.
 
 
 class CompareJobs(PeerMessage, frozen=True):
-    """Ask what a storage node holds; ``digest`` is what the asker saw there last."""
+    """Request the jobs of a storage node; ``digest`` is the last one received from it."""
 
     repeatable: ClassVar[bool] = True
 
@@ -377,14 +378,14 @@
 
 
 class JobSummary(msgspec.Struct, frozen=True, array_like=True):
-    """What a node holds of one job.
+    """What a storage node has stored for one job.
 
     Attributes
     ----------
     results_digest
-        Stands for the set of contents of results; 0 for none.
+        Digest of the set of stored results; 0 if there are none.
     lease_left_s
-        How long the coordinator's lease still runs here.
+        Remaining time of the coordinator's lease at this node.
     """
 
     job_id: str
@@ -396,7 +397,7 @@
 
 
 class JobSummaries(PeerMessage, frozen=True):
-    """All jobs of a node; none if the digest is still the same."""
+    """All jobs of a node; none if its digest is the one in the request."""
 
     digest: str
     jobs: tuple[JobSummary, ...]
@@ -404,7 +405,7 @@
 
 
 class FetchResultKeys(PeerMessage, frozen=True):
-    """Ask which contents of results a node holds for a job."""
+    """Request the keys of the results that a node has for a job."""
 
     repeatable: ClassVar[bool] = True
 
@@ -412,18 +413,18 @@
 
 
 class ResultKeys(PeerMessage, frozen=True):
-    """The keys."""
+    """Answer to ``FetchResultKeys``."""
 
     keys: tuple[ResultKey, ...]
 
 
 class FetchLeases(PeerMessage, frozen=True):
-    """Ask how long the leases of jobs still run.
+    """Request the remaining times of the leases of jobs.
 
     Attributes
     ----------
     ended_holders
-        For each job the process that had it, if that is known to have ended; else empty.
+        For each job, its former coordinator if that process is known to have ended; else empty.
     """
 
     repeatable: ClassVar[bool] = True
@@ -433,6 +434,6 @@
 
 
 class Leases(PeerMessage, frozen=True):
-    """The time left of each, in seconds, in the order asked; 0 if there is none."""
+    """Remaining time of each lease in seconds, in the requested order; 0 without a lease."""
 
     left_s: tuple[float, ...]
--- a/src/quaymill/connection/limit_messages.py
+++ b/src/quaymill/connection/limit_messages.py
@@ -1,4 +1,4 @@
-"""Messages between gateways and the one that grants a tenant's credits."""
+"""Messages between a gateway and the one that grants the credits of a tenant."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 from quaymill.connection.peer_link import PeerMessage
 
 AGE_PARTS = 5
-"""Parts of the window by which gateways tell how old is what they were granted: one second each
-where the window is 5 s. The coarser, the longer a credit counts after it has left the window."""
+"""Number of equal parts of the window in which gateways report the age of granted requests. With
+fewer parts, a request is counted for longer after it has left the window."""
 
 
 class GrantedBy(msgspec.Struct, frozen=True, array_like=True):
-    """What one gateway was granted of a tenant's requests within the last window.
+    """Requests of a tenant that one process granted to a gateway within the last window.
 
     Attributes
     ----------
     granter
         Name of the process that granted it.
     by_age
-        Requests by their age in parts of the window, newest first.
+        Number of requests in each part of the window, newest first.
     """
 
     granter: str
@@ -27,20 +27,20 @@
 
 
 class BorrowCredits(PeerMessage, frozen=True):
-    """Ask for credits of a tenant.
+    """Request credits of a tenant.
 
     Attributes
     ----------
     gateway
-        Name of the node that will use them.
+        Name of the gateway that will use the credits.
     requests
-        Requests wanted; fewer may be lent.
+        Number of requests wanted; fewer may be lent.
     tokens
-        Tokens that the request at hand may generate; lent whole or not at all.
+        Tokens that the current request may generate; all of them are lent, or none.
     slots
-        Requests in service at once that the gateway needs in all, not in addition.
+        Total number of concurrent requests that the gateway needs, not an increment.
     granted
-        What the gateway was granted within the last window, by whomever.
+        Requests granted to the gateway within the last window, for each granting process.
     """
 
     tenant: str
@@ -57,17 +57,18 @@
     Attributes
     ----------
     refused_by
-        Name of the limit that stands against the request at hand; empty if none does. Then
-        no tokens were taken.
+        Name of the limit that the current request exceeds, in which case no tokens are lent; empty
+        if there is none.
     retry_after_s
-        When that limit allows a request again, as far as is known.
+        Estimated time after which that limit allows a request again.
     granter
-        Name of the gateway that grants the tenant's credits, if it is not the one that answers;
-        then nothing was lent.
+        Name of the gateway that grants the tenant's credits, if it is not the answering one, which
+        then lends nothing.
     by
-        Name of the process that lent.
+        Name of the process that lent the credits.
     paced
-        Whether the refusal is only since the granter does not know yet what others granted.
+        Whether the only reason for the refusal is that the granter does not know yet what other
+        granters granted.
     """
 
     requests: int = 0
@@ -80,7 +81,7 @@
 
 
 class ReturnCredits(PeerMessage, frozen=True):
-    """Give back tokens that were not used, and tell the slots still needed."""
+    """Return unused tokens, and report the number of slots that are still needed."""
 
     tenant: str
     gateway: str
@@ -93,19 +94,19 @@
 
 
 class TakeOverCredits(PeerMessage, frozen=True):
-    """Tell who granted a tenant's credits that ``gateway`` does from now on."""
+    """Notify the former granter that ``gateway`` grants a tenant's credits from now on."""
 
     tenant: str
     gateway: str
 
 
 class CreditsTakenOver(PeerMessage, frozen=True):
-    """Answer to ``TakeOverCredits``: the sender grants none any more.
+    """Answer to ``TakeOverCredits``: the former granter has stopped granting credits.
 
     Attributes
     ----------
     granted
-        Whether it had granted any.
+        Whether it had granted any credits of the tenant.
     """
 
     granted: bool
--- a/src/quaymill/connection/log_messages.py
+++ b/src/quaymill/connection/log_messages.py
@@ -1,9 +1,8 @@
 """Messages between the replicas of one group of the replicated log.
 
-The rules are those published for Raft: terms, votes, log matching and commit on a majority.
-Every message names the identity of the replica it is for. A replica that came back with an
-empty disk has a new identity and refuses what is meant for the old one, so that it can
-neither vote nor acknowledge in the place of the replica that was lost.
+The protocol is Raft: terms, votes, log matching and commit on a majority. Every message contains
+the identity of its recipient. A replica that restarts with an empty disk has a new identity and
+refuses messages to the old one, so that it cannot vote or acknowledge entries in its place.
 """
 
 from __future__ import annotations
@@ -17,7 +16,7 @@
 
 
 class ReplicaAddress(msgspec.Struct, frozen=True):
-    """One replica of a group: its random identity and the node that carries it."""
+    """One replica of a group: its random identity and the node that stores it."""
 
     identity: str
     node: str
@@ -26,7 +25,7 @@
 
 
 class GroupMembership(msgspec.Struct, frozen=True):
-    """The replicas of a group. Learners receive the log and do not count for a majority."""
+    """The replicas of a group. Learners receive the log but do not count for a majority."""
 
     voters: tuple[ReplicaAddress, ...]
     learners: tuple[ReplicaAddress, ...] = ()
@@ -36,7 +35,7 @@
         return self.voters + self.learners
 
     def majority(self) -> int:
-        """Return the least number of voters that decides."""
+        """Return the number of voters that are a majority."""
         return len(self.voters) // 2 + 1
 
     def is_voter(self, identity: str) -> bool:
@@ -44,7 +43,7 @@
         return any(voter.identity == identity for voter in self.voters)
 
     def find(self, identity: str) -> ReplicaAddress | None:
-        """Return the voter or learner of that identity."""
+        """Return the voter or learner with an identity."""
         for replica in self.replicas():
             if replica.identity == identity:
                 return replica
@@ -57,8 +56,8 @@
     Attributes
     ----------
     changes_membership
-        Whether ``command`` is a change of the group's membership, which holds from the
-        moment that the entry is in the log.
+        Whether ``command`` changes the group's membership, which takes effect as soon as the entry
+        is in the log.
     command
         A ``LoggedCommand`` in JSON.
     """
@@ -75,11 +74,11 @@
     Attributes
     ----------
     pre_vote
-        Only ask whether the vote would be granted; nothing changes at the voter. A replica
-        that returns from a cut finds out in this way that nobody wants a new leader.
+        Only ask whether the vote would be granted, without a change at the voter. This prevents a
+        replica that was disconnected from forcing an unnecessary election.
     hand_over
-        The leader itself asked the candidate to stand, so that voters which still hear the
-        leader may grant.
+        Whether the leader asked the candidate to start the election. Voters may then grant the vote
+        although they still receive messages from the leader.
     """
 
     group: int
@@ -102,7 +101,7 @@
 
 
 class AppendEntries(PeerMessage, frozen=True):
-    """The leader's entries after ``previous_index``; without entries, a heartbeat."""
+    """The leader's entries after ``previous_index``; a heartbeat if there are none."""
 
     group: int
     recipient: str
@@ -122,7 +121,7 @@
     matched
         Whether the log matched at ``previous_index``; the entries are then on disk.
     last_index
-        Where the leader may go on from: the last index that may match if not ``matched``.
+        Index from which the leader continues; if not ``matched``, the last one that may match.
     """
 
     replica: str
@@ -132,18 +131,18 @@
 
 
 class InstallSnapshot(PeerMessage, frozen=True):
-    """One part of the leader's state, for a replica whose next entry is gone from the log.
+    """A part of the leader's state, for a replica whose next entry was removed from the log.
 
     Attributes
     ----------
     snapshot
-        Random id of this transfer; parts of one transfer come in the order of ``part``.
+        Random id of this transfer, whose messages are sent in the order of ``part``.
     table
-        State table that ``rows`` belong to.
+        Name of the state table that ``rows`` belong to.
     rows
         Values in the order of the table's columns; binary values are base64.
     last_part
-        Whether the state is whole with this part; it then takes the place of the old one.
+        Whether this is the last part; the new state then replaces the old one.
     """
 
     group: int
@@ -161,7 +160,7 @@
 
 
 class SnapshotReceived(PeerMessage, frozen=True):
-    """Answer to ``InstallSnapshot``; not ``accepted`` means that the transfer starts anew."""
+    """Answer to ``InstallSnapshot``; unless ``accepted``, the transfer must be restarted."""
 
     replica: str
     term: int
@@ -169,7 +168,7 @@
 
 
 class TimeoutNow(PeerMessage, frozen=True):
-    """The leader hands over: the recipient stands for election at once."""
+    """Ask the recipient to start an election at once, since the leader hands over."""
 
     group: int
     recipient: str
@@ -181,13 +180,13 @@
 
 
 class GetFormation(PeerMessage, frozen=True):
-    """Ask a disk node for its replica of a group and for what it knows of the group."""
+    """Request a disk node's replica of a group and what it knows of the group."""
 
     group: int
 
 
 class GroupKnowledge(PeerMessage, frozen=True):
-    """Answer to ``GetFormation``: the answering replica, and the first membership if known."""
+    """Answer to ``GetFormation``: the local replica, and the initial membership if known."""
 
     replica: ReplicaAddress
     formation: GroupMembership | None = None
@@ -195,9 +194,9 @@
 
 
 class JoinState(enum.StrEnum):
-    """What the leader makes of a replica that asks to join.
+    """State that the leader assigns to a replica that asks to join.
 
-    LEARNER -> VOTER when it has caught up; NOT_NEEDED while the group is whole without it.
+    LEARNER -> VOTER when it has caught up; NOT_NEEDED while the group is complete without it.
     """
 
     VOTER = "voter"
@@ -206,7 +205,7 @@
 
 
 class JoinGroup(PeerMessage, frozen=True):
-    """Ask the leader to admit a replica."""
+    """Ask the leader to add a replica to the group."""
 
     group: int
     replica: ReplicaAddress
--- a/src/quaymill/connection/store_messages.py
+++ b/src/quaymill/connection/store_messages.py
@@ -1,4 +1,4 @@
-"""Messages by which a gateway makes a call of the platform's store for another one."""
+"""Messages by which a gateway calls the platform's object store for another one."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
     object_kind
         Name of the ``ObjectKind``.
     spec
-        What to write; ``None`` to read.
+        Value to write; ``None`` to read the object.
     revision
-        The revision to replace; 0 to make the object.
+        Revision to replace; 0 to create the object.
     """
 
     object_kind: str
@@ -29,7 +29,7 @@
 
 
 class SharedObject(msgspec.Struct, frozen=True):
-    """An object of the store."""
+    """An object in the store."""
 
     name: str
     revision: int
@@ -37,16 +37,16 @@
 
 
 class StoreAnswer(PeerMessage, frozen=True):
-    """What the store answered.
+    """The result of a ``StoreCall``.
 
     Attributes
     ----------
     object
-        The object read or written, or the one in the way.
+        The object read or written, or the current object after a conflict.
     conflict, missing
-        Whether the condition did not hold, or there is no such object.
+        Whether the revision did not match, or the object does not exist.
     unanswered
-        Why it is not known whether the call was done; empty where it is.
+        Reason why it is unknown whether the call took effect; empty if it is known.
     """
 
     object: SharedObject | None = None
