--- a/src/quaymill/connection/__init__.py
+++ b/src/quaymill/connection/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one connection or one peer."""
+"""Connections to peers, replicas and the platform, and the messages sent over them."""
--- a/src/quaymill/connection/call_messages.py
+++ b/src/quaymill/connection/call_messages.py
@@ -1,4 +1,4 @@
-"""Messages between gateways about at-most-once calls in service."""
+"""Messages between gateways about running at-most-once calls."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class GetAttempt(PeerMessage, frozen=True):
-    """Ask the node that began a call whether its attempt is still in service."""
+    """Ask the node that started a call whether its attempt is still running."""
 
     attempt: str
 
--- a/src/quaymill/connection/call_record_messages.py
+++ b/src/quaymill/connection/call_record_messages.py
@@ -1,4 +1,4 @@
-"""Messages about non-idempotent calls of applications, which the job store runs at most once."""
+"""Messages about non-idempotent calls to applications, which are run at most once."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 class CallState(enum.StrEnum):
     """States of an at-most-once call.
 
-    BEGUN -> FINISHED when the answer is stored; a call that is begun for the first time is
-    answered with NEW, and only then may its attempt send.
+    BEGUN -> FINISHED when the answer is stored. A call that is begun for the first time is
+    answered with NEW; its attempt may be sent only after this answer.
     """
 
     NEW = "new"
@@ -22,15 +22,15 @@
 
 
 class BeginCall(PeerMessage, frozen=True):
-    """Claim a call before any byte goes to the application.
+    """Claim a call before any byte is sent to the application.
 
     Attributes
     ----------
     attempt
-        Random id of the one attempt that may send; a resend of this message with the same
-        attempt, after a lost answer, is answered with NEW again.
+        Random id of the only attempt that may be sent. If this message is sent again with the same
+        attempt, after a lost answer, it is answered with NEW again.
     digest
-        xxh128 of method, path and body; the same key with another digest is a conflict.
+        xxh128 of method, path and body; the same key with a different digest is a conflict.
     node
         Name of the node that runs the attempt.
     """
@@ -45,7 +45,7 @@
 
 
 class StoredAnswer(msgspec.Struct, frozen=True):
-    """The application's whole answer; ``body`` is base64."""
+    """The application's complete answer; ``body`` is base64 in JSON."""
 
     status: int
     content_type: str
@@ -53,7 +53,7 @@
 
 
 class CallRecord(PeerMessage, frozen=True):
-    """What the store knows of a call. ``node`` and ``attempt`` are those that began it."""
+    """A stored call. ``node`` and ``attempt`` are those that began it."""
 
     state: CallState
     attempt: str
@@ -73,7 +73,7 @@
 
 
 class AbandonCall(PeerMessage, frozen=True):
-    """Forget a begun call of which provably no byte left; answered by ``Accepted``."""
+    """Delete a begun call of which certainly no byte was sent; answered by ``Accepted``."""
 
     group: int
     tenant: str
--- a/src/quaymill/connection/configuration_messages.py
+++ b/src/quaymill/connection/configuration_messages.py
@@ -1,4 +1,4 @@
-"""Messages by which nodes pull configuration and machine list from each other."""
+"""Messages by which nodes pull the configuration and the machine list from each other."""
 
 from __future__ import annotations
 
@@ -9,33 +9,33 @@
 
 
 class PullConfiguration(PeerMessage, frozen=True):
-    """Ask for what leads on from a generation."""
+    """Request the changes to the configuration since a generation."""
 
     held_generation: int
 
 
 class ConfigurationDifferences(PeerMessage, frozen=True):
-    """Differences in the order of generations; empty if there is nothing newer."""
+    """Differences in the order of generations; empty if there is no newer generation."""
 
     differences: tuple[ConfigurationDifference, ...] = ()
 
 
 class WholeConfiguration(PeerMessage, frozen=True):
-    """The configuration in force at the peer, when differences do not reach back."""
+    """The active configuration of the peer, if it no longer has all differences."""
 
     configuration: ServingConfiguration
 
 
 class PullMachineList(PeerMessage, frozen=True):
-    """Ask for what leads on from a version of the machine list."""
+    """Request the changes to the machine list since a version."""
 
     held_version: int
 
 
 class MachineListChanges(PeerMessage, frozen=True):
-    """Machines to put in and names to take out, from one version to a later one.
+    """Changed machines and names of removed machines, from one version to a later one.
 
-    ``base_version`` 0 is the empty list, so that a whole list has the same form.
+    ``base_version`` 0 is the empty list, so that a complete list can be sent in the same form.
     """
 
     base_version: int
@@ -45,18 +45,18 @@
 
 
 class GetConfigurationReport(PeerMessage, frozen=True):
-    """Ask a node what it holds and what it refused."""
+    """Request the generation that a node holds and the problems that it has found."""
 
 
 class ConfigurationProblem(PeerMessage, frozen=True):
-    """Something an operator has to see: what, why and what to do.
+    """A problem for an operator to resolve: where it is, its reason and its remedy.
 
     Attributes
     ----------
     subject
-        A cell, an object or a node.
+        The cell, object or node with the problem.
     since_unix_s
-        When the reporting node first met it.
+        Time at which the reporting node first found the problem.
     """
 
     subject: str
@@ -66,7 +66,7 @@
 
 
 class HeldGeneration(PeerMessage, frozen=True):
-    """What a node of the answering node's zone holds, as far as that node has heard."""
+    """Generation held by a node in the zone of the answering node, as last received there."""
 
     node: str
     generation: int
--- a/src/quaymill/connection/control_messages.py
+++ b/src/quaymill/connection/control_messages.py
@@ -1,4 +1,4 @@
-"""Messages by which gateways give each other the configuration and the list of replicas."""
+"""Messages by which gateways send each other the configuration and the list of replicas."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class PullControl(PeerMessage, frozen=True):
-    """Ask for what is newer than what the asker holds.
+    """Request the configuration and the list of replicas if they are newer than the sender's.
 
     Attributes
     ----------
     configuration_version
-        Version of the configuration in force at the asker.
+        Version of the sender's active configuration.
     replicas_revision
-        Revision up to which the asker's list of replicas is current.
+        Revision up to which the sender's list of replicas is current.
     """
 
     configuration_version: int
@@ -38,12 +38,12 @@
 
 
 class ControlState(PeerMessage, frozen=True):
-    """What the asked gateway has that is newer.
+    """Answer to ``PullControl``.
 
     Attributes
     ----------
     configuration
-        The operator's document as the platform holds it; ``None`` if it is not newer.
+        The operator's document as stored by the platform; ``None`` if it is not newer.
     replicas
         All listed replicas; ``None`` if the list is not newer.
     """
--- a/src/quaymill/connection/engine_report.py
+++ b/src/quaymill/connection/engine_report.py
@@ -1,4 +1,4 @@
-"""What a model engine reports of itself when asked, some hundred milliseconds old."""
+"""The state that a model engine reports when polled."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 @attrs.frozen
 class EngineReport:
-    """State of an engine.
+    """State of an engine, which may be some hundred milliseconds old.
 
     Attributes
     ----------
     running, waiting
-        Requests in the batch, and admitted behind it.
+        Number of requests in the batch, and in the queue behind it.
     kv_used_tokens, kv_total_tokens
-        Memory that cannot give way, and in all.
+        Cache memory that cannot be evicted, and all cache memory, in tokens.
     born_ms
-        When the engine started, in Unix milliseconds; 0 if it does not say.
+        Start time of the engine in Unix milliseconds; 0 if unknown.
     """
 
     running: int
--- a/src/quaymill/connection/identifiers.py
+++ b/src/quaymill/connection/identifiers.py
@@ -1,4 +1,4 @@
-"""Ids of files and jobs, which name the log group that keeps them."""
+"""Ids of files and jobs, which contain the number of the log group that stores them."""
 
 from __future__ import annotations
 
@@ -13,5 +13,5 @@
     """
     parts = identifier.replace("-", "_").split("_")
     if len(parts) < 3 or not parts[1].isdigit():
-        raise ValueError(f"{identifier!r} does not name its log group")
+        raise ValueError(f"{identifier!r} does not contain the number of a log group")
     return int(parts[1])
--- a/src/quaymill/connection/job_document.py
+++ b/src/quaymill/connection/job_document.py
@@ -1,4 +1,4 @@
-"""A batch job as it is kept and handed between processes: immutable once it is accepted."""
+"""A batch job as it is stored and sent between processes; immutable once it is accepted."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     body
         Bytes of the request.
     tokens
-        Tokens of the prompt and the most that come out, added together; 0 if not told.
+        Prompt tokens plus the maximum number of generated tokens; 0 if unknown.
     """
 
     id: str
@@ -32,7 +32,7 @@
 
     @property
     def tokens(self) -> int:
-        """Tokens of all items."""
+        """Total number of tokens of all items."""
         return sum(item.tokens for item in self.items)
 
 
@@ -42,14 +42,14 @@
     Attributes
     ----------
     id
-        Its name throughout the system; where there are tenants, it begins with its tenant's.
+        Id of the job in the whole system; starts with the tenant's name if there are tenants.
     host, path
-        Where it was submitted; they lead to its route.
+        Host and path that it was submitted to; they determine its route.
     age_s
-        Time since it was first sent, when this record was made or handed on.
+        Time since the job was first submitted, at the time when this object was created or sent.
     tenant
-        Whose it is, as replicas are told; empty for nobody known, ``None`` where there are no
-        tenants. It stays whose it is, whatever becomes of the key by which it came.
+        Name of the tenant as sent to replicas; empty if unknown, ``None`` if there are no tenants.
+        It does not change when the tenant's key is changed or removed.
     """
 
     id: str
@@ -61,19 +61,19 @@
 
 
 class ResultState(enum.StrEnum):
-    """How an item ended."""
+    """Final states of an item."""
 
     SUCCEEDED = "succeeded"
     DEAD = "dead"
 
 
 class JobResult(msgspec.Struct, frozen=True, array_like=True):
-    """How one item ended, and its output.
+    """The final state of an item, and its output.
 
     Attributes
     ----------
     text
-        Data of all events in order, joined by line feeds; of a dead item, the reason.
+        Data of all events in order, joined by line feeds; for a dead item, the reason.
     """
 
     item_id: str
--- a/src/quaymill/connection/load_messages.py
+++ b/src/quaymill/connection/load_messages.py
@@ -1,4 +1,4 @@
-"""Messages about replicas: load reports and notices of online work."""
+"""Messages about replicas: load reports and reports of online requests."""
 
 from __future__ import annotations
 
@@ -8,23 +8,22 @@
 
 
 class LoadReport(msgspec.Struct, frozen=True, array_like=True):
-    """What one replica last said about its load, with the age of that statement.
+    """The last load reported by a replica, and its age.
 
-    It is sent as an array without field names, since reports are most of what nodes tell one
-    another about replicas.
+    It is encoded as an array without field names to keep these frequent messages small.
 
     Attributes
     ----------
     age_s
-        Seconds since the replica measured it, as far as the sender knows.
+        Seconds since the replica measured its load, as estimated by the sender.
     running, waiting
-        Requests in the running batch and in the queue, online and batch together.
+        Number of requests in the running batch and in the queue, online and batch together.
     batch_running
-        Batch items among ``running``.
+        Number of batch items among ``running``.
     slots
-        Most requests the replica runs at once.
+        Maximum number of requests that the replica runs at once.
     draining
-        Whether the replica says that it is leaving.
+        Whether the replica reports that it is about to stop.
     reachable
         Whether the last poll was answered.
     """
@@ -40,12 +39,12 @@
 
 
 class GetLoad(PeerMessage, frozen=True):
-    """Ask a node for reports: of the replicas that it polls, or of all that it knows of a zone.
+    """Request load reports of the replicas that a node polls, or of all it knows in a zone.
 
     Attributes
     ----------
     zone
-        Whose replicas; empty for those that the node polls itself.
+        Zone of the replicas; empty for those that the node polls itself.
     """
 
     zone: str = ""
@@ -58,13 +57,13 @@
 
 
 class OnlineStarts(PeerMessage, frozen=True):
-    """Online work goes to these replicas now: their batch streams must give way.
+    """Online requests start at these replicas now, and preempt batch items there.
 
-    A replica is named once for each request that starts there.
+    A replica is listed once for each request.
     """
 
     replicas: tuple[str, ...]
 
 
 class Noted(PeerMessage, frozen=True):
-    """Answer to a notice."""
+    """Answer to ``OnlineStarts``."""
--- a/src/quaymill/connection/platform_objects.py
+++ b/src/quaymill/connection/platform_objects.py
@@ -1,4 +1,4 @@
-"""Objects of the platform, and what calls of it come to."""
+"""Objects of the platform's API, and the results of calls to it."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ObjectList(msgspec.Struct, frozen=True):
-    """All objects of one plural at one resource version."""
+    """All objects of a resource type at one resource version."""
 
     resource_version: str
     items: tuple[PlatformObject, ...]
@@ -27,7 +27,7 @@
 
 
 class Conflict(msgspec.Struct, frozen=True):
-    """The object has another resource version by now; nothing was changed."""
+    """The object has a different resource version; nothing was changed."""
 
     name: str
     message: str
@@ -47,12 +47,12 @@
 
 
 class PlatformUnavailable(msgspec.Struct, frozen=True):
-    """No usable answer came.
+    """There was no usable answer.
 
     Attributes
     ----------
     may_have_acted
-        Whether the request may have taken effect; ``False`` if it never left.
+        Whether the request may have taken effect; ``False`` if it was not sent.
     """
 
     reason: str
@@ -60,14 +60,14 @@
 
     @property
     def remedy(self) -> str:
-        """What an operator can do."""
+        """Advice for the operator."""
         if self.may_have_acted:
             return "read the object back: the change may have taken effect"
         return "nothing was changed; try again when the platform answers"
 
 
 class Gone(msgspec.Struct, frozen=True):
-    """The resource version to watch from is gone: list again."""
+    """The resource version to watch from is too old; list the objects again."""
 
 
 class WatchEnded(msgspec.Struct, frozen=True):
@@ -76,7 +76,7 @@
     Attributes
     ----------
     silent
-        Whether it ended by a read timeout, so that events may have been missed.
+        Whether it ended by a timeout or a fault, so that events may have been missed.
     """
 
     reason: str
@@ -96,6 +96,6 @@
 
 
 class Bookmark(msgspec.Struct, frozen=True):
-    """No change, but the watch is alive and has reached ``resource_version``."""
+    """No change; the watch works and has reached ``resource_version``."""
 
     resource_version: str
--- a/src/quaymill/connection/readable.py
+++ b/src/quaymill/connection/readable.py
@@ -1,4 +1,4 @@
-"""Waits for a socket to become readable, whatever its descriptor's number."""
+"""Waiting for a socket to become readable, with any file descriptor number."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 def is_readable(connection: socket.socket, timeout_s: float) -> bool:
-    """Return whether there is something to read, an end or an error included.
+    """Return whether a read returns at once, with data, the end of the stream or an error.
 
-    ``select.select`` takes no descriptor above 1023, and a busy gateway has more. A socket that
-    was closed meanwhile counts as readable: the read that follows tells.
+    Uses ``poll`` since ``select.select`` does not support descriptors above 1023. A closed socket
+    counts as readable; the next read reports the error.
     """
     descriptor = connection.fileno()
     if descriptor < 0:
--- a/src/quaymill/connection/replica_answer.py
+++ b/src/quaymill/connection/replica_answer.py
@@ -1,4 +1,4 @@
-"""The head of a replica's answer, as far as the product decides by it."""
+"""The head of a replica's answer, reduced to what the gateway needs."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
     Attributes
     ----------
     headers
-        What the caller gets: without those that concern one connection only.
+        Headers for the caller, without the hop-by-hop headers.
     request_id
-        The id that the replica echoes; empty if it echoes none.
+        Request id echoed by the replica; empty if there is none.
     not_executed
-        Whether the replica says that it did not run the request and never will.
+        Whether the replica reports that it has not run the request and never will.
     misdirected
-        Whether another replica than the one meant answers at the address.
+        Whether a different replica than the intended one answers at the address.
     length
-        Size of the body in bytes, if told.
+        Size of the body in bytes; ``None`` if unknown.
     keep_s
-        How long the connection may lie idle afterwards; 0 if it must not be used again.
+        How long the connection may stay idle afterwards; 0 if it must not be reused.
     """
 
     status: int
--- a/src/quaymill/connection/replica_warnings.py
+++ b/src/quaymill/connection/replica_warnings.py
@@ -1,4 +1,4 @@
-"""Messages by which gateways tell each other of replicas that fail."""
+"""Messages by which gateways warn each other of failing replicas."""
 
 from __future__ import annotations
 
@@ -6,12 +6,13 @@
 
 
 class WarnOfReplicas(PeerMessage, frozen=True):
-    """These replicas fail for the sender now; answered by ``Warned``.
+    """Requests of the sender to these replicas fail now; answered by ``Warned``.
 
     Attributes
     ----------
     gateway, zone
-        Who sends, and where it runs: a cut between two zones looks like failing replicas.
+        Name and zone of the sender. The zone matters since a network cut between two zones looks
+        like failing replicas.
     """
 
     gateway: str
@@ -20,4 +21,4 @@
 
 
 class Warned(PeerMessage, frozen=True):
-    """The warning was noted."""
+    """The warning was received."""
