--- a/src/quaymill/connection/engine_client.py
+++ b/src/quaymill/connection/engine_client.py
@@ -57,8 +57,8 @@
         self.complete = False
         self.preempted = False
         self._exchange = exchange
-        self._own_id = f'"{attempt_id}"'.encode()
-        self._rest = b""
+        self._attempt_id_json = f'"{attempt_id}"'.encode()
+        self._partial = b""
 
     def set_stall_timeout(self, timeout_s: float) -> None:
         """Set the timeout for each of the next events."""
@@ -71,18 +71,18 @@
             if isinstance(block, OutcomeUnknown):
                 return block
             if not block:
-                return self._broken("the stream ended without its terminator")
-            if self._rest:
-                block = self._rest + block
+                return self._fail("the stream ended without its terminator")
+            if self._partial:
+                block = self._partial + block
             end = block.rfind(EVENT_END) + len(EVENT_END)
             if end < len(EVENT_END):
                 if len(block) > MAX_EVENT_BYTES:
-                    return self._broken(f"an event is longer than {MAX_EVENT_BYTES} bytes")
-                self._rest = block
+                    return self._fail(f"an event is longer than {MAX_EVENT_BYTES} bytes")
+                self._partial = block
                 continue
-            self._rest = block[end:]
-            events = block[:end] if self._rest else block
-            return self._checked(events)
+            self._partial = block[end:]
+            events = block[:end] if self._partial else block
+            return self._check_events(events)
 
     def finish(self) -> None:
         """Read the end of the body after the terminator, and release the connection."""
@@ -96,29 +96,31 @@
         """Close the connection, which cancels the request at the engine."""
         self._exchange.abandon()
 
-    def _checked(self, events: bytes) -> bytes | OutcomeUnknown:
+    def _check_events(self, events: bytes) -> bytes | OutcomeUnknown:
         """Return the events if all of them belong to this attempt."""
         self.complete = events.endswith(TERMINATOR)
         if _PREEMPTED in events and _finish_reason(events) == "preempted":
             self.complete = False
             self.preempted = True
-            return self._broken("the engine preempted the request")
-        own = events[: -len(TERMINATOR)] if self.complete else events
-        if own.count(EVENT_END) > 1:
-            foreign = any(not self._is_own(event) for event in own.split(EVENT_END)[:-1])
+            return self._fail("the engine preempted the request")
+        content = events[: -len(TERMINATOR)] if self.complete else events
+        if content.count(EVENT_END) > 1:
+            has_invalid = any(
+                not self._is_valid_event(event) for event in content.split(EVENT_END)[:-1]
+            )
         else:
-            foreign = bool(own) and not self._is_own(own)
-        if foreign:
+            has_invalid = bool(content) and not self._is_valid_event(content)
+        if has_invalid:
             self.complete = False
-            return self._broken("the stream contains an error or an event of another request")
+            return self._fail("the stream contains an error or an event of another request")
         return events
 
-    def _is_own(self, event: bytes) -> bool:
-        return self._own_id in event or event.startswith(_COMMENT)
+    def _is_valid_event(self, event: bytes) -> bool:
+        return self._attempt_id_json in event or event.startswith(_COMMENT)
 
-    def _broken(self, reason: str) -> OutcomeUnknown:
+    def _fail(self, reason: str) -> OutcomeUnknown:
         self._exchange.abandon()
-        return _broken_answer(self._exchange.endpoint, reason)
+        return _invalid_answer(self._exchange.endpoint, reason)
 
 
 class EngineClient:
@@ -148,14 +150,14 @@
     def _read_head(
         self, exchange: Exchange, attempt_id: str
     ) -> NotRun | OutcomeUnknown | Failed | None:
-        no_answer = exchange.read_head(HEAD_TIMEOUT_S)
-        if no_answer is not None:
-            return no_answer
+        failure = exchange.read_head(HEAD_TIMEOUT_S)
+        if failure is not None:
+            return failure
         echoed_id = exchange.header("X-Request-Id")
         # A refusal may lack the id; a successful answer must have it. Neither may have another id.
         if echoed_id != attempt_id and (echoed_id or exchange.status == 200):
             exchange.abandon()
-            return _broken_answer(exchange.endpoint, "the answer belongs to another request")
+            return _invalid_answer(exchange.endpoint, "the answer belongs to another request")
         return None if exchange.status == 200 else _read_refusal(exchange)
 
 
@@ -220,7 +222,7 @@
     return Failed(status, reason, "send the request again, or check the replica's log", 1.0)
 
 
-def _broken_answer(endpoint: Endpoint, reason: str) -> OutcomeUnknown:
+def _invalid_answer(endpoint: Endpoint, reason: str) -> OutcomeUnknown:
     return OutcomeUnknown(
         502, f"invalid answer from {endpoint}: {reason}", "send the request again", 1.0
     )
--- a/src/quaymill/connection/idle_connections.py
+++ b/src/quaymill/connection/idle_connections.py
@@ -20,13 +20,13 @@
 
 
 @attrs.frozen
-class _Idle(Generic[Connection]):
+class _IdleConnection(Generic[Connection]):
     connection: Connection
-    since: float
+    idle_since: float
     keep_s: float
 
     def is_expired(self, now: float) -> bool:
-        return now - self.since > self.keep_s
+        return now - self.idle_since > self.keep_s
 
 
 class IdleConnections(Generic[Connection]):
@@ -34,7 +34,7 @@
 
     Parameters
     ----------
-    most_per_endpoint
+    max_per_endpoint
         Maximum number kept per endpoint; further connections are closed.
     is_open
         Returns whether a connection has not been closed by the other end.
@@ -44,28 +44,28 @@
 
     def __init__(
         self,
-        most_per_endpoint: int,
+        max_per_endpoint: int,
         is_open: Callable[[Connection], bool],
         close: Callable[[Connection], None],
     ) -> None:
-        self._most_per_endpoint = most_per_endpoint
+        self._max_per_endpoint = max_per_endpoint
         self._is_open = is_open
         self._close = close
         self._lock = threading.Lock()
-        self._by_endpoint: dict[Endpoint, list[_Idle[Connection]]] = {}
+        self._by_endpoint: dict[Endpoint, list[_IdleConnection[Connection]]] = {}
         self._next_sweep = 0.0
 
     def take(self, endpoint: Endpoint, max_idle_s: float) -> Connection | None:
         """Return the most recently used open connection, if one was used within ``max_idle_s``."""
         while True:
             with self._lock:
-                pool = self._by_endpoint.get(endpoint)
-                idle = pool.pop() if pool else None
+                connections = self._by_endpoint.get(endpoint)
+                idle = connections.pop() if connections else None
             if idle is None:
                 return None
             now = boot_clock.now()
-            fresh = now - idle.since <= max_idle_s and not idle.is_expired(now)
-            if fresh and self._is_open(idle.connection):
+            is_usable = now - idle.idle_since <= max_idle_s and not idle.is_expired(now)
+            if is_usable and self._is_open(idle.connection):
                 return idle.connection
             self._close(idle.connection)
 
@@ -73,10 +73,10 @@
         """Keep a connection, for at most ``keep_s`` seconds."""
         now = boot_clock.now()
         with self._lock:
-            closing = self._take_expired(now, keep_s)
-            pool = self._by_endpoint.setdefault(endpoint, [])
-            if len(pool) < self._most_per_endpoint:
-                pool.append(_Idle(connection, now, keep_s))
+            closing = self._remove_expired(now, keep_s)
+            connections = self._by_endpoint.setdefault(endpoint, [])
+            if len(connections) < self._max_per_endpoint:
+                connections.append(_IdleConnection(connection, now, keep_s))
             else:
                 closing.append(connection)
         for closed in closing:
@@ -85,30 +85,30 @@
     def drop(self, endpoint: Endpoint) -> None:
         """Close the idle connections to an endpoint."""
         with self._lock:
-            pool = self._by_endpoint.pop(endpoint, [])
-        for idle in pool:
+            connections = self._by_endpoint.pop(endpoint, [])
+        for idle in connections:
             self._close(idle.connection)
 
     def close(self) -> None:
         """Close all idle connections."""
         with self._lock:
-            pools, self._by_endpoint = self._by_endpoint, {}
-        for pool in pools.values():
-            for idle in pool:
+            connections_by_endpoint, self._by_endpoint = self._by_endpoint, {}
+        for connections in connections_by_endpoint.values():
+            for idle in connections:
                 self._close(idle.connection)
 
-    def _take_expired(self, now: float, pause_s: float) -> list[Connection]:
+    def _remove_expired(self, now: float, sweep_interval_s: float) -> list[Connection]:
         """Remove and return the expired connections to all endpoints; the caller holds the lock.
 
         Without this, connections to an endpoint that is no longer used would never be closed.
         """
         if now < self._next_sweep:
             return []
-        self._next_sweep = now + pause_s
+        self._next_sweep = now + sweep_interval_s
         expired = []
-        for endpoint, pool in list(self._by_endpoint.items()):
-            kept = [idle for idle in pool if not idle.is_expired(now)]
-            expired += [idle.connection for idle in pool if idle.is_expired(now)]
+        for endpoint, connections in list(self._by_endpoint.items()):
+            kept = [idle for idle in connections if not idle.is_expired(now)]
+            expired += [idle.connection for idle in connections if idle.is_expired(now)]
             if kept:
                 self._by_endpoint[endpoint] = kept
             else:
--- a/src/quaymill/connection/peer_link.py
+++ b/src/quaymill/connection/peer_link.py
@@ -25,7 +25,7 @@
 MAX_LINE_BYTES = 64 * 1024 * 1024
 MAX_IDLE_CONNECTIONS_PER_PEER = 8
 IDLE_CONNECTION_LIFETIME_S = 30.0
-KEPT_CONNECTION_SHARE = 0.5
+REUSED_CONNECTION_TIMEOUT_SHARE = 0.5
 """Share of the timeout that a repeatable message waits on a reused connection."""
 MIN_TIMEOUT_S = 0.001
 CONNECT_TIMEOUT_S = 1.0
@@ -163,11 +163,11 @@
         only a share of the timeout, and is then sent again on a new connection.
         """
         line = msgspec.json.encode(message) + b"\n"
-        kept = self._idle.take(endpoint, IDLE_CONNECTION_LIFETIME_S)
-        if kept is not None:
+        reused = self._idle.take(endpoint, IDLE_CONNECTION_LIFETIME_S)
+        if reused is not None:
             may_repeat = type(message).repeatable
-            patience_s = timeout_s * (KEPT_CONNECTION_SHARE if may_repeat else 1.0)
-            reply = self._send(endpoint, kept, line, boot_clock.now() + patience_s)
+            reply_timeout_s = timeout_s * (REUSED_CONNECTION_TIMEOUT_SHARE if may_repeat else 1.0)
+            reply = self._send(endpoint, reused, line, boot_clock.now() + reply_timeout_s)
             if isinstance(reply, _Received):
                 return reply
             # The other idle connections to this peer have probably failed as well.
@@ -183,23 +183,23 @@
         try:
             connection = self._connect(endpoint, deadline - boot_clock.now())
         except OSError as error:
-            if kept is not None:
+            if reused is not None:
                 return PeerNoReply(endpoint, f"no reply, and cannot reconnect: {error}")
             return PeerUnreachable(endpoint, f"cannot connect: {error}")
         return self._send(endpoint, connection, line, deadline)
 
     def _send(
-        self, endpoint: Endpoint, connection: socket.socket, line: bytes, until: float
+        self, endpoint: Endpoint, connection: socket.socket, line: bytes, deadline: float
     ) -> _Received | PeerNoReply:
         """Send a line and wait for the reply; close the connection if there is none."""
-        began = boot_clock.now()
+        started_at = boot_clock.now()
         try:
-            connection.settimeout(max(until - began, MIN_TIMEOUT_S))
+            connection.settimeout(max(deadline - started_at, MIN_TIMEOUT_S))
             connection.sendall(line)
-            reply = _read_line(connection, until)
+            reply = _read_line(connection, deadline)
         except OSError as error:
             connection.close()
-            waited_s = boot_clock.now() - began
+            waited_s = boot_clock.now() - started_at
             return PeerNoReply(endpoint, f"no reply within {waited_s:.2f} s: {error}")
         if self._link_filter.blocks(endpoint):
             connection.close()
--- a/src/quaymill/connection/peer_server.py
+++ b/src/quaymill/connection/peer_server.py
@@ -36,7 +36,7 @@
 SEND_TIMEOUT_S = 10.0
 """Longest wait for a peer to accept more of its reply. No call waits longer for one."""
 READ_BLOCK_BYTES = 256 * 1024
-SPARE_WORKERS = 2
+MIN_IDLE_WORKERS = 2
 """Idle threads that are kept."""
 MAX_WORKERS = 128
 """Maximum number of messages handled at once. Handlers may wait for other peers for seconds.
@@ -49,23 +49,23 @@
 
 
 @attrs.define(eq=False)
-class _Served:
+class _PeerConnection:
     """A peer's connection.
 
     Attributes
     ----------
     received
         Bytes received that have not been taken as lines yet.
-    searched
+    searched_bytes
         Number of bytes at their start that are known to hold no newline.
-    quiet_since
+    idle_since
         Monotonic time at which the connection last became idle.
     """
 
     connection: socket.socket
     received: bytearray = attrs.field(factory=bytearray)
-    searched: int = 0
-    quiet_since: float = 0.0
+    searched_bytes: int = 0
+    idle_since: float = 0.0
 
     def receive(self) -> bool:
         """Read all available bytes; return whether the peer may send more."""
@@ -80,13 +80,13 @@
 
     def next_line(self) -> bytes | None:
         """Remove and return the first complete line; ``None`` if there is none."""
-        end = self.received.find(b"\n", self.searched)
+        end = self.received.find(b"\n", self.searched_bytes)
         if end < 0:
-            self.searched = len(self.received)
+            self.searched_bytes = len(self.received)
             return None
         line = bytes(self.received[: end + 1])
         del self.received[: end + 1]
-        self.searched = 0
+        self.searched_bytes = 0
         return line
 
     def send(self, line: bytes) -> None:
@@ -121,10 +121,10 @@
         self._wake_reader, self._wake_writer = socket.socketpair()
         self._poll.register(self._wake_reader, select.EPOLLIN)
         self._lock = threading.Lock()
-        self._connections: set[_Served] = set()
-        self._resting_by_fd: dict[int, _Served] = {}
+        self._connections: set[_PeerConnection] = set()
+        self._idle_by_fd: dict[int, _PeerConnection] = {}
         self._workers = 0
-        self._waiting = 0
+        self._idle_workers = 0
         self._stopping = False
 
     def register(self, message_type: type[PeerMessage], handler: Handler) -> None:
@@ -142,17 +142,17 @@
         """Close the listener and every connection."""
         with self._lock:
             self._stopping = True
-            resting, self._resting_by_fd = self._resting_by_fd, {}
-            in_service = self._connections - set(resting.values())
+            idle, self._idle_by_fd = self._idle_by_fd, {}
+            active = self._connections - set(idle.values())
         with contextlib.suppress(OSError):
             self._listener.shutdown(socket.SHUT_RDWR)
         self._listener.close()
         self._wake_writer.close()
-        for served in resting.values():
-            self._close(served)
-        for served in in_service:
+        for peer in idle.values():
+            self._close(peer)
+        for peer in active:
             with contextlib.suppress(OSError):
-                served.connection.shutdown(socket.SHUT_RDWR)
+                peer.connection.shutdown(socket.SHUT_RDWR)
 
     def _accept_peers(self) -> None:
         while not self._stopping:
@@ -162,22 +162,22 @@
                 return
             connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             connection.setblocking(False)
-            served = _Served(connection)
+            peer = _PeerConnection(connection)
             with self._lock:
-                self._connections.add(served)
+                self._connections.add(peer)
                 self._poll.register(connection, 0)
-            self._put_to_rest(served)
+            self._register_idle(peer)
 
-    def _put_to_rest(self, served: _Served) -> None:
+    def _register_idle(self, peer: _PeerConnection) -> None:
         """Register an idle connection, so that a thread is woken when a message arrives."""
         with self._lock:
             if not self._stopping:
-                served.quiet_since = boot_clock.now()
-                descriptor = served.connection.fileno()
-                self._resting_by_fd[descriptor] = served
+                peer.idle_since = boot_clock.now()
+                descriptor = peer.connection.fileno()
+                self._idle_by_fd[descriptor] = peer
                 self._poll.modify(descriptor, _EVENTS)
                 return
-        self._close(served)
+        self._close(peer)
 
     def _start_worker(self) -> None:
         self._workers += 1
@@ -185,81 +185,81 @@
 
     def _work(self) -> None:
         """Serve one connection after another until this thread is no longer needed."""
-        while (served := self._next_ready()) is not None:
-            self._serve(served)
+        while (peer := self._next_ready()) is not None:
+            self._serve(peer)
         with self._lock:
             self._workers -= 1
 
-    def _next_ready(self) -> _Served | None:
+    def _next_ready(self) -> _PeerConnection | None:
         """Wait for a readable connection; ``None`` if this thread is to end."""
         with self._lock:
-            self._waiting += 1
-        served = None
-        while served is None and not self._stopping:
-            events = self._poll.poll(POLL_TIMEOUT_S, 1)
+            self._idle_workers += 1
+        peer = None
+        while peer is None and not self._stopping:
+            ready = self._poll.poll(POLL_TIMEOUT_S, 1)
             with self._lock:
-                if events:
+                if ready:
                     # The connection may have been closed as idle in the meantime.
-                    served = self._resting_by_fd.pop(events[0][0], None)
-                elif self._waiting > SPARE_WORKERS:
+                    peer = self._idle_by_fd.pop(ready[0][0], None)
+                elif self._idle_workers > MIN_IDLE_WORKERS:
                     break
-            if not events:
-                self._close_quiet()
+            if not ready:
+                self._close_idle()
         with self._lock:
-            self._waiting -= 1
-            nobody_waits = not self._waiting and self._workers < MAX_WORKERS
-            if served is not None and nobody_waits and not self._stopping:
+            self._idle_workers -= 1
+            needs_worker = not self._idle_workers and self._workers < MAX_WORKERS
+            if peer is not None and needs_worker and not self._stopping:
                 self._start_worker()
-        return served
+        return peer
 
-    def _close_quiet(self) -> None:
+    def _close_idle(self) -> None:
         """Close the connections that have been idle for ``SERVED_CONNECTION_LIFETIME_S``."""
-        horizon = boot_clock.now() - SERVED_CONNECTION_LIFETIME_S
+        oldest_idle_since = boot_clock.now() - SERVED_CONNECTION_LIFETIME_S
         with self._lock:
-            quiet = [
+            expired_descriptors = [
                 descriptor
-                for descriptor, served in self._resting_by_fd.items()
-                if served.quiet_since < horizon
+                for descriptor, peer in self._idle_by_fd.items()
+                if peer.idle_since < oldest_idle_since
             ]
-            closing = [self._resting_by_fd.pop(descriptor) for descriptor in quiet]
-        for served in closing:
-            self._close(served)
+            closing = [self._idle_by_fd.pop(descriptor) for descriptor in expired_descriptors]
+        for peer in closing:
+            self._close(peer)
 
-    def _serve(self, served: _Served) -> None:
+    def _serve(self, peer: _PeerConnection) -> None:
         """Answer the messages received on a connection, then mark it idle or close it."""
         try:
-            stays_open = self._answer_lines(served)
+            stays_open = self._answer_lines(peer)
         except OSError:
             stays_open = False  # The peer has disconnected, so it cannot be notified.
         except Exception as error:  # An unencodable reply must not end the thread.
             log_message("peer:reply_error", error=repr(error))
             stays_open = False
         if stays_open:
-            self._put_to_rest(served)
+            self._register_idle(peer)
         else:
-            self._close(served)
+            self._close(peer)
 
-    def _answer_lines(self, served: _Served) -> bool:
+    def _answer_lines(self, peer: _PeerConnection) -> bool:
         """Answer all complete lines; return whether the connection can stay open.
 
         Raises ``OSError`` if the connection fails.
         """
-        may_go_on = served.receive()
-        while (line := served.next_line()) is not None:
+        can_receive_more = peer.receive()
+        while (line := peer.next_line()) is not None:
             reply = self._answer(line)
             if reply is None:
                 return False
-            served.send(msgspec.json.encode(reply) + b"\n")
-        if len(served.received) > MAX_LINE_BYTES:
-            log_message("peer:line_too_long", received_bytes=len(served.received))
+            peer.send(msgspec.json.encode(reply) + b"\n")
+        if len(peer.received) > MAX_LINE_BYTES:
+            log_message("peer:line_too_long", received_bytes=len(peer.received))
             return False
-        return may_go_on
+        return can_receive_more
 
-    def _close(self, served: _Served) -> None:
+    def _close(self, peer: _PeerConnection) -> None:
         with self._lock:
-            self._connections.discard(served)
+            self._connections.discard(peer)
         # Closing a socket also removes it from the epoll object.
-        served.connection.close()
+        peer.connection.close()
 
     def _answer(self, line: bytes) -> PeerMessage | None:
         """Return the reply to a line; ``None`` if the handler raised an exception."""
--- a/src/quaymill/connection/platform_client.py
+++ b/src/quaymill/connection/platform_client.py
@@ -319,7 +319,7 @@
 
 def _lines(response: urllib3.BaseHTTPResponse) -> Iterator[bytes]:
     """Yield the lines of the body as they arrive."""
-    rest = b""
+    partial = b""
     while chunk := response.read1():
-        *lines, rest = (rest + chunk).split(b"\n")
+        *lines, partial = (partial + chunk).split(b"\n")
         yield from (line for line in lines if line.strip())
--- a/src/quaymill/connection/readable.py
+++ b/src/quaymill/connection/readable.py
@@ -5,7 +5,7 @@
 import select
 import socket
 
-MILLISECONDS = 1000.0
+MILLISECONDS_PER_SECOND = 1000.0
 
 
 def is_readable(connection: socket.socket, timeout_s: float) -> bool:
@@ -19,4 +19,4 @@
         return True
     poll = select.poll()
     poll.register(descriptor, select.POLLIN)
-    return bool(poll.poll(max(timeout_s, 0.0) * MILLISECONDS))
+    return bool(poll.poll(max(timeout_s, 0.0) * MILLISECONDS_PER_SECOND))
--- a/src/quaymill/connection/replica_connection.py
+++ b/src/quaymill/connection/replica_connection.py
@@ -34,7 +34,7 @@
 PROBE_CONNECT_TIMEOUT_S = 0.1
 """A machine without a listening process refuses the connection within a round trip of some
 milliseconds; no response for this long means a lost packet or a full accept queue instead."""
-PROBE_STAYS_OPEN_S = 0.02
+PROBE_CLOSE_TIMEOUT_S = 0.02
 """A proxy that accepts connections for a stopped process closes them within this time."""
 
 _READ_ERRORS = (HTTPError, HTTPException, OSError, ValueError)
@@ -107,12 +107,12 @@
         if is_readable(self._socket, 0.0):
             return True
         # urllib3 may have buffered bytes, which polling the socket does not show.
-        ahead = getattr(getattr(self._response, "_fp", None), "fp", None)
-        if ahead is None:
+        reader = getattr(getattr(self._response, "_fp", None), "fp", None)
+        if reader is None:
             return True
         try:
             self._socket.setblocking(False)
-            return bool(ahead.peek(1))
+            return bool(reader.peek(1))
         except (OSError, ValueError):
             return True  # The next read reports the same error.
 
@@ -313,7 +313,7 @@
         except OSError:
             return False
         with contextlib.closing(probe):
-            return not is_readable(probe, PROBE_STAYS_OPEN_S)
+            return not is_readable(probe, PROBE_CLOSE_TIMEOUT_S)
 
     def is_reached(self, endpoint: Endpoint) -> bool:
         """Return whether an endpoint responds, even if it refuses the connection."""
--- a/tests/test_peer_server.py
+++ b/tests/test_peer_server.py
@@ -12,7 +12,7 @@
 from fleet_support import eventually
 from quaymill.connection.endpoint import Endpoint
 from quaymill.connection.peer_link import PeerMessage
-from quaymill.connection.peer_server import SPARE_WORKERS, PeerServer
+from quaymill.connection.peer_server import MIN_IDLE_WORKERS, PeerServer
 
 LOOPBACK = Endpoint("127.0.0.1", 0)
 TIMEOUT_S = 10.0
@@ -86,7 +86,7 @@
             self.assertEqual(self.ask(connection, f"first {index}"), f"first {index}")
         for index, connection in enumerate(reversed(connections)):
             self.assertEqual(self.ask(connection, f"second {index}"), f"second {index}")
-        self.assertLessEqual(self.threads() - before, SPARE_WORKERS + 1)
+        self.assertLessEqual(self.threads() - before, MIN_IDLE_WORKERS + 1)
 
     def test_messages_that_wait_hold_nobody_else_up(self):
         blocked = [self.connect() for _ in range(20)]
@@ -104,7 +104,7 @@
                 connection.sendall(msgspec.json.encode(Block()) + b"\n")
             eventually(lambda: self.threads() - before >= 20, TIMEOUT_S)
             self.go_on.set()
-            eventually(lambda: self.threads() <= before + SPARE_WORKERS, 2 * TIMEOUT_S)
+            eventually(lambda: self.threads() <= before + MIN_IDLE_WORKERS, 2 * TIMEOUT_S)
 
 
 class LinesTest(PeerServerCase):
@@ -137,7 +137,7 @@
         eventually(lambda: not self.server._connections, TIMEOUT_S)
 
     def test_replies_that_cannot_be_sent_end_their_connections_only(self):
-        for _ in range(SPARE_WORKERS + 2):
+        for _ in range(MIN_IDLE_WORKERS + 2):
             connection = self.connect()
             connection.sendall(msgspec.json.encode(Odd()) + b"\n")
             self.assertEqual(connection.recv(1), b"")
