--- a/src/quaymill/connection/object_store.py
+++ b/src/quaymill/connection/object_store.py
@@ -55,7 +55,7 @@
     """One event of a watch."""
 
     object: StoredObject
-    gone: bool
+    deleted: bool
 
 
 @attrs.frozen
--- a/src/quaymill/connection/replica_connection.py
+++ b/src/quaymill/connection/replica_connection.py
@@ -175,7 +175,7 @@
         """
         self._response.close()
         if self._connection.sock is not None:
-            self._pool.keep(self.endpoint, self._connection, keep_s)
+            self._pool.keep_idle(self.endpoint, self._connection, keep_s)
 
     def cancel(self) -> None:
         """Shut the connection down from another thread; a blocked read fails immediately."""
@@ -335,7 +335,7 @@
             socket_options=self._socket_options,
         )
 
-    def keep(self, endpoint: Endpoint, connection: HTTPConnection, keep_s: float) -> None:
+    def keep_idle(self, endpoint: Endpoint, connection: HTTPConnection, keep_s: float) -> None:
         """Keep an idle connection for the next request."""
         self._idle.put(endpoint, connection, keep_s)
 
