--- a/src/quaymill/connection/engine_report.py
+++ b/src/quaymill/connection/engine_report.py
@@ -15,7 +15,7 @@
         Number of requests in the batch, and in the queue behind it.
     kv_used_tokens, kv_total_tokens
         Cache memory that cannot be evicted, and all cache memory, in tokens.
-    born_ms
+    started_ms
         Start time of the engine in Unix milliseconds; 0 if unknown.
     """
 
--- a/src/quaymill/connection/idle_connections.py
+++ b/src/quaymill/connection/idle_connections.py
@@ -70,7 +70,7 @@
             self._close(idle.connection)
 
     def put(self, endpoint: Endpoint, connection: Connection, keep_s: float) -> None:
-        """Keep a connection, for at most ``keep_s`` seconds."""
+        """Keep a connection, for at most ``keep_alive_s`` seconds."""
         now = boot_clock.now()
         with self._lock:
             closing = self._remove_expired(now, keep_s)
--- a/src/quaymill/connection/object_store.py
+++ b/src/quaymill/connection/object_store.py
@@ -64,7 +64,7 @@
 
     Attributes
     ----------
-    unread
+    unreadable
         Objects that could not be decoded and are not in ``objects``.
     """
 
@@ -79,7 +79,7 @@
 
     Attributes
     ----------
-    unread
+    unreadable
         Changed objects that could not be decoded and are not in ``changes``.
     """
 
@@ -159,7 +159,7 @@
     def get(
         self, kind: ObjectKind, name: str, *, may_be_old: bool = False
     ) -> StoredObject | ObjectMissing | StoreFailure:
-        """Return one object; ``may_be_old`` allows a cheaper read that may be seconds old."""
+        """Return one object; ``allow_stale`` allows a cheaper read that may be seconds old."""
 
     def watch(
         self, kind: ObjectKind, revision: int, wait_s: float
--- a/src/quaymill/connection/replica_answer.py
+++ b/src/quaymill/connection/replica_answer.py
@@ -23,7 +23,7 @@
         Whether a different replica than the intended one answers at the address.
     length
         Size of the body in bytes; ``None`` if unknown.
-    keep_s
+    keep_alive_s
         How long the connection may stay idle afterwards; 0 if it must not be reused.
     """
 
--- a/src/quaymill/connection/replica_connection.py
+++ b/src/quaymill/connection/replica_connection.py
@@ -170,7 +170,7 @@
 
         Parameters
         ----------
-        keep_s
+        keep_alive_s
             How long the connection may stay idle; the replica may have announced it.
         """
         self._response.close()
@@ -254,7 +254,7 @@
 
         Parameters
         ----------
-        fresh
+        new_connection
             Use a new connection. Needed for requests that must not be repeated, since a replica
             may close an idle connection while the request is being sent.
         max_idle_s
--- a/src/quaymill/connection/replica_entry.py
+++ b/src/quaymill/connection/replica_entry.py
@@ -27,7 +27,7 @@
         Number of requests that the replica runs at once.
     cold_left_s
         Remaining time during which the replica is slow after its start.
-    born_ms
+    started_ms
         Start time in Unix milliseconds, by the replica's clock; 0 if unknown.
     """
 
