--- a/tests/test_engine_stream.py
+++ b/tests/test_engine_stream.py
@@ -1,4 +1,4 @@
-"""When the events of an engine count as one whole answer to this attempt."""
+"""Streams of an engine: only complete answers to the current attempt are accepted."""
 
 import unittest
 
@@ -21,7 +21,7 @@
 
 
 class FakeExchange:
-    """Hands out blocks as the network might cut them; then the proper end of the body."""
+    """Returns the given blocks, then the regular end of the body."""
 
     endpoint = Endpoint("127.0.0.1", 1)
 
@@ -43,7 +43,7 @@
 
 
 def read_all(blocks: list[bytes]) -> tuple[bytes, OutcomeUnknown | None, FakeExchange]:
-    """Read a stream; return what may be relayed, the failure, and the exchange."""
+    """Read a stream; return the events relayed, the failure if any, and the exchange."""
     exchange = FakeExchange(blocks)
     stream = EngineStream(exchange, ATTEMPT)
     relayed = b""
@@ -57,7 +57,7 @@
 
 
 class EngineStreamTest(unittest.TestCase):
-    """Whole events only, all of them this attempt's, and the terminator at the end."""
+    """Only complete events of this attempt are relayed, and the terminator must be last."""
 
     @params(
         ("event by event", [event("a"), event("b"), DONE]),
@@ -85,8 +85,12 @@
         ("end within an event", [event("a"), event("b")[:30]], event("a")),
         ("end within the terminator", [event("a"), DONE[:-2]], event("a")),
         ("event of another request", [event("a"), event("b", OTHER), DONE], event("a")),
-        ("another's among one's own", [event("a") + event("b", OTHER) + DONE], b""),
-        ("id that contains one's own", [event("a", "crossed-" + ATTEMPT), DONE], b""),
+        (
+            "another request's event among valid ones",
+            [event("a") + event("b", OTHER) + DONE],
+            b"",
+        ),
+        ("id that contains the attempt's id", [event("a", "crossed-" + ATTEMPT), DONE], b""),
         ("error event", [event("a"), b'data: {"error":{"message":"x"}}\n\n'], event("a")),
         ("preempted", [event("a"), event("", finish='"preempted"') + DONE], event("a")),
         ("nothing", [], b""),
--- a/tests/test_peer_link.py
+++ b/tests/test_peer_link.py
@@ -1,4 +1,4 @@
-"""Contract of the internal protocol: whole replies, and failures that tell what was sent."""
+"""Client of the internal protocol: replies are complete, failures show what may have been sent."""
 
 import socket
 import threading
@@ -24,7 +24,7 @@
 
 
 class Echo(PeerMessage, frozen=True):
-    """Ask for the same text."""
+    """Request the same text."""
 
     text: str
 
@@ -40,7 +40,7 @@
 
 
 class RecordingObserver:
-    """Notes what it hears of calls."""
+    """Records the calls that it is notified of."""
 
     def __init__(self) -> None:
         self.refused: set[Endpoint] = set()
--- a/tests/test_peer_server.py
+++ b/tests/test_peer_server.py
@@ -1,4 +1,4 @@
-"""A server of peers costs threads by the messages it answers, not by the peers that know it."""
+"""Server of the internal protocol: threads grow with the messages handled, not with the peers."""
 
 from __future__ import annotations
 
@@ -17,27 +17,26 @@
 LOOPBACK = Endpoint("127.0.0.1", 0)
 TIMEOUT_S = 10.0
 PEERS = 300
-"""About as many as the users' plan has nodes (330)."""
 
 
 class Ask(PeerMessage, frozen=True):
-    """Asks for its text."""
+    """Requests its own text."""
 
     text: str
 
 
 class Block(PeerMessage, frozen=True):
-    """Is answered once the test says so."""
+    """A message whose handler waits for ``go_on``."""
 
 
 class Told(PeerMessage, frozen=True):
-    """The answer to both."""
+    """Answer to ``Ask`` and ``Block``."""
 
     text: str
 
 
 class Odd(PeerMessage, frozen=True):
-    """Is answered with something that has no form on the wire."""
+    """A message whose reply cannot be encoded."""
 
 
 class PeerServerCase(unittest.TestCase):
@@ -76,10 +75,9 @@
 
 
 class ManyPeersTest(PeerServerCase):
-    """Three hundred peers keep a connection each."""
+    """Many peers with one connection each."""
 
     def test_peers_that_rest_cost_no_threads(self):
-        """A thread for each connection was 300 here, and 15,900 in a fleet of 195 nodes."""
         before = self.threads()
         connections = [self.connect() for _ in range(PEERS)]
         for index, connection in enumerate(connections):
@@ -108,7 +106,7 @@
 
 
 class LinesTest(PeerServerCase):
-    """Lines that come in pieces, several at once, too early or never."""
+    """Lines that arrive in pieces, together or incomplete, and replies that cannot be sent."""
 
     def test_line_that_comes_in_pieces_is_answered_once_it_is_whole(self):
         connection = self.connect()
--- a/tests/test_readable.py
+++ b/tests/test_readable.py
@@ -1,4 +1,4 @@
-"""Sockets whose descriptors are above what ``select.select`` takes."""
+"""Sockets whose descriptors are too high for ``select.select``."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class HighDescriptorTest(unittest.TestCase):
-    """As in a gateway with more than a thousand connections."""
+    """A descriptor above 1023, as in a gateway with more than a thousand connections."""
 
     def setUp(self) -> None:
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
--- a/tests/test_replica_connection.py
+++ b/tests/test_replica_connection.py
@@ -1,4 +1,4 @@
-"""Connections to replicas: time limits and notices."""
+"""Connections to replicas: read timeouts and preemption notices."""
 
 import socket
 import time
@@ -12,7 +12,7 @@
 
 
 class ReplicaConnectionTest(unittest.TestCase):
-    """A replica that accepts and never answers."""
+    """A replica that accepts a connection and never answers."""
 
     def test_head_is_awaited_no_longer_than_told(self) -> None:
         listener = socket.create_server(("127.0.0.1", 0))
@@ -26,7 +26,7 @@
 
 
 class NotifierTest(unittest.TestCase):
-    """Notices to the scheduler of a replica."""
+    """Preemption notices to the batch scheduler of a replica."""
 
     def test_each_request_is_counted_also_when_notices_go_together(self) -> None:
         rig = GatewayRig()
