--- a/tests/test_engine_stream.py
+++ b/tests/test_engine_stream.py
@@ -74,7 +74,7 @@
         ),
         ("with comments", [b": ping\n\n" + event("a"), b": ping\n\n", event("b") + DONE]),
     )
-    def test_whole_answer(self, _, blocks):
+    def test_complete_answer(self, _, blocks):
         relayed, failure, exchange = read_all(blocks)
         self.assertIsNone(failure)
         self.assertEqual(relayed, b"".join(blocks))
@@ -86,7 +86,7 @@
         ("end within the terminator", [event("a"), DONE[:-2]], event("a")),
         ("event of another request", [event("a"), event("b", OTHER), DONE], event("a")),
         (
-            "another request's event among valid ones",
+            "valid and invalid events",
             [event("a") + event("b", OTHER) + DONE],
             b"",
         ),
@@ -95,23 +95,23 @@
         ("preempted", [event("a"), event("", finish='"preempted"') + DONE], event("a")),
         ("nothing", [], b""),
     )
-    def test_broken_answer(self, _, blocks, may_be_relayed):
+    def test_invalid_answer(self, _, blocks, expected_events):
         relayed, failure, exchange = read_all(blocks)
         self.assertIsInstance(failure, OutcomeUnknown)
-        self.assertEqual(relayed, may_be_relayed)
+        self.assertEqual(relayed, expected_events)
         self.assertEqual(exchange.ended_by, "abandon")
 
-    def test_text_that_speaks_of_preemption_is_no_preemption(self):
+    def test_preempted_within_a_text_is_ignored(self):
         blocks = [event('the word \\"preempted\\" in a text'), DONE]
         self.assertIsNone(read_all(blocks)[1])
 
-    def test_endless_event(self):
+    def test_event_over_the_size_limit_is_refused(self):
         self.assertIsInstance(read_all([b"x" * 70_000] * 40)[1], OutcomeUnknown)
 
-    def test_token_ids(self):
+    def test_token_ids_of_all_events_in_order(self):
         self.assertEqual(token_ids(event("a", token=3) + event("b", token=5) + DONE), [3, 5])
 
-    def test_resumed_usage(self):
+    def test_usage_includes_tokens_before_resumption(self):
         usage = (
             b'data: {"id":"x","choices":[],"usage":{"completion_tokens":4,"total_tokens":9}}\n\n'
         )
--- a/tests/test_peer_link.py
+++ b/tests/test_peer_link.py
@@ -43,12 +43,12 @@
     """Records the calls that it is notified of."""
 
     def __init__(self) -> None:
-        self.refused: set[Endpoint] = set()
+        self.refused_endpoints: set[Endpoint] = set()
         self.calls: list[Endpoint] = []
         self.replies: dict[int, object] = {}
 
     def refuses(self, endpoint: Endpoint) -> bool:
-        return endpoint in self.refused
+        return endpoint in self.refused_endpoints
 
     def began(self, endpoint: Endpoint) -> int:
         self.calls.append(endpoint)
@@ -62,7 +62,7 @@
     """A server with an echo handler and one client."""
 
     def setUp(self):
-        self.release = threading.Event()
+        self.release_handler = threading.Event()
         self.link_filter = LinkFilter()
         self.client = PeerClient(self.link_filter)
         self.server = PeerServer(LOOPBACK)
@@ -70,11 +70,11 @@
         self.server.start()
         self.addCleanup(self.server.stop)
         self.addCleanup(self.client.close)
-        self.addCleanup(self.release.set)
+        self.addCleanup(self.release_handler.set)
 
     def _echo(self, message: Echo) -> Echoed:
         if message.text == "wait":
-            self.release.wait(TIMEOUT_S)
+            self.release_handler.wait(TIMEOUT_S)
         if message.text == "bug":
             raise RuntimeError("handler bug")
         return Echoed(message.text)
@@ -82,13 +82,13 @@
     def _call(self, text: str, timeout_s: float = TIMEOUT_S):
         return self.client.call(self.server.endpoint, Echo(text), Echoed, timeout_s)
 
-    def test_reply_is_whole(self):
+    def test_long_reply_is_complete(self):
         text = "x" * 1_000_000
         self.assertEqual(self._call(text), Echoed(text))
 
     def test_late_reply_never_answers_the_next_request(self):
         self.assertIsInstance(self._call("wait", SHORT_TIMEOUT_S), PeerNoReply)
-        self.release.set()
+        self.release_handler.set()
         for number in range(20):
             self.assertEqual(self._call(str(number)), Echoed(str(number)))
 
@@ -109,11 +109,11 @@
         for text, reply in results.items():
             self.assertEqual(reply, Echoed(text))
 
-    def test_failed_handler_promises_nothing(self):
+    def test_handler_error_gives_no_reply(self):
         self.assertIsInstance(self._call("bug"), PeerNoReply)
         self.assertEqual(self._call("next"), Echoed("next"))
 
-    def test_observer_hears_of_every_call_and_its_outcome(self):
+    def test_observer_is_notified_of_every_call_and_reply(self):
         observer = RecordingObserver()
         client = PeerClient(self.link_filter, observer)
         self.addCleanup(client.close)
@@ -124,9 +124,9 @@
         self.assertEqual(Echoed("a"), observer.replies[1])
         self.assertIsInstance(observer.replies[2], PeerNoReply)
 
-    def test_call_that_the_observer_refuses_is_not_sent(self):
+    def test_call_refused_by_the_observer_is_not_sent(self):
         observer = RecordingObserver()
-        observer.refused = {self.server.endpoint}
+        observer.refused_endpoints = {self.server.endpoint}
         client = PeerClient(self.link_filter, observer)
         with mock.patch.object(socket, "create_connection") as connect:
             reply = client.call(self.server.endpoint, Echo("a"), Echoed, TIMEOUT_S)
@@ -134,7 +134,7 @@
         connect.assert_not_called()
         self.assertEqual([], observer.calls)
 
-    def test_refusal_says_that_nothing_was_done(self):
+    def test_message_without_handler_is_refused(self):
         reply = self.client.call(self.server.endpoint, Unhandled(), Echoed, TIMEOUT_S)
         self.assertIsInstance(reply, PeerRefusal)
 
@@ -153,7 +153,7 @@
         self.server.start()
         self.assertEqual(self._call("second"), Echoed("second"))
 
-    def test_connection_with_a_reply_that_is_none_carries_no_other_request(self):
+    def test_connection_with_an_invalid_reply_is_not_reused(self):
         listener = socket.create_server(("127.0.0.1", 0))
         self.addCleanup(listener.close)
         endpoint = Endpoint("127.0.0.1", listener.getsockname()[1])
@@ -177,13 +177,13 @@
             self.assertIsInstance(reply, PeerNoReply)
             self.assertEqual(number, len(accepted))
 
-    def test_cut_link_is_unreachable_and_heals(self):
+    def test_blocked_link_is_unreachable_until_unblocked(self):
         self.link_filter.set_blocked(frozenset({self.server.endpoint}))
         self.assertIsInstance(self._call("a", SHORT_TIMEOUT_S), PeerUnreachable)
         self.link_filter.set_blocked(frozenset())
         self.assertEqual(self._call("a"), Echoed("a"))
 
-    def test_connection_to_a_peer_that_is_called_no_more_is_closed(self):
+    def test_idle_connection_to_an_unused_peer_is_closed(self):
         other = PeerServer(LOOPBACK)
         other.register(Echo, self._echo)
         other.start()
--- a/tests/test_peer_server.py
+++ b/tests/test_peer_server.py
@@ -19,23 +19,23 @@
 PEERS = 300
 
 
-class Ask(PeerMessage, frozen=True):
+class EchoRequest(PeerMessage, frozen=True):
     """Requests its own text."""
 
     text: str
 
 
-class Block(PeerMessage, frozen=True):
-    """A message whose handler waits for ``go_on``."""
+class BlockingRequest(PeerMessage, frozen=True):
+    """A message whose handler waits for ``release_handlers``."""
 
 
-class Told(PeerMessage, frozen=True):
-    """Answer to ``Ask`` and ``Block``."""
+class EchoReply(PeerMessage, frozen=True):
+    """Answer to ``EchoRequest`` and ``BlockingRequest``."""
 
     text: str
 
 
-class Odd(PeerMessage, frozen=True):
+class UnencodableRequest(PeerMessage, frozen=True):
     """A message whose reply cannot be encoded."""
 
 
@@ -43,18 +43,18 @@
     """One server, and connections to it."""
 
     def setUp(self):
-        self.go_on = threading.Event()
-        self.addCleanup(self.go_on.set)
+        self.release_handlers = threading.Event()
+        self.addCleanup(self.release_handlers.set)
         self.server = PeerServer(LOOPBACK)
-        self.server.register(Ask, lambda message: Told(message.text))
-        self.server.register(Block, self._block)
-        self.server.register(Odd, lambda message: object())
+        self.server.register(EchoRequest, lambda message: EchoReply(message.text))
+        self.server.register(BlockingRequest, self._block)
+        self.server.register(UnencodableRequest, lambda message: object())
         self.server.start()
         self.addCleanup(self.server.stop)
 
-    def _block(self, message: Block) -> Told:
-        self.go_on.wait(TIMEOUT_S)
-        return Told("late")
+    def _block(self, message: BlockingRequest) -> EchoReply:
+        self.release_handlers.wait(TIMEOUT_S)
+        return EchoReply("late")
 
     def connect(self) -> socket.socket:
         address = (self.server.endpoint.host, self.server.endpoint.port)
@@ -62,88 +62,90 @@
         self.addCleanup(connection.close)
         return connection
 
-    def ask(self, connection: socket.socket, text: str) -> str:
-        connection.sendall(msgspec.json.encode(Ask(text)) + b"\n")
-        return self.read(connection)
+    def request(self, connection: socket.socket, text: str) -> str:
+        connection.sendall(msgspec.json.encode(EchoRequest(text)) + b"\n")
+        return self.read_text(connection)
 
-    def read(self, connection: socket.socket) -> str:
+    def read_text(self, connection: socket.socket) -> str:
         with connection.makefile("rb") as lines:
-            return msgspec.json.decode(lines.readline(), type=Told).text
+            return msgspec.json.decode(lines.readline(), type=EchoReply).text
 
-    def threads(self) -> int:
+    def worker_threads(self) -> int:
         return sum(thread.name == "peer" for thread in threading.enumerate())
 
 
 class ManyPeersTest(PeerServerCase):
     """Many peers with one connection each."""
 
-    def test_peers_that_rest_cost_no_threads(self):
-        before = self.threads()
+    def test_idle_peers_need_no_threads(self):
+        before = self.worker_threads()
         connections = [self.connect() for _ in range(PEERS)]
         for index, connection in enumerate(connections):
-            self.assertEqual(self.ask(connection, f"first {index}"), f"first {index}")
+            self.assertEqual(self.request(connection, f"first {index}"), f"first {index}")
         for index, connection in enumerate(reversed(connections)):
-            self.assertEqual(self.ask(connection, f"second {index}"), f"second {index}")
-        self.assertLessEqual(self.threads() - before, MIN_IDLE_WORKERS + 1)
+            self.assertEqual(self.request(connection, f"second {index}"), f"second {index}")
+        self.assertLessEqual(self.worker_threads() - before, MIN_IDLE_WORKERS + 1)
 
-    def test_messages_that_wait_hold_nobody_else_up(self):
+    def test_blocked_handlers_do_not_delay_other_messages(self):
         blocked = [self.connect() for _ in range(20)]
         for connection in blocked:
-            connection.sendall(msgspec.json.encode(Block()) + b"\n")
-        self.assertEqual(self.ask(self.connect(), "quick"), "quick")
-        self.go_on.set()
-        self.assertEqual([self.read(connection) for connection in blocked], ["late"] * 20)
+            connection.sendall(msgspec.json.encode(BlockingRequest()) + b"\n")
+        self.assertEqual(self.request(self.connect(), "quick"), "quick")
+        self.release_handlers.set()
+        self.assertEqual([self.read_text(connection) for connection in blocked], ["late"] * 20)
 
-    def test_threads_that_are_not_needed_any_more_end(self):
+    def test_unneeded_threads_end(self):
         with mock.patch("quaymill.connection.peer_server.POLL_TIMEOUT_S", 0.05):
-            before = self.threads()
+            before = self.worker_threads()
             blocked = [self.connect() for _ in range(20)]
             for connection in blocked:
-                connection.sendall(msgspec.json.encode(Block()) + b"\n")
-            eventually(lambda: self.threads() - before >= 20, TIMEOUT_S)
-            self.go_on.set()
-            eventually(lambda: self.threads() <= before + MIN_IDLE_WORKERS, 2 * TIMEOUT_S)
+                connection.sendall(msgspec.json.encode(BlockingRequest()) + b"\n")
+            eventually(lambda: self.worker_threads() - before >= 20, TIMEOUT_S)
+            self.release_handlers.set()
+            eventually(lambda: self.worker_threads() <= before + MIN_IDLE_WORKERS, 2 * TIMEOUT_S)
 
 
 class LinesTest(PeerServerCase):
     """Lines that arrive in pieces, together or incomplete, and replies that cannot be sent."""
 
-    def test_line_that_comes_in_pieces_is_answered_once_it_is_whole(self):
+    def test_line_in_pieces_is_answered_when_complete(self):
         connection = self.connect()
-        line = msgspec.json.encode(Ask("in pieces")) + b"\n"
+        line = msgspec.json.encode(EchoRequest("in pieces")) + b"\n"
         for begin in range(0, len(line), 5):
             connection.sendall(line[begin : begin + 5])
-            self.assertEqual(self.ask(self.connect(), "another"), "another")
-        self.assertEqual(self.read(connection), "in pieces")
+            self.assertEqual(self.request(self.connect(), "another"), "another")
+        self.assertEqual(self.read_text(connection), "in pieces")
 
-    def test_long_lines_go_both_ways(self):
+    def test_long_lines_in_both_directions(self):
         text = "x" * 3_000_000
-        self.assertEqual(self.ask(self.connect(), text), text)
+        self.assertEqual(self.request(self.connect(), text), text)
 
-    def test_lines_that_come_together_are_answered_in_their_order(self):
+    def test_lines_received_together_are_answered_in_order(self):
         connection = self.connect()
-        connection.sendall(b"".join(msgspec.json.encode(Ask(text)) + b"\n" for text in "abc"))
+        connection.sendall(
+            b"".join(msgspec.json.encode(EchoRequest(text)) + b"\n" for text in "abc")
+        )
         with connection.makefile("rb") as lines:
-            answers = [msgspec.json.decode(lines.readline(), type=Told).text for _ in "abc"]
+            answers = [msgspec.json.decode(lines.readline(), type=EchoReply).text for _ in "abc"]
         self.assertEqual(answers, ["a", "b", "c"])
 
-    def test_peer_that_goes_away_midway_is_forgotten(self):
+    def test_connection_closed_within_a_line_is_removed(self):
         connection = self.connect()
         connection.sendall(b'{"kind":')
         eventually(lambda: len(self.server._connections) == 1, TIMEOUT_S)
         connection.close()
         eventually(lambda: not self.server._connections, TIMEOUT_S)
 
-    def test_replies_that_cannot_be_sent_end_their_connections_only(self):
+    def test_unencodable_reply_closes_only_its_connection(self):
         for _ in range(MIN_IDLE_WORKERS + 2):
             connection = self.connect()
-            connection.sendall(msgspec.json.encode(Odd()) + b"\n")
+            connection.sendall(msgspec.json.encode(UnencodableRequest()) + b"\n")
             self.assertEqual(connection.recv(1), b"")
-        self.assertEqual(self.ask(self.connect(), "still served"), "still served")
+        self.assertEqual(self.request(self.connect(), "still served"), "still served")
 
-    def test_stop_closes_connections_that_rest(self):
+    def test_stop_closes_idle_connections(self):
         connection = self.connect()
-        self.ask(connection, "once")
+        self.request(connection, "once")
         self.server.stop()
         self.assertEqual(connection.recv(1), b"")
 
--- a/tests/test_readable.py
+++ b/tests/test_readable.py
@@ -21,28 +21,28 @@
         if soft != resource.RLIM_INFINITY and soft <= HIGH_DESCRIPTOR:
             resource.setrlimit(resource.RLIMIT_NOFILE, (HIGH_DESCRIPTOR + 64, hard))
             self.addCleanup(resource.setrlimit, resource.RLIMIT_NOFILE, (soft, hard))
-        low, self.other = socket.socketpair()
-        self.addCleanup(self.other.close)
+        low, self.peer_socket = socket.socketpair()
+        self.addCleanup(self.peer_socket.close)
         with low:
             descriptor = fcntl.fcntl(low.fileno(), fcntl.F_DUPFD, HIGH_DESCRIPTOR)
         self.connection = socket.socket(fileno=descriptor)
         self.addCleanup(self.connection.close)
 
-    def test_waits_for_what_comes(self) -> None:
+    def test_waits_for_data(self) -> None:
         self.assertFalse(is_readable(self.connection, 0.01))
-        self.other.sendall(b"x")
+        self.peer_socket.sendall(b"x")
         self.assertTrue(is_readable(self.connection, 1.0))
 
-    def test_end_counts_as_readable(self) -> None:
-        self.other.close()
+    def test_end_of_stream_is_readable(self) -> None:
+        self.peer_socket.close()
         self.assertTrue(is_readable(self.connection, 1.0))
 
-    def test_closed_here_counts_as_readable(self) -> None:
+    def test_closed_socket_is_readable(self) -> None:
         self.connection.close()
         self.assertTrue(is_readable(self.connection, 0.0))
 
     def test_exchange_waits_on_a_high_descriptor(self) -> None:
         exchange = Exchange.__new__(Exchange)
         exchange._socket = self.connection
-        self.other.sendall(b"HTTP/1.1 200 OK")
+        self.peer_socket.sendall(b"HTTP/1.1 200 OK")
         self.assertTrue(exchange.wait_readable(1.0))
--- a/tests/test_replica_connection.py
+++ b/tests/test_replica_connection.py
@@ -14,7 +14,7 @@
 class ReplicaConnectionTest(unittest.TestCase):
     """A replica that accepts a connection and never answers."""
 
-    def test_head_is_awaited_no_longer_than_told(self) -> None:
+    def test_read_head_times_out(self) -> None:
         listener = socket.create_server(("127.0.0.1", 0))
         self.addCleanup(listener.close)
         connections = ReplicaConnections(LinkFilter())
@@ -28,7 +28,7 @@
 class NotifierTest(unittest.TestCase):
     """Preemption notices to the batch scheduler of a replica."""
 
-    def test_each_request_is_counted_also_when_notices_go_together(self) -> None:
+    def test_batched_notices_count_every_request(self) -> None:
         rig = GatewayRig()
         rig.add_engine()
         rig.start()
