--- a/src/quaymill/connection/peer_link.py
+++ b/src/quaymill/connection/peer_link.py
@@ -148,7 +148,7 @@
         deadline = boot_clock.now() + timeout_s
         if self._link_filter.blocks(endpoint):
             time.sleep(min(timeout_s, CONNECT_TIMEOUT_S))
-            return PeerUnreachable(endpoint, "the link is cut by the fault switch")
+            return PeerUnreachable(endpoint, "blocked by the link filter")
         received = self._exchange(endpoint, message, timeout_s, deadline)
         if not isinstance(received, _Received):
             return received
@@ -203,7 +203,7 @@
             return PeerNoReply(endpoint, f"no reply within {waited_s:.2f} s: {error}")
         if self._link_filter.blocks(endpoint):
             connection.close()
-            return PeerNoReply(endpoint, "the link was cut before the reply arrived")
+            return PeerNoReply(endpoint, "the link was blocked before the reply arrived")
         return _Received(connection, reply)
 
     def _connect(self, endpoint: Endpoint, timeout_s: float) -> socket.socket:
--- a/src/quaymill/connection/peer_server.py
+++ b/src/quaymill/connection/peer_server.py
@@ -34,10 +34,10 @@
 SERVED_CONNECTION_LIFETIME_S = 2 * IDLE_CONNECTION_LIFETIME_S
 """Idle time after which a connection is closed; the peer has stopped using it before that."""
 SEND_TIMEOUT_S = 10.0
-"""Longest wait for a peer to accept more of its reply. No call waits longer for one."""
+"""Maximum time for sending a reply; a peer that does not accept it in time is disconnected."""
 READ_BLOCK_BYTES = 256 * 1024
 MIN_IDLE_WORKERS = 2
-"""Idle threads that are kept."""
+"""Number of idle threads that do not end."""
 MAX_WORKERS = 128
 """Maximum number of messages handled at once. Handlers may wait for other peers for seconds.
 Further messages stay unread in their connections, and their senders may time out."""
--- a/src/quaymill/connection/platform_client.py
+++ b/src/quaymill/connection/platform_client.py
@@ -192,7 +192,7 @@
         longer than that ends with ``WatchEnded.silent`` set; the caller must then list again.
         """
         if self._link_filter.blocks(self.endpoint):
-            yield WatchEnded("the link to the platform is cut by the fault switch", silent=True)
+            yield WatchEnded("blocked by the link filter", silent=True)
             return
         try:
             response = self._pool.request(
@@ -226,7 +226,7 @@
         try:
             for line in _lines(response):
                 if self._link_filter.blocks(self.endpoint):
-                    yield WatchEnded("the link to the platform was cut", silent=True)
+                    yield WatchEnded("the link to the platform was blocked", silent=True)
                     return
                 event = _watch_event(msgspec.json.decode(line, type=_WatchLine))
                 yield event
@@ -247,7 +247,7 @@
     ) -> _Answer | PlatformUnavailable:
         if self._link_filter.blocks(self.endpoint):
             time.sleep(min(timeout_s, CONNECT_TIMEOUT_S))
-            return PlatformUnavailable("the link is cut by the fault switch", may_have_acted=False)
+            return PlatformUnavailable("blocked by the link filter", may_have_acted=False)
         try:
             response = self._pool.request(
                 method,
--- a/src/quaymill/connection/replica_connection.py
+++ b/src/quaymill/connection/replica_connection.py
@@ -1,6 +1,6 @@
 """HTTP connections to replicas, each of which carries one request at a time.
 
-``NotRun`` is returned only if no byte of the request was sent: the link is cut, or the
+``NotRun`` is returned only if no byte of the request was sent: the link is blocked, or the
 connection could not be opened. Once a byte may have been sent, the failure is
 ``OutcomeUnknown``. A connection that is abandoned in the middle of an answer is closed and never
 reused, so a late answer cannot reach another request.
@@ -140,7 +140,7 @@
         """Read the next available part of the body; empty at its regular end."""
         if self._pool.link_filter.blocks(self.endpoint):
             self.abandon()
-            return self._no_answer("the link was cut")
+            return self._no_answer("the link was blocked")
         try:
             return self._response.read1(READ_BLOCK_BYTES, decode_content=False)
         except _READ_ERRORS as error:
@@ -268,7 +268,7 @@
         """
         if self.link_filter.blocks(endpoint):
             time.sleep(CONNECT_TIMEOUT_S)
-            return _unreachable(endpoint, "the link is cut by the fault switch")
+            return _unreachable(endpoint, "blocked by the link filter")
         connection = None if fresh else self._idle.take(endpoint, max_idle_s)
         reused = connection is not None
         if connection is None:
