--- a/src/quaymill/connection/limit_messages.py
+++ b/src/quaymill/connection/limit_messages.py
@@ -17,7 +17,7 @@
     Attributes
     ----------
     granter
-        Name of the process that granted it.
+        Name of the process that granted them.
     by_age
         Number of requests in each part of the window, newest first.
     """
