--- a/tests/test_replica_connection.py
+++ b/tests/test_replica_connection.py
@@ -1,4 +1,4 @@
-"""Connections to replicas: time limits and notices."""
+"""Connections to replicas: read timeouts and preemption notices."""
 
 import socket
 import time
@@ -12,9 +12,9 @@
 
 
 class ReplicaConnectionTest(unittest.TestCase):
-    """A replica that accepts and never answers."""
+    """A replica that accepts a connection and never answers."""
 
-    def test_head_is_awaited_no_longer_than_told(self) -> None:
+    def test_read_head_times_out(self) -> None:
         listener = socket.create_server(("127.0.0.1", 0))
         self.addCleanup(listener.close)
         connections = ReplicaConnections(LinkFilter())
@@ -26,9 +26,9 @@
 
 
 class NotifierTest(unittest.TestCase):
-    """Notices to the scheduler of a replica."""
+    """Preemption notices to the batch scheduler of a replica."""
 
-    def test_each_request_is_counted_also_when_notices_go_together(self) -> None:
+    def test_batched_notices_count_every_request(self) -> None:
         rig = GatewayRig()
         rig.add_engine()
         rig.start()
