--- a/src/quaymill/connection/application_client.py
+++ b/src/quaymill/connection/application_client.py
@@ -57,7 +57,7 @@
         """
         headers = {**request.headers, "X-Request-Id": attempt_id}
         request = msgspec.structs.replace(request, headers=headers)
-        exchange = self._connections.send(endpoint, request, fresh=not repeatable)
+        exchange = self._connections.send(endpoint, request, new_connection=not repeatable)
         if not isinstance(exchange, Exchange):
             return exchange
         failure = wait(exchange) or exchange.read_head(HEAD_TIMEOUT_S)
--- a/src/quaymill/connection/control_messages.py
+++ b/src/quaymill/connection/control_messages.py
@@ -34,7 +34,7 @@
     slots: int
     draining: bool
     cold_left_s: float
-    born_ms: int = 0
+    started_ms: int = msgspec.field(default=0, name="born_ms")
 
 
 class ControlState(PeerMessage, frozen=True):
--- a/src/quaymill/connection/engine_report.py
+++ b/src/quaymill/connection/engine_report.py
@@ -23,4 +23,4 @@
     waiting: int
     kv_used_tokens: int = 0
     kv_total_tokens: int = 0
-    born_ms: int = 0
+    started_ms: int = 0
--- a/src/quaymill/connection/idle_connections.py
+++ b/src/quaymill/connection/idle_connections.py
@@ -23,10 +23,10 @@
 class _IdleConnection(Generic[Connection]):
     connection: Connection
     idle_since: float
-    keep_s: float
+    keep_alive_s: float
 
     def is_expired(self, now: float) -> bool:
-        return now - self.idle_since > self.keep_s
+        return now - self.idle_since > self.keep_alive_s
 
 
 class IdleConnections(Generic[Connection]):
@@ -69,14 +69,14 @@
                 return idle.connection
             self._close(idle.connection)
 
-    def put(self, endpoint: Endpoint, connection: Connection, keep_s: float) -> None:
+    def put(self, endpoint: Endpoint, connection: Connection, keep_alive_s: float) -> None:
         """Keep a connection, for at most ``keep_alive_s`` seconds."""
         now = boot_clock.now()
         with self._lock:
-            closing = self._remove_expired(now, keep_s)
+            closing = self._remove_expired(now, keep_alive_s)
             connections = self._by_endpoint.setdefault(endpoint, [])
             if len(connections) < self._max_per_endpoint:
-                connections.append(_IdleConnection(connection, now, keep_s))
+                connections.append(_IdleConnection(connection, now, keep_alive_s))
             else:
                 closing.append(connection)
         for closed in closing:
--- a/src/quaymill/connection/job_storage_messages.py
+++ b/src/quaymill/connection/job_storage_messages.py
@@ -205,7 +205,7 @@
     successor: str
 
 
-class KnownOrder(msgspec.Struct, frozen=True, array_like=True):
+class ListedItems(msgspec.Struct, frozen=True, array_like=True):
     """The items of a job that are in the listing, as far as its coordinator knows.
 
     Attributes
@@ -242,7 +242,7 @@
     complete_jobs: tuple[str, ...] = ()
     released_jobs: tuple[str, ...] = ()
     handed_over_jobs: tuple[HandedOverJob, ...] = ()
-    orders: tuple[KnownOrder, ...] = ()
+    orders: tuple[ListedItems, ...] = ()
 
 
 class JobsRenewed(PeerMessage, frozen=True):
--- a/src/quaymill/connection/object_store.py
+++ b/src/quaymill/connection/object_store.py
@@ -37,7 +37,7 @@
 
 
 @attrs.frozen
-class UnreadObject:
+class UnreadableObject:
     """An object that cannot be decoded.
 
     Attributes
@@ -70,7 +70,7 @@
 
     objects: tuple[StoredObject, ...]
     revision: int
-    unread: tuple[UnreadObject, ...] = ()
+    unreadable: tuple[UnreadableObject, ...] = ()
 
 
 @attrs.frozen
@@ -85,7 +85,7 @@
 
     changes: tuple[ObjectChange, ...]
     revision: int
-    unread: tuple[UnreadObject, ...] = ()
+    unreadable: tuple[UnreadableObject, ...] = ()
 
 
 @attrs.frozen
@@ -140,7 +140,7 @@
 WriteResult = StoredObject | RevisionConflict | ObjectMissing | StoreRefused | StoreUnanswered
 
 
-def store_is_away(result: object) -> bool:
+def is_store_unavailable(result: object) -> bool:
     """Return whether a call failed because the store is unavailable, so that a retry may succeed.
 
     A rejected call or an object that cannot be decoded fails at every gateway.
@@ -157,7 +157,7 @@
         """Return all objects of a kind."""
 
     def get(
-        self, kind: ObjectKind, name: str, *, may_be_old: bool = False
+        self, kind: ObjectKind, name: str, *, allow_stale: bool = False
     ) -> StoredObject | ObjectMissing | StoreFailure:
         """Return one object; ``allow_stale`` allows a cheaper read that may be seconds old."""
 
--- a/src/quaymill/connection/replica_answer.py
+++ b/src/quaymill/connection/replica_answer.py
@@ -35,4 +35,4 @@
     misdirected: bool = False
     load: ReportedLoad | None = None
     length: int | None = None
-    keep_s: float = 0.0
+    keep_alive_s: float = 0.0
--- a/src/quaymill/connection/replica_connection.py
+++ b/src/quaymill/connection/replica_connection.py
@@ -99,7 +99,7 @@
         """File descriptor of the connection; negative once it is closed."""
         return self._socket.fileno()
 
-    def has_arrived(self) -> bool:
+    def is_read_ready(self) -> bool:
         """Return whether a read of the body returns at once, with data, its end or an error.
 
         This leaves the socket non-blocking: call ``set_read_timeout`` before the next read.
@@ -123,7 +123,7 @@
         try:
             self._response = self._connection.getresponse()
         except TimeoutError as error:
-            self.give_up()
+            self.abandon_unresponsive()
             return self._no_answer(error)
         except _READ_ERRORS as error:
             self.abandon()
@@ -165,7 +165,7 @@
                 self.abandon()
                 return self._no_answer(f"the answer exceeds the limit of {limit_bytes} bytes")
 
-    def release(self, keep_s: float = IDLE_CONNECTION_LIFETIME_S) -> None:
+    def release(self, keep_alive_s: float = IDLE_CONNECTION_LIFETIME_S) -> None:
         """Make the connection available for other requests, after the whole body has been read.
 
         Parameters
@@ -175,7 +175,7 @@
         """
         self._response.close()
         if self._connection.sock is not None:
-            self._pool.keep_idle(self.endpoint, self._connection, keep_s)
+            self._pool.keep_idle(self.endpoint, self._connection, keep_alive_s)
 
     def cancel(self) -> None:
         """Shut the connection down from another thread; a blocked read fails immediately."""
@@ -193,7 +193,7 @@
         with contextlib.suppress(OSError):
             self._socket.close()
 
-    def give_up(self) -> None:
+    def abandon_unresponsive(self) -> None:
         """Close the connection after a timeout.
 
         If the connection was reused, the replica may be healthy and only its existing connections
@@ -202,7 +202,7 @@
         """
         self.abandon()
         if self.reused:
-            self._pool.forget(self.endpoint)
+            self._pool.drop_idle(self.endpoint)
 
     def _no_answer(self, error: object, *, connection_closed: bool = False) -> OutcomeUnknown:
         return OutcomeUnknown(
@@ -231,7 +231,7 @@
         socket_options: tuple[tuple[int, int, int], ...] = (),
     ) -> None:
         self.link_filter = link_filter
-        self.opened = 0
+        self.opened_count = 0
         self._connect_timeout_s = connect_timeout_s
         self._socket_options = [*HTTPConnection.default_socket_options, *socket_options]
         # ``is_connected`` is false if the replica has closed the connection.
@@ -246,7 +246,7 @@
         endpoint: Endpoint,
         request: ReplicaRequest,
         *,
-        fresh: bool = False,
+        new_connection: bool = False,
         max_idle_s: float = IDLE_CONNECTION_LIFETIME_S,
         send_timeout_s: float = SEND_TIMEOUT_S,
     ) -> Exchange | NotRun | OutcomeUnknown:
@@ -269,7 +269,7 @@
         if self.link_filter.blocks(endpoint):
             time.sleep(CONNECT_TIMEOUT_S)
             return _unreachable(endpoint, "blocked by the link filter")
-        connection = None if fresh else self._idle.take(endpoint, max_idle_s)
+        connection = None if new_connection else self._idle.take(endpoint, max_idle_s)
         reused = connection is not None
         if connection is None:
             connection = self._new_connection(endpoint)
@@ -278,7 +278,7 @@
             except (HTTPError, OSError) as error:
                 connection.close()
                 return _unreachable(endpoint, str(error))
-            self.opened += 1
+            self.opened_count += 1
         connection.timeout = send_timeout_s
         connection.sock.settimeout(send_timeout_s)
         exchange = Exchange(self, endpoint, connection, reused)
@@ -300,7 +300,7 @@
             )
         return exchange
 
-    def takes_connection(self, endpoint: Endpoint) -> bool:
+    def accepts_connections(self, endpoint: Endpoint) -> bool:
         """Return whether an endpoint may be in service, judged by opening a connection.
 
         A timeout counts as in service, since it may be due to a lost packet.
@@ -315,7 +315,7 @@
         with contextlib.closing(probe):
             return not is_readable(probe, PROBE_CLOSE_TIMEOUT_S)
 
-    def is_reached(self, endpoint: Endpoint) -> bool:
+    def responds(self, endpoint: Endpoint) -> bool:
         """Return whether an endpoint responds, even if it refuses the connection."""
         try:
             socket.create_connection(
@@ -335,11 +335,13 @@
             socket_options=self._socket_options,
         )
 
-    def keep_idle(self, endpoint: Endpoint, connection: HTTPConnection, keep_s: float) -> None:
+    def keep_idle(
+        self, endpoint: Endpoint, connection: HTTPConnection, keep_alive_s: float
+    ) -> None:
         """Keep an idle connection for the next request."""
-        self._idle.put(endpoint, connection, keep_s)
+        self._idle.put(endpoint, connection, keep_alive_s)
 
-    def forget(self, endpoint: Endpoint) -> None:
+    def drop_idle(self, endpoint: Endpoint) -> None:
         """Close the idle connections to an endpoint that has stopped or no longer responds."""
         self._idle.drop(endpoint)
 
--- a/src/quaymill/connection/replica_entry.py
+++ b/src/quaymill/connection/replica_entry.py
@@ -38,12 +38,12 @@
     slots: int
     draining: bool = False
     cold_left_s: float = attrs.field(default=0.0, eq=False)
-    born_ms: int = 0
+    started_ms: int = 0
 
     @property
     def incarnation(self) -> str:
         """Id of this run of the replica."""
-        return f"{self.id}@{self.born_ms}" if self.born_ms else self.id
+        return f"{self.id}@{self.started_ms}" if self.started_ms else self.id
 
 
 @attrs.frozen
--- a/src/quaymill/platform/configuration.py
+++ b/src/quaymill/platform/configuration.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from quaymill.connection.endpoint import Endpoint
-from quaymill.connection.object_store import StoredObject, UnreadObject
+from quaymill.connection.object_store import StoredObject, UnreadableObject
 from quaymill.connection.replica_entry import ReplicaEntry
 from quaymill.platform.names import REPLICA_DRAINING, ROUTE_KINDS
 from quaymill.version.request_routes import (
@@ -99,7 +99,7 @@
     born: Annotated[int, msgspec.Meta(ge=0)] = 0
 
 
-def decode_configuration(spec: Any) -> RequestRoutes | UnreadObject:
+def decode_configuration(spec: Any) -> RequestRoutes | UnreadableObject:
     """Return the configuration in an object's ``spec``."""
     try:
         document = msgspec.convert(spec, _Configuration)
@@ -111,16 +111,16 @@
             tenants=_tenants(document.tenants),
         )
     except (msgspec.ValidationError, KeyError, OverflowError) as error:
-        return UnreadObject("configuration", str(error))
+        return UnreadableObject("configuration", str(error))
 
 
-def decode_replica(stored: StoredObject) -> ReplicaEntry | UnreadObject:
+def decode_replica(stored: StoredObject) -> ReplicaEntry | UnreadableObject:
     """Return what a replica says of itself in its entry."""
     try:
         server = msgspec.convert(stored.spec, _Server)
         address = Endpoint.parse_address(server.address)
     except (msgspec.ValidationError, ValueError) as error:
-        return UnreadObject(stored.name, str(error))
+        return UnreadableObject(stored.name, str(error))
     return ReplicaEntry(
         id=stored.name,
         service=server.service,
@@ -129,7 +129,7 @@
         slots=server.slots,
         draining=server.state == REPLICA_DRAINING,
         cold_left_s=server.cold_left_ms / MS_PER_S,
-        born_ms=server.born,
+        started_ms=server.born,
     )
 
 
--- a/src/quaymill/platform/object_store.py
+++ b/src/quaymill/platform/object_store.py
@@ -26,7 +26,7 @@
     StoreFailure,
     StoreRefused,
     StoreUnanswered,
-    UnreadObject,
+    UnreadableObject,
     WriteResult,
 )
 from quaymill.connection.replica_connection import Exchange, ReplicaConnections, ReplicaRequest
@@ -77,14 +77,14 @@
         self._address = address
         self._connections = ReplicaConnections(LinkFilter(), CONNECT_TIMEOUT_S, SOCKET_OPTIONS)
         self.calls = 0
-        self.unread = 0
+        self.unreadable = 0
         """Objects that were left out, each of them once in a row."""
-        self._told_unread: dict[ObjectKind, frozenset[UnreadObject]] = {}
+        self._told_unread: dict[ObjectKind, frozenset[UnreadableObject]] = {}
 
     def list(self, kind: ObjectKind) -> Listing | StoreFailure:
         """Return all objects of a kind, page after page."""
         objects: list[StoredObject] = []
-        unread: list[UnreadObject] = []
+        unreadable: list[UnreadableObject] = []
         revision: int | None = None
         after = ""
         while True:
@@ -96,20 +96,20 @@
             if isinstance(page, NotAPage):
                 return StoreUnanswered(f"the store's list was not understood: {page.reason}")
             objects += page.objects
-            unread += page.unread
+            unreadable += page.unreadable
             # Later pages may show later states; a watch from the first page's revision
             # repeats what happened since, and loses nothing.
             revision = page.revision if revision is None else min(revision, page.revision)
             if not page.more or page.last_name in ("", after):
-                self._tell_unread(kind, unread)
-                return Listing(tuple(objects), revision, tuple(unread))
+                self._tell_unread(kind, unreadable)
+                return Listing(tuple(objects), revision, tuple(unreadable))
             after = page.last_name
 
     def get(
-        self, kind: ObjectKind, name: str, *, may_be_old: bool = False
+        self, kind: ObjectKind, name: str, *, allow_stale: bool = False
     ) -> StoredObject | ObjectMissing | StoreFailure:
         """Return one object; with ``may_be_old`` as it was some seconds ago, at a lower price."""
-        answer = self._read(_path(kind, name, query=OLD_READ if may_be_old else None))
+        answer = self._read(_path(kind, name, query=OLD_READ if allow_stale else None))
         if isinstance(answer, StoreRefused | StoreUnanswered):
             return answer
         if answer.status == 404:
@@ -133,8 +133,8 @@
         page = read_watch_page(answer.body)
         if isinstance(page, NotAPage):
             return StoreUnanswered(f"the store's events were not understood: {page.reason}")
-        self._tell_unread(kind, page.unread)
-        return Changes(page.changes, page.revision, page.unread)
+        self._tell_unread(kind, page.unreadable)
+        return Changes(page.changes, page.revision, page.unreadable)
 
     def create(self, kind: ObjectKind, name: str, spec: Any) -> WriteResult:
         """Make an object; a conflict if it exists."""
@@ -160,11 +160,11 @@
         """Close idle connections."""
         self._connections.close()
 
-    def _tell_unread(self, kind: ObjectKind, unread: Iterable[UnreadObject]) -> None:
+    def _tell_unread(self, kind: ObjectKind, unreadable: Iterable[UnreadableObject]) -> None:
         """Write a line for each object left out, unless it was left out the last time as well."""
-        found = frozenset(unread)
+        found = frozenset(unreadable)
         for one in found - self._told_unread.get(kind, frozenset()):
-            self.unread += 1
+            self.unreadable += 1
             log_message("store:unread", object_kind=kind.name, name=one.name, reason=one.reason)
         self._told_unread[kind] = found
 
@@ -175,7 +175,7 @@
         answer, reused = self._call(request, timeout_s)
         if isinstance(answer, StoreUnanswered) and reused:
             # The store had closed the idle connection; a read may be repeated.
-            answer, _ = self._call(request, timeout_s, fresh=True)
+            answer, _ = self._call(request, timeout_s, new_connection=True)
         return answer
 
     def _write(self, method: str, path: str, document: Any) -> WriteResult:
@@ -190,13 +190,13 @@
         return RevisionConflict(written) if answer.status == 409 else _written_or_failure(written)
 
     def _call(
-        self, request: ReplicaRequest, timeout_s: float, *, fresh: bool = False
+        self, request: ReplicaRequest, timeout_s: float, *, new_connection: bool = False
     ) -> tuple[_Answer | StoreRefused | StoreUnanswered, bool]:
         """Make one call; the second value tells whether it went out on a kept connection."""
         self.calls += 1
         deadline = boot_clock.now() + timeout_s
         exchange = self._connections.send(
-            self._address, request, fresh=fresh, max_idle_s=MAX_IDLE_S
+            self._address, request, new_connection=new_connection, max_idle_s=MAX_IDLE_S
         )
         if isinstance(exchange, NotRun):
             return StoreRefused(exchange.reason), False
--- a/src/quaymill/platform/replica_calls.py
+++ b/src/quaymill/platform/replica_calls.py
@@ -92,7 +92,7 @@
         misdirected=status == MISDIRECTED_STATUS,
         load=read_load(headers.get(names.LOAD, "")),
         length=int(length) if length is not None and length.isdigit() else None,
-        keep_s=_keep_s(headers),
+        keep_alive_s=_keep_alive_s(headers),
     )
 
 
@@ -128,7 +128,7 @@
     return frozenset(token.strip().lower() for value in named for token in value.split(","))
 
 
-def _keep_s(headers: HTTPHeaderDict) -> float:
+def _keep_alive_s(headers: HTTPHeaderDict) -> float:
     if "close" in headers.get("Connection", "").lower():
         return 0.0
     for parameter in headers.get("Keep-Alive", "").split(","):
--- a/src/quaymill/platform/store_pages.py
+++ b/src/quaymill/platform/store_pages.py
@@ -17,7 +17,7 @@
 import attrs
 import msgspec
 
-from quaymill.connection.object_store import ObjectChange, StoredObject, UnreadObject
+from quaymill.connection.object_store import ObjectChange, StoredObject, UnreadableObject
 
 _TOKEN = re.compile(rb'"(?:[^"\\]|\\.)*"|[{}\[\]]', re.DOTALL)
 """A string, or a bracket: what decides where an entry ends."""
@@ -71,7 +71,7 @@
     """
 
     objects: tuple[StoredObject, ...]
-    unread: tuple[UnreadObject, ...]
+    unreadable: tuple[UnreadableObject, ...]
     more: bool
     revision: int
     last_name: str
@@ -82,7 +82,7 @@
     """What a watch brought."""
 
     changes: tuple[ObjectChange, ...]
-    unread: tuple[UnreadObject, ...]
+    unreadable: tuple[UnreadableObject, ...]
     revision: int
 
 
@@ -108,16 +108,16 @@
     if isinstance(cut, NotAPage):
         return cut
     by_name: dict[str, StoredObject] = {}
-    unread = []
+    unreadable = []
     last_name = ""
     for entry in cut.entries:
         found = read_object(entry)
         last_name = found.name or last_name
-        if isinstance(found, UnreadObject):
-            unread.append(found)
+        if isinstance(found, UnreadableObject):
+            unreadable.append(found)
         elif found.name not in by_name or by_name[found.name].revision <= found.revision:
             by_name[found.name] = found
-    return ListPage(tuple(by_name.values()), tuple(unread), cut.more, cut.revision, last_name)
+    return ListPage(tuple(by_name.values()), tuple(unreadable), cut.more, cut.revision, last_name)
 
 
 def read_watch_page(body: bytes) -> WatchPage | NotAPage:
@@ -126,17 +126,17 @@
     if isinstance(cut, NotAPage):
         return cut
     changes = []
-    unread = []
+    unreadable = []
     for entry in cut.entries:
         event = _decode(entry, _Event)
         if isinstance(event, _Event) and event.object.metadata.name:
             changes.append(ObjectChange(_stored(event.object), event.gone))
         else:
-            unread.append(_unread(entry, event))
-    return WatchPage(tuple(changes), tuple(unread), cut.revision)
+            unreadable.append(_unread(entry, event))
+    return WatchPage(tuple(changes), tuple(unreadable), cut.revision)
 
 
-def read_object(entry: bytes) -> StoredObject | UnreadObject:
+def read_object(entry: bytes) -> StoredObject | UnreadableObject:
     """Read one object."""
     found = _decode(entry, _Object)
     if isinstance(found, _Object) and found.metadata.name:
@@ -157,10 +157,10 @@
     return StoredObject(metadata.name, metadata.revision, item.spec, item.status, metadata.deleting)
 
 
-def _unread(entry: bytes, found: object) -> UnreadObject:
+def _unread(entry: bytes, found: object) -> UnreadableObject:
     name = _NAME.search(entry)
     reason = found if isinstance(found, str) else "it has no name"
-    return UnreadObject(name.group(1).decode(errors="replace") if name else "", reason)
+    return UnreadableObject(name.group(1).decode(errors="replace") if name else "", reason)
 
 
 def _cut(body: bytes, form: type, key: bytes) -> _Cut | NotAPage:
--- a/src/quaymill/process/control/entries.py
+++ b/src/quaymill/process/control/entries.py
@@ -41,25 +41,25 @@
 
     def read(self, listing: Listing, now: float) -> list[ReplicaEntry]:
         """Return the replicas of a list, for those whose entry is unreadable the last good word."""
-        unread = [one.name for one in listing.unread]
+        unreadable = [one.name for one in listing.unreadable]
         entries = []
         for stored in listing.objects:
             entry = self._read_replica(stored)
             if isinstance(entry, ReplicaEntry):
                 entries.append(entry)
             else:
-                unread.append(stored.name)
+                unreadable.append(stored.name)
                 self._tell(stored, entry.reason)
-        self._told_by_name = {name: self._told_by_name.get(name, (0, "")) for name in unread}
+        self._told_by_name = {name: self._told_by_name.get(name, (0, "")) for name in unreadable}
         self._read_at_by_id |= dict.fromkeys((entry.id for entry in entries), now)
-        return entries + self._kept(unread, now)
+        return entries + self._kept(unreadable, now)
 
-    def _kept(self, unread: list[str], now: float) -> list[ReplicaEntry]:
+    def _kept(self, unreadable: list[str], now: float) -> list[ReplicaEntry]:
         """Return the last good words, of those entries that were readable not long ago."""
         self._read_at_by_id = {
             name: at for name, at in self._read_at_by_id.items() if now - at <= UNREAD_KEPT_S
         }
-        words = (self._last_word(name) for name in unread if name in self._read_at_by_id)
+        words = (self._last_word(name) for name in unreadable if name in self._read_at_by_id)
         return [word for word in words if word is not None]
 
     def _tell(self, stored: StoredObject, reason: str) -> None:
--- a/src/quaymill/process/control/state.py
+++ b/src/quaymill/process/control/state.py
@@ -150,8 +150,8 @@
             self._read_revision = stored.revision
         self._take_replicas(listing, unconfirmed_s)
         self._tell_versions()
-        self._membership.confirm(began)
-        self._membership.tell(self._other_gateways())
+        self._membership.confirm_versions(began)
+        self._membership.send_notice(self._other_gateways())
         return ""
 
     def _take_replicas(self, listing: Listing, unconfirmed_s: float) -> None:
@@ -185,7 +185,7 @@
     def _take_confirmation(self, version: int, revision: int, at: float) -> None:
         """Take what another gateway knows of the newest versions."""
         if self.routes.version >= version and self._table.revision >= revision:
-            self._membership.confirm(at)
+            self._membership.confirm_versions(at)
         else:
             self._wake.set()
 
@@ -253,7 +253,7 @@
             self._offer_configuration(reply.configuration, f"peer {peer.name}")
         if reply.replicas is not None and reply.replicas_revision > self._table.revision:
             entries = [_entry(record) for record in reply.replicas]
-            self._table.take_from_peer(entries, reply.replicas_revision)
+            self._table.replace_from_peer(entries, reply.replicas_revision)
             log_message("control:replicas_pulled", peer=peer.name, revision=reply.replicas_revision)
             self._tell_versions()
         return True
@@ -291,7 +291,7 @@
         entry.slots,
         entry.draining,
         entry.cold_left_s,
-        entry.born_ms,
+        entry.started_ms,
     )
 
 
@@ -304,5 +304,5 @@
         record.slots,
         record.draining,
         record.cold_left_s,
-        record.born_ms,
+        record.started_ms,
     )
--- a/src/quaymill/process/control/store_circuit.py
+++ b/src/quaymill/process/control/store_circuit.py
@@ -34,7 +34,7 @@
     StoreFailure,
     StoreRefused,
     WriteResult,
-    store_is_away,
+    is_store_unavailable,
 )
 
 HELD_BACK_KINDS = frozenset(
@@ -266,10 +266,10 @@
         return self._own.watch(kind, revision, wait_s)
 
     def get(
-        self, kind: ObjectKind, name: str, *, may_be_old: bool = False
+        self, kind: ObjectKind, name: str, *, allow_stale: bool = False
     ) -> StoredObject | ObjectMissing | StoreFailure:
         """Return one object."""
-        return self._call(kind, lambda: self._own.get(kind, name, may_be_old=may_be_old))
+        return self._call(kind, lambda: self._own.get(kind, name, allow_stale=allow_stale))
 
     def create(self, kind: ObjectKind, name: str, spec: Any) -> WriteResult:
         """Make an object; a conflict if it exists."""
@@ -360,7 +360,7 @@
         )
 
     def _note(self, result: object, began: float) -> None:
-        if store_is_away(result):
+        if is_store_unavailable(result):
             self._note_failed(result, began)
         else:
             self._note_answered()
--- a/src/quaymill/process/control/store_sharing.py
+++ b/src/quaymill/process/control/store_sharing.py
@@ -28,7 +28,7 @@
     StoreRefused,
     StoreUnanswered,
     WriteResult,
-    store_is_away,
+    is_store_unavailable,
 )
 from quaymill.connection.peer_link import PeerClient, PeerNoReply, PeerRefusal
 from quaymill.connection.peer_server import PeerServer
@@ -77,11 +77,11 @@
         return self._own.watch(kind, revision, wait_s)
 
     def get(
-        self, kind: ObjectKind, name: str, *, may_be_old: bool = False
+        self, kind: ObjectKind, name: str, *, allow_stale: bool = False
     ) -> StoredObject | ObjectMissing | StoreFailure:
         """Return one object; an old one is not worth a call of another gateway."""
-        if may_be_old:
-            return self._own.get(kind, name, may_be_old=True)
+        if allow_stale:
+            return self._own.get(kind, name, allow_stale=True)
         result = self._own.get(kind, name)
         return self._or_by_others(result, StoreCall(kind.name, name))
 
@@ -106,7 +106,7 @@
         return self._own.delete(kind, name)
 
     def _or_by_others(self, result: Any, call: StoreCall) -> Any:
-        if not store_is_away(result):
+        if not is_store_unavailable(result):
             return result
         if ObjectKind[call.object_kind] not in HELD_BACK_KINDS:
             return result
--- a/src/quaymill/process/front/front_service.py
+++ b/src/quaymill/process/front/front_service.py
@@ -257,7 +257,7 @@
         state = key_state(caller, self._routes())
         if state is KeyState.HELD:
             return None
-        return KeyChanged(taken_away=state is KeyState.TAKEN_AWAY)
+        return KeyChanged(revoked=state is KeyState.TAKEN_AWAY)
 
     # Batch jobs.
 
--- a/src/quaymill/process/front/http_server.py
+++ b/src/quaymill/process/front/http_server.py
@@ -245,9 +245,9 @@
         """Whether something is held that the caller has not taken yet."""
         return self._held is not None and self._held.pending
 
-    def send_held(self, timeout_s: float, beside: int = -1) -> bool:
+    def send_buffered(self, timeout_s: float, readable: int = -1) -> bool:
         """Wait until the caller takes something, or there is something to read ``beside``."""
-        return self._held.send_held(timeout_s, beside)
+        return self._held.send_buffered(timeout_s, readable)
 
     def finish(self) -> None:
         """Return once the caller has taken all; raises ``OSError`` if it does not."""
@@ -332,11 +332,11 @@
         unwatch: Callable[[socket.socket], None] = lambda connection: None,
         idle_threads: int = MIN_THREADS,
         listener: socket.socket | None = None,
-        held_answers: BufferedAnswers | None = None,
+        buffered_answers: BufferedAnswers | None = None,
     ) -> None:
         super().__init__(
             (endpoint.host, endpoint.port),
-            _gateway(handler, watch, unwatch, held_answers),
+            _gateway(handler, watch, unwatch, buffered_answers),
             server_name=SERVER_NAME,
         )
         self.requests = _ElasticThreadPool(self, min=min(idle_threads, threads), max=threads)
@@ -429,7 +429,7 @@
 
 
 def _gateway(
-    handler: Handler, watch, unwatch, held_answers: BufferedAnswers | None
+    handler: Handler, watch, unwatch, buffered_answers: BufferedAnswers | None
 ) -> type[server.Gateway]:
     """Return the class by which cheroot hands requests to ``handler``."""
 
@@ -437,7 +437,7 @@
         def respond(self) -> None:
             connection = self.req.conn.socket
             presence = watch(connection)
-            held = held_answers and BufferedAnswer(held_answers, connection)
+            held = buffered_answers and BufferedAnswer(buffered_answers, connection)
             writer = AnswerWriter(self.req, held)
             try:
                 handler(FrontRequest(self.req, presence), writer)
--- a/src/quaymill/process/front/refusals.py
+++ b/src/quaymill/process/front/refusals.py
@@ -50,7 +50,7 @@
 def forwarding_refusal(result: GivenUp | KeyChanged) -> Refusal:
     """Refuse a request that was not forwarded to an answer."""
     if isinstance(result, KeyChanged):
-        return UNKNOWN_KEY if result.taken_away else KEY_MOVED
+        return UNKNOWN_KEY if result.revoked else KEY_MOVED
     return given_up_refusal(result)
 
 
--- a/src/quaymill/process/gateway/completions.py
+++ b/src/quaymill/process/gateway/completions.py
@@ -36,8 +36,8 @@
 from quaymill.request.attempt import RequestAttempts
 from quaymill.request.deadline import TIMEOUT_HEADER, deadline_from_header
 from quaymill.request.first_byte_wait import (
-    FIRST_BYTE_PATIENCE_BUSY_S,
-    FIRST_BYTE_PATIENCE_S,
+    BUSY_FIRST_BYTE_TIMEOUT_S,
+    FIRST_BYTE_TIMEOUT_S,
     wait_for_first_byte,
 )
 from quaymill.request.outcome import Failure, NotRun, OutcomeUnknown
@@ -82,7 +82,7 @@
         engine_client: EngineClient,
         notifier: PreemptionNotifier,
         budget: RetryBudget,
-        waiting_rooms: ServiceQueues,
+        service_queues: ServiceQueues,
         max_body_bytes: int,
     ) -> None:
         self._holder = holder
@@ -91,7 +91,7 @@
         self._engine_client = engine_client
         self._notifier = notifier
         self._budget = budget
-        self._waiting_rooms = waiting_rooms
+        self._service_queues = service_queues
         self._max_body_bytes = max_body_bytes
 
     def register_routes(self, routes: RouteTable) -> None:
@@ -132,7 +132,7 @@
             model,
             request.request_id,
             request.presence,
-            self._waiting_rooms.of(model),
+            self._service_queues.of(model),
             prefix_key=completion.prefix_key,
         )
         call = _EngineCall(self._engine_client, self._notifier, attempts, request, path, completion)
@@ -267,7 +267,7 @@
             self._attempts.presence.detach()
             self._attempts.end(replica, ticket)
             if failure is not None:
-                self._attempts.note_cut(replica, failure)
+                self._attempts.record_stream_failure(replica, failure)
 
         opened.ended = ended
         return opened
@@ -281,9 +281,9 @@
         stream = self._engine_client.read_stream(exchange, attempt_id)
         if not isinstance(stream, EngineStream):
             return stream
-        patience_s = FIRST_BYTE_PATIENCE_S
+        patience_s = FIRST_BYTE_TIMEOUT_S
         if replica.is_busy():
-            patience_s = FIRST_BYTE_PATIENCE_BUSY_S
+            patience_s = BUSY_FIRST_BYTE_TIMEOUT_S
         stream.set_stall_timeout(min(patience_s, self._attempts.deadline.remaining_s()))
         events = stream.next_events()
         if isinstance(events, OutcomeUnknown):
--- a/src/quaymill/process/gateway/gateway.py
+++ b/src/quaymill/process/gateway/gateway.py
@@ -87,7 +87,7 @@
         links = link_filter or LinkFilter()
         max_body_bytes = settings.gateway.max_body_bytes
         budget = RetryBudget()
-        waiting_rooms = ServiceQueues(settings.gateway.queue_limit)
+        service_queues = ServiceQueues(settings.gateway.queue_limit)
         self.routes = RouteTable()
         self.metrics = GatewayMetrics()
         self.admission = Admission(settings.gateway.admission_limit)
@@ -107,7 +107,7 @@
             self._engine_client,
             self._notifier,
             budget,
-            waiting_rooms,
+            service_queues,
             max_body_bytes,
         ).register_routes(self.routes)
         Services(
@@ -117,7 +117,7 @@
             self._application_client,
             self.at_most_once,
             budget,
-            waiting_rooms,
+            service_queues,
             max_body_bytes,
         ).register_routes(self.routes)
         Health(
--- a/src/quaymill/process/gateway/services.py
+++ b/src/quaymill/process/gateway/services.py
@@ -40,7 +40,7 @@
         application_client: ApplicationClient,
         at_most_once: AtMostOnceCalls,
         budget: RetryBudget,
-        waiting_rooms: ServiceQueues,
+        service_queues: ServiceQueues,
         max_body_bytes: int,
     ) -> None:
         self._holder = holder
@@ -49,7 +49,7 @@
         self._application_client = application_client
         self._at_most_once = at_most_once
         self._budget = budget
-        self._waiting_rooms = waiting_rooms
+        self._service_queues = service_queues
         self._max_body_bytes = max_body_bytes
 
     def register_routes(self, routes: RouteTable) -> None:
@@ -89,7 +89,7 @@
             name,
             request.request_id,
             request.presence,
-            self._waiting_rooms.of(name),
+            self._service_queues.of(name),
             repeatable=service.idempotent,
         )
         outgoing = _outgoing(request, body)
--- a/src/quaymill/process/gateway_node.py
+++ b/src/quaymill/process/gateway_node.py
@@ -27,7 +27,7 @@
 from quaymill.process.gateway_parts import build_circuit_store, build_limiter
 from quaymill.process.jobs.allocator_calls import AllocatorCalls
 from quaymill.process.jobs.batch_quota import BatchQuota
-from quaymill.process.jobs.coordinated_job import ORDER_TERM_SHARE
+from quaymill.process.jobs.coordinated_job import LISTING_VALID_SHARE
 from quaymill.process.jobs.coordinator import JobCoordinator
 from quaymill.process.jobs.engine_loads import EngineLoads, ReportProtocol
 from quaymill.process.jobs.item_dispatcher import DispatcherParts
@@ -129,8 +129,12 @@
             LinkFilter(),
             ZONE_LOST_CONNECT_TIMEOUT_S if settings.zones_lost_at_once else CONNECT_TIMEOUT_S,
         )
-        self._table = ReplicaTable(self._forget_replica, self.network.reach.is_unreachable)
-        self.network.reach.watch_replicas(self._table.replicas, self._connections.is_reached)
+        self._table = ReplicaTable(
+            self._forget_replica, self.network.zone_reachability.is_unreachable
+        )
+        self.network.zone_reachability.watch_replicas(
+            self._table.replicas, self._connections.responds
+        )
         self._circuit_store = build_circuit_store(settings, self.network, store)
         self.control = ControlPlaneView(
             self._circuit_store,
@@ -171,7 +175,7 @@
             self.network.other_gateways,
             self.network.gateways,
         )
-        self._guard = CrashGuard(poison_records, self._connections, self._crash_sharing.tell)
+        self._guard = CrashGuard(poison_records, self._connections, self._crash_sharing.report)
         self._poison_records = poison_records
         self._warnings = ReplicaWarnings(
             settings.name,
@@ -185,54 +189,54 @@
             self._table,
             settings.zone,
             settings.name,
-            lambda first, wishes: self._notices.place(first, wishes),
+            lambda first, constraints: self._online_reporter.place(first, constraints),
         )
         self._loads = EngineLoads(self._connections, protocol.reports)
         # Queue, orders, keeper and notices call one another: lambdas wait until all are built.
         self._queue = OnlineQueue(
             self._table,
-            self._ask_turn,
+            self._request_slot,
             self.network.process_name,
-            lambda replica: self._notices.give_back(replica),
-            lambda service, ticket: self._notices.depart(service, ticket),
+            lambda replica: self._online_reporter.release_slot(replica),
+            lambda service, ticket: self._online_reporter.withdraw(service, ticket),
         )
-        self._orders = AllocatorCalls(
+        self._allocator_calls = AllocatorCalls(
             self.network.process_name,
-            lambda items: self.coordinator.give_back(items),
+            lambda items: self.coordinator.preempt_items(items),
             lambda: self.coordinator.wake(),
             self.network.client,
             self.network.server,
             self.network.process,
-            lambda turns: self._notices.accept_grants(turns),
-            lambda turn, taken: self._keeper.grant_answered(turn, taken),
+            lambda grants: self._online_reporter.accept_grants(grants),
+            lambda grant, accepted: self._slot_allocator.grant_answered(grant, accepted),
         )
-        self._keeper = SlotAllocator(
+        self._slot_allocator = SlotAllocator(
             self._table,
             self._loads,
             self.network.server,
-            self._orders.send,
-            self._orders.wake,
-            self._orders.send_grant,
+            self._allocator_calls.send,
+            self._allocator_calls.wake,
+            self._allocator_calls.send_grant,
         )
-        self._notices = OnlineReporter(
+        self._online_reporter = OnlineReporter(
             settings.name,
             settings.zone,
             self._table,
-            self._keeper,
+            self._slot_allocator,
             self.network.client,
             self.network.gateways,
             lambda: self.control.routes.batch_services,
             self._queue.recheck,
-            self.network.reach.reachable,
+            self.network.zone_reachability.prefer_reachable,
             allocator_lost=self._queue.leave_allocator_queue,
-            release=self._queue.accept_grant,
+            dispatch_granted=self._queue.accept_grant,
         )
         claims = SlotClaims(
             settings.name,
-            self._keeper,
+            self._slot_allocator,
             self.network.client,
             self.network.gateways,
-            self.network.reach.reachable,
+            self.network.zone_reachability.prefer_reachable,
         )
         self.coordinator = JobCoordinator(
             DispatcherParts(
@@ -254,7 +258,7 @@
                 await_store=self._circuit_store.await_turn,
             ),
             leases,
-            ORDER_TERM_SHARE * settings.bounds.settle_ms / MS_PER_S,
+            LISTING_VALID_SHARE * settings.bounds.settle_ms / MS_PER_S,
         )
         lookup = JobLookup(storage, listings)
         self.quota = self._build_quota(QuotaLedgers(shared_store), lookup)
@@ -285,7 +289,7 @@
         self._registry = NodeRegistry(
             self._circuit_store, self.network.membership, self._lacks_peers
         )
-        self._held_answers = BufferedAnswers.within_memory(settings.machine.memory_mb)
+        self._buffered_answers = BufferedAnswers.for_process_memory(settings.machine.memory_mb)
         self._metrics = FrontMetrics(CollectorRegistry())
         self._add_gauges()
         self._front = self._build_front(protocol)
@@ -297,7 +301,7 @@
             self._watch.watch,
             self._watch.unwatch,
             listener=self._context.callers_listener,
-            held_answers=self._held_answers if features.callers_may_read_slowly else None,
+            buffered_answers=self._buffered_answers if features.callers_may_read_slowly else None,
         )
         self._readiness = ReadinessServer(
             Endpoint.parse(settings.listen.readiness), protocol.ready_path, self._is_ready
@@ -306,11 +310,11 @@
             MetricsServer(metrics_endpoint, self._metrics.registry) if metrics_endpoint else None
         )
 
-    def _ask_turn(
+    def _request_slot(
         self, service: str, request: ForwardedRequest, terms: QueueTerms
     ) -> Replica | Queued | CannotServeInTime | None:
         found = self._router.constraints_of(service, request.prompt)
-        return None if found is None else self._notices.request_slot(*found, terms)
+        return None if found is None else self._online_reporter.request_slot(*found, terms)
 
     def _limits_of(self, tenant: str) -> TenantLimits | None:
         found = (self.control.routes.tenants or {}).get(tenant)
@@ -338,7 +342,7 @@
             self._router,
             self._connections,
             protocol.replicas,
-            self._notices,
+            self._online_reporter,
             self._queue,
             self._guard,
         )
@@ -357,20 +361,20 @@
             "configuration_version": lambda: self.control.routes.version,
             "control_age_seconds": self.network.membership.confirmed_age_s,
             "requests_in_service": lambda: self._front.in_service,
-            "requests_held": lambda: self._queue.held,
+            "requests_held": lambda: self._queue.waiting_requests,
             "request_body_bytes": lambda: self._front.body_bytes,
-            "answer_bytes_held": lambda: self._held_answers.held_bytes,
-            "answers_ended": lambda: self._held_answers.ended,
-            "line_tenants": lambda: self._keeper.turns.tenants,
-            "line_refused": lambda: self._keeper.turns.refused_early,
+            "answer_bytes_held": lambda: self._buffered_answers.held_bytes,
+            "answers_ended": lambda: self._buffered_answers.ended,
+            "line_tenants": lambda: self._slot_allocator.queues.tenants,
+            "line_refused": lambda: self._slot_allocator.queues.refused_early,
             "batch_items_running": self.coordinator.running_items,
             "batch_jobs_open": lambda: len(self.coordinator.open_jobs()),
             "requests_barred": lambda: self._poison_records.count(barred=True),
             "requests_suspected": lambda: self._poison_records.count(barred=False),
             "storage_nodes": lambda: len(self.network.storage_nodes()),
             "gateways": lambda: len(self.network.gateways()),
-            "zones_unreachable": lambda: self.network.reach.unreachable_zones,
-            "replica_connections_opened": lambda: self._connections.opened,
+            "zones_unreachable": lambda: self.network.zone_reachability.unreachable_zones,
+            "replica_connections_opened": lambda: self._connections.opened_count,
             "store_calls": self._store_calls,
             "store_calls_saved": lambda: self._circuit_store.calls_saved,
             "store_circuit_open": lambda: self._circuit_store.is_open,
@@ -378,7 +382,7 @@
         }
         add_gauges(self._metrics.registry, gauges)
         add_replica_gauge(self._metrics.registry, self._table)
-        add_line_gauge(self._metrics.registry, self._keeper.turns.lengths)
+        add_line_gauge(self._metrics.registry, self._slot_allocator.queues.lengths)
 
     def start(self) -> None:
         """Start the parts; each finds those it uses already running."""
@@ -389,7 +393,7 @@
         self._crash_sharing.start()
         self.coordinator.start()
         self.quota.start()
-        self._notices.start()
+        self._online_reporter.start()
         self._limiter.start()
         self._watch.start()
         self._server.start_serving()
@@ -469,9 +473,9 @@
         self._loads.stop()
         self._warnings.stop()
         self._crash_sharing.stop()
-        self._notices.stop()
+        self._online_reporter.stop()
         self._limiter.stop()
-        self._orders.stop()
+        self._allocator_calls.stop()
         self.network.stop()
 
     def _lacks_peers(self) -> bool:
@@ -482,4 +486,4 @@
         self._server.header_timeout_s = routes.limits.header_timeout_s
 
     def _forget_replica(self, replica: Replica) -> None:
-        self._connections.forget(replica.entry.address)
+        self._connections.drop_idle(replica.entry.address)
--- a/src/quaymill/process/gateway_parts.py
+++ b/src/quaymill/process/gateway_parts.py
@@ -52,7 +52,7 @@
             network.membership,
             settings.name,
             lambda member: not member.has_disk,
-            network.reach.is_unreachable,
+            network.zone_reachability.is_unreachable,
         ),
         network.client,
         network.server,
--- a/src/quaymill/process/job_storage/service.py
+++ b/src/quaymill/process/job_storage/service.py
@@ -25,8 +25,8 @@
     JobSummaries,
     JobSummary,
     JobUnknown,
-    KnownOrder,
     Leases,
+    ListedItems,
     ProgressStored,
     RenewJobs,
     ResultKeys,
@@ -158,7 +158,7 @@
                 ended.append(job_id)
         return JobsRenewed(tuple(ended), tuple(taken), self._confirmed(message.orders))
 
-    def _confirmed(self, orders: tuple[KnownOrder, ...]) -> tuple[str, ...]:
+    def _confirmed(self, orders: tuple[ListedItems, ...]) -> tuple[str, ...]:
         """Return the jobs of which no result is here that the coordinator does not know listed."""
         return tuple(
             order.job_id
--- a/src/quaymill/process/jobs/coordinated_job.py
+++ b/src/quaymill/process/jobs/coordinated_job.py
@@ -14,17 +14,17 @@
 from quaymill.connection.job_storage_messages import (
     ItemProgress,
     KeyedResult,
-    KnownOrder,
+    ListedItems,
     ResultKey,
     ResultsPage,
 )
 from quaymill.process.jobs.listing import ListedResult, Listing, ListingDocument
 from quaymill.version.request_routes import RequestRoute
 
-ORDER_TERM_SHARE = 0.9
+LISTING_VALID_SHARE = 0.9
 """Share of the time allowed for a listed position to reach all readers, during which a confirmed
 listing counts as the newest."""
-DEFAULT_LISTING_VALID_S = ORDER_TERM_SHARE * 1.0
+DEFAULT_LISTING_VALID_S = LISTING_VALID_SHARE * 1.0
 """For positions that every reader must see one second after the first read."""
 MAX_PAGE_BYTES = 1024 * 1024
 """Maximum total text of a page of results; a single larger result still makes a page."""
@@ -42,7 +42,7 @@
     LISTED = enum.auto()
 
 
-class RunningItem:
+class CoordinatedItem:
     """An item and what its runs have produced; its events may be read from any thread.
 
     Attributes
@@ -73,10 +73,10 @@
         self.events_at_start = 0
         self.replica_id = ""
         self.cancel: Callable[[], None] | None = None
-        self.giving_way = False
+        self.being_preempted = False
         self._events_lock = threading.Lock()
 
-    def take_events(self, texts: list[str], last_event_id: str | None) -> None:
+    def add_events(self, texts: list[str], last_event_id: str | None) -> None:
         """Append received events; their data and the last id change together."""
         with self._events_lock:
             self.texts += texts
@@ -136,13 +136,13 @@
         self.coordinator = coordinator
         self.routed_at = boot_clock.now()
         self.sent_at = boot_clock.now() - job.age_s
-        self.items = [RunningItem(index, item) for index, item in enumerate(job.document.items)]
+        self.items = [CoordinatedItem(index, item) for index, item in enumerate(job.document.items)]
         self.changed = threading.Condition()
         self.ended = False
         self.abandoned = False
         self.yielded = False
         # Even for a new job, another gateway that accepted it too may have listed results.
-        self._order_confirmed_at = -math.inf
+        self._listing_confirmed_at = -math.inf
         self._listing_valid_s = listing_valid_s
         self.listing = Listing(ListingDocument("", len(self.items)))
         self._finished: dict[int, KeyedResult] = {}
@@ -195,7 +195,7 @@
         """Return the monotonic time when all results are due."""
         return self.sent_at + (self.route.due_s if self.route else 0.0)
 
-    def waiting(self) -> list[RunningItem]:
+    def waiting(self) -> list[CoordinatedItem]:
         """Return the items that may be started now."""
         if self.stopped:
             return []
@@ -206,17 +206,17 @@
             if item.state is ItemState.WAITING and item.not_before <= now
         ]
 
-    def unstarted(self) -> list[RunningItem]:
+    def unstarted(self) -> list[CoordinatedItem]:
         """Return all waiting items, including those that may not be started yet."""
         if self.stopped:
             return []
         return [item for item in self.items if item.state is ItemState.WAITING]
 
-    def running(self) -> list[RunningItem]:
+    def running(self) -> list[CoordinatedItem]:
         """Return the running items."""
         return [item for item in self.items if item.state is ItemState.RUNNING]
 
-    def finish(self, item: RunningItem, state: ResultState, text: str) -> None:
+    def finish(self, item: CoordinatedItem, state: ResultState, text: str) -> None:
         """Record the result of an item; no effect if the item is already listed."""
         result = JobResult(item.item.id, state, text)
         key = ResultKey(item.index, _digest(result))
@@ -228,7 +228,7 @@
             self._finished[item.index] = KeyedResult(key, result)
             self.changed.notify_all()
 
-    def put_back(self, item: RunningItem, pause_s: float = 0.0) -> None:
+    def put_back(self, item: CoordinatedItem, pause_s: float = 0.0) -> None:
         """Return an item to the waiting ones after a run without a result.
 
         Parameters
@@ -284,22 +284,22 @@
 
     def confirm_listing(self, at: float) -> None:
         """Record that the known listing was the newest one at a monotonic time."""
-        self._order_confirmed_at = max(at, self._order_confirmed_at)
+        self._listing_confirmed_at = max(at, self._listing_confirmed_at)
 
     def listing_is_current(self) -> bool:
         """Return whether a position after the end of the known listing may be reported as empty."""
         return self.complete or self.listing_age_s() < self._listing_valid_s
 
-    def known_listing(self) -> KnownOrder:
+    def known_listing(self) -> ListedItems:
         """Return which items are in the known listing."""
         listed = 0
         for result in self.listing.document.results:
             listed |= 1 << result.index
-        return KnownOrder(self.id, f"{listed:x}")
+        return ListedItems(self.id, f"{listed:x}")
 
     def listing_age_s(self) -> float:
         """Return how long ago the known listing was last confirmed as the newest (seconds)."""
-        return boot_clock.now() - self._order_confirmed_at
+        return boot_clock.now() - self._listing_confirmed_at
 
     def add_contents(self, contents: dict[ResultKey, JobResult]) -> None:
         """Add contents of results that were fetched from storage nodes."""
--- a/src/quaymill/process/jobs/coordinator.py
+++ b/src/quaymill/process/jobs/coordinator.py
@@ -93,9 +93,9 @@
         """Return all jobs in memory, including stopped ones."""
         return list(self._jobs_by_id.values())
 
-    def give_back(self, items: tuple[ItemsAt, ...]) -> None:
+    def preempt_items(self, items: tuple[ItemsAt, ...]) -> None:
         """Preempt items at once, because online requests wait at their replicas."""
-        self._dispatcher.give_back(items)
+        self._dispatcher.preempt_items(items)
 
     def running_items(self) -> int:
         """Return the number of running items."""
--- a/src/quaymill/process/jobs/engine_loads.py
+++ b/src/quaymill/process/jobs/engine_loads.py
@@ -193,8 +193,8 @@
 
 def _is_from_listed_start(report: EngineReport, replica: Replica) -> bool:
     """Return whether a report is from the listed process of a replica, if both name its start."""
-    born_ms = replica.entry.born_ms
-    return not report.born_ms or not born_ms or report.born_ms == born_ms
+    started_ms = replica.entry.started_ms
+    return not report.started_ms or not started_ms or report.started_ms == started_ms
 
 
 def _poll_interval_s(replica: Replica, report: EngineReport | None) -> float:
--- a/src/quaymill/process/jobs/item_dispatcher.py
+++ b/src/quaymill/process/jobs/item_dispatcher.py
@@ -18,7 +18,7 @@
 from quaymill.connection.job_document import Job, ResultState
 from quaymill.connection.replica_connection import ReplicaConnections
 from quaymill.connection.slot_messages import ClaimSlots, ItemsAt, RunningAt, WantedItems
-from quaymill.process.jobs.coordinated_job import CoordinatedJob, ItemState, RunningItem
+from quaymill.process.jobs.coordinated_job import CoordinatedItem, CoordinatedJob, ItemState
 from quaymill.process.jobs.engine_pool import EnginePool, pools_of
 from quaymill.process.jobs.item_run import (
     ItemBarred,
@@ -81,7 +81,7 @@
 
     left_s: float
     job: CoordinatedJob
-    item: RunningItem
+    item: CoordinatedItem
 
 
 @attrs.frozen
@@ -89,7 +89,7 @@
     """An item that is running."""
 
     job: CoordinatedJob
-    item: RunningItem
+    item: CoordinatedItem
 
 
 class ItemDispatcher:
@@ -126,7 +126,7 @@
         """Claim slots immediately."""
         self._wake.set()
 
-    def give_back(self, items: tuple[ItemsAt, ...]) -> None:
+    def preempt_items(self, items: tuple[ItemsAt, ...]) -> None:
         """Preempt items immediately, because online requests need their slots."""
         running = self._running()
         for at in items:
@@ -239,7 +239,7 @@
             for one in itertools.islice(waiting, at.items):
                 self._start_item(one.job, one.item, replica)
 
-    def _time_left_s(self, job: CoordinatedJob, item: RunningItem, now: float) -> float:
+    def _time_left_s(self, job: CoordinatedJob, item: CoordinatedItem, now: float) -> float:
         """Return the time until an item is due; ``INFEASIBLE_DUE_S`` if it cannot meet that."""
         return time_left_s(job, item, now, self._paces.of(_route_name(job)))
 
@@ -267,10 +267,10 @@
             _Running(job, item)
             for job in self._open_jobs()
             for item in job.running()
-            if not item.giving_way
+            if not item.being_preempted
         ]
 
-    def _is_in(self, pool: EnginePool, item: RunningItem) -> bool:
+    def _is_in(self, pool: EnginePool, item: CoordinatedItem) -> bool:
         replica = self._parts.table.get(item.replica_id)
         return replica is not None and pool.holds(replica)
 
@@ -300,19 +300,19 @@
             return "not done in time"
         return ""
 
-    def _start_item(self, job: CoordinatedJob, item: RunningItem, replica: Replica) -> None:
+    def _start_item(self, job: CoordinatedJob, item: CoordinatedItem, replica: Replica) -> None:
         item.state = ItemState.RUNNING
         item.replica_id = replica.id
         item.started_at = boot_clock.now()
         item.events_at_start = len(item.texts)
-        item.giving_way = False
+        item.being_preempted = False
         with self._lock:
             self._running_items += 1
         threading.Thread(
             target=self._run_item, args=(job, item, replica), name="item", daemon=True
         ).start()
 
-    def _run_item(self, job: CoordinatedJob, item: RunningItem, replica: Replica) -> None:
+    def _run_item(self, job: CoordinatedJob, item: CoordinatedItem, replica: Replica) -> None:
         content = content_digest_of_item(item, job.job.host)
         replica.begin_item()
         outcome: ItemOutcome = ItemCut("the run failed")
@@ -326,7 +326,7 @@
             self._wake.set()
 
     def _run_unless_barred(
-        self, job: CoordinatedJob, item: RunningItem, replica: Replica, content: str
+        self, job: CoordinatedJob, item: CoordinatedItem, replica: Replica, content: str
     ) -> ItemOutcome:
         """Run an item unless its content is barred, and report the result to the poison guard."""
         guard = self._parts.guard
@@ -341,15 +341,15 @@
             job.job.tenant,
         )
         if isinstance(outcome, ItemDone):
-            guard.note_served(content)
+            guard.record_served(content)
         elif isinstance(outcome, ItemCut) and outcome.connection_closed and not job.stopped:
-            guard.note_closed(content, replica.entry.incarnation, replica.entry.address)
+            guard.handle_early_close(content, replica.entry.incarnation, replica.entry.address)
         return outcome
 
     def _record_outcome(
         self,
         job: CoordinatedJob,
-        item: RunningItem,
+        item: CoordinatedItem,
         replica: Replica,
         content: str,
         outcome: ItemOutcome,
@@ -364,7 +364,7 @@
             took_s=round(boot_clock.now() - item.started_at, 3),
             outcome=type(outcome).__name__,
             reason=getattr(outcome, "reason", ""),
-            giving_way=item.giving_way,
+            giving_way=item.being_preempted,
             connection_closed=getattr(outcome, "connection_closed", False),
         )
         match outcome:
@@ -386,7 +386,7 @@
             case ItemCut(blames_replica=blames_replica):
                 if blames_replica and not job.stopped:
                     replica.record_failure()
-                job.put_back(item, 0.0 if item.giving_way else RETRY_PAUSE_S)
+                job.put_back(item, 0.0 if item.being_preempted else RETRY_PAUSE_S)
 
     def _max_attempts(self, job: CoordinatedJob) -> int:
         return max(1, job.route.max_attempts) if job.route else 1
@@ -402,7 +402,7 @@
             )
         )
         for one in here[: at.items]:
-            one.item.giving_way = True
+            one.item.being_preempted = True
             if one.item.cancel is not None:
                 one.item.cancel()
 
--- a/src/quaymill/process/jobs/item_run.py
+++ b/src/quaymill/process/jobs/item_run.py
@@ -12,16 +12,16 @@
 from quaymill import boot_clock
 from quaymill.connection.job_document import JobItem
 from quaymill.connection.replica_connection import Exchange, ReplicaConnections
-from quaymill.process.jobs.coordinated_job import RunningItem
+from quaymill.process.jobs.coordinated_job import CoordinatedItem
 from quaymill.process.replica_set.replica import Replica
-from quaymill.request.answer_relay import EVENT_GAP_PATIENCE_S
+from quaymill.request.answer_relay import EVENT_GAP_TIMEOUT_S
 from quaymill.request.deadline import Deadline
 from quaymill.request.event_stream import EventFramer, data_of_events
-from quaymill.request.forwarded_request import ForwardedRequest, Headers, content_of
+from quaymill.request.forwarded_request import ForwardedRequest, Headers, content_digest_of
 from quaymill.request.forwarding import (
-    FIRST_EVENT_PATIENCE_S,
-    SILENCE_CHECK_S,
-    SILENCE_PATIENCE_S,
+    FIRST_EVENT_TIMEOUT_S,
+    SILENCE_CHECK_INTERVAL_S,
+    SILENCE_TIMEOUT_S,
     ReplicaProtocol,
 )
 from quaymill.request.outcome import NotRun, OutcomeUnknown
@@ -92,13 +92,13 @@
     item_headers: Callable[[JobItem, str], Headers]
 
 
-def content_digest_of_item(item: RunningItem, host: str) -> str:
+def content_digest_of_item(item: CoordinatedItem, host: str) -> str:
     """Return the content digest of an item's request."""
-    return content_of(host, METHOD, item.item.path, item.item.body)
+    return content_digest_of(host, METHOD, item.item.path, item.item.body)
 
 
 def run_item(
-    item: RunningItem,
+    item: CoordinatedItem,
     host: str,
     replica: Replica,
     connections: ReplicaConnections,
@@ -125,20 +125,20 @@
         return _cut(exchange)
     item.cancel = exchange.cancel
     try:
-        if item.giving_way:
+        if item.being_preempted:
             exchange.abandon()
             return ItemCut("preempted before the run began", blames_replica=False)
         outcome = _read_answer(item, request, replica, exchange, protocol.replica)
     finally:
         item.cancel = None
-    if isinstance(outcome, ItemCut) and item.giving_way:
+    if isinstance(outcome, ItemCut) and item.being_preempted:
         # The preemption closed the connection, so the replica is not at fault.
         return attrs.evolve(outcome, blames_replica=False, connection_closed=False)
     return outcome
 
 
 def _read_answer(
-    item: RunningItem,
+    item: CoordinatedItem,
     request: ForwardedRequest,
     replica: Replica,
     exchange: Exchange,
@@ -146,15 +146,15 @@
 ) -> ItemOutcome:
     began = boot_clock.now()
     if not _begins_in_time(exchange, replica, began):
-        exchange.give_up()
+        exchange.abandon_unresponsive()
         return ItemCut(f"nothing came for {boot_clock.now() - began:.2f} s")
-    failure = exchange.read_head(EVENT_GAP_PATIENCE_S)
+    failure = exchange.read_head(EVENT_GAP_TIMEOUT_S)
     if failure is not None:
         return _cut(failure)
-    replica.hear()
+    replica.record_received()
     head = protocol.read_answer_head(exchange)
     if head.load is not None:
-        replica.take_report(head.load)
+        replica.record_report(head.load)
     if head.not_executed:
         if head.misdirected:
             replica.misdirected = True
@@ -169,7 +169,7 @@
     replica.record_success(boot_clock.now() - began)
     replica.begin_answer()
     try:
-        return _read_events(item, replica, exchange, head.keep_s)
+        return _read_events(item, replica, exchange, head.keep_alive_s)
     finally:
         replica.end_answer()
 
@@ -180,10 +180,10 @@
     An item can resume at any other replica, so it does not spend the time until it is due on a
     replica that sends nothing.
     """
-    while (waited_s := boot_clock.now() - began) < FIRST_EVENT_PATIENCE_S:
-        if exchange.wait_readable(SILENCE_CHECK_S):
+    while (waited_s := boot_clock.now() - began) < FIRST_EVENT_TIMEOUT_S:
+        if exchange.wait_readable(SILENCE_CHECK_INTERVAL_S):
             return True
-        if replica.unreachable or (replica.silent and waited_s > SILENCE_PATIENCE_S):
+        if replica.unreachable or (replica.silent and waited_s > SILENCE_TIMEOUT_S):
             return False
     return False
 
@@ -201,25 +201,25 @@
 
 
 def _read_events(
-    item: RunningItem, replica: Replica, exchange: Exchange, keep_s: float
+    item: CoordinatedItem, replica: Replica, exchange: Exchange, keep_alive_s: float
 ) -> ItemOutcome:
     framer = EventFramer(item.last_event_id)
-    exchange.set_read_timeout(EVENT_GAP_PATIENCE_S)
+    exchange.set_read_timeout(EVENT_GAP_TIMEOUT_S)
     while True:
         block = exchange.read_block()
         if isinstance(block, OutcomeUnknown):
             return _cut(block)
-        replica.hear()
+        replica.record_received()
         if not block:
             break
-        events = framer.take(block)
+        events = framer.feed(block)
         if events:
-            item.take_events(data_of_events(events), framer.last_id)
-    if framer.rest:
+            item.add_events(data_of_events(events), framer.last_id)
+    if framer.partial:
         exchange.abandon()
         return ItemCut("the stream ended in the middle of an event", connection_closed=True)
-    if keep_s > 0:
-        exchange.release(keep_s)
+    if keep_alive_s > 0:
+        exchange.release(keep_alive_s)
     else:
         exchange.abandon()
     return ItemDone()
--- a/src/quaymill/process/jobs/item_urgency.py
+++ b/src/quaymill/process/jobs/item_urgency.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 
 from quaymill.connection.slot_messages import RoutePace
-from quaymill.process.jobs.coordinated_job import CoordinatedJob, RunningItem
+from quaymill.process.jobs.coordinated_job import CoordinatedItem, CoordinatedJob
 
 INFEASIBLE_DUE_S = 1e6
 """Time left of an infeasible item, in place of its real one: sorts it after all others."""
@@ -115,7 +115,7 @@
         pace.add(done.events_per_item, done.s_per_event, done.items)
 
 
-def time_left_s(job: CoordinatedJob, item: RunningItem, now: float, pace: RunPace) -> float:
+def time_left_s(job: CoordinatedJob, item: CoordinatedItem, now: float, pace: RunPace) -> float:
     """Return the time until an item is due; ``INFEASIBLE_DUE_S`` if it cannot finish by then.
 
     Parameters
--- a/src/quaymill/process/jobs/online_reporter.py
+++ b/src/quaymill/process/jobs/online_reporter.py
@@ -106,7 +106,7 @@
         loads_changed: Callable[[], None] = lambda: None,
         reachable: ReachableOf = tuple,
         allocator_lost: Callable[[], None] = lambda: None,
-        release: Callable[[str, str], bool] = lambda ticket, replica_id: False,
+        dispatch_granted: Callable[[str, str], bool] = lambda ticket, replica_id: False,
     ) -> None:
         self._own_name = own_name
         self._zone = zone
@@ -118,7 +118,7 @@
         self._batch_services = batch_services
         self._loads_changed = loads_changed
         self._allocator_lost = allocator_lost
-        self._dispatch_granted = release
+        self._dispatch_granted = dispatch_granted
         self._queueing_allocators: set[str] = set()
         self._withdrawn_by_service: dict[str, list[str]] = {}
         self._full_until_by_pool: dict[EnginePool, float] = {}
@@ -219,14 +219,14 @@
             self._placed[grant.replica_id] -= 1
         return False
 
-    def give_back(self, replica: ChosenReplica) -> None:
+    def release_slot(self, replica: ChosenReplica) -> None:
         """Record that a placed request is not sent to its replica."""
         with self._lock:
             self._placed[replica.id] -= 1
             self._changed = True
         self._report_now.set()
 
-    def depart(self, service: str, ticket: str) -> None:
+    def withdraw(self, service: str, ticket: str) -> None:
         """Report with the next message for a service that a request no longer waits."""
         with self._lock:
             self._withdrawn_by_service.setdefault(service, []).append(ticket)
@@ -418,7 +418,7 @@
         for load in loads:
             replica = self._table.get(load.replica_id)
             if replica is not None:
-                replica.take_pool_view(load.online - reported.get(replica.id, 0), load.batch)
+                replica.record_pool_view(load.online - reported.get(replica.id, 0), load.batch)
         self._loads_changed()
 
     def _call_allocator(self, message: OnlineInFlight) -> PoolLoads | None:
--- a/src/quaymill/process/jobs/pool_queue.py
+++ b/src/quaymill/process/jobs/pool_queue.py
@@ -43,7 +43,7 @@
     """
 
     message: PlaceOnline
-    came_at: float
+    arrived_at: float
     target_at: float
     dispatch_by: float
     timeout_at: float
@@ -73,7 +73,7 @@
     @property
     def tenants(self) -> int:
         """Number of tenants with queued requests."""
-        return len({one.message.terms.tenant for one in self.waiters()})
+        return len({one.message.terms.tenant for one in self.queued_requests()})
 
     def join(self, message: PlaceOnline, now: float) -> QueuedRequest:
         """Add a request to the queue; a request that is sent again keeps its start tag."""
@@ -95,7 +95,7 @@
         """Count a request that is served without waiting toward its tenant's share."""
         self._shares.serve(self._shares.start_tag(tenant))
 
-    def waiters(self) -> tuple[QueuedRequest, ...]:
+    def queued_requests(self) -> tuple[QueuedRequest, ...]:
         """Return the queued requests in no particular order."""
         return tuple(self._queued_by_ticket.values())
 
@@ -108,7 +108,7 @@
         return sorted(self._queued_by_ticket.values(), key=lambda one: _sort_key(one, now))
 
     def _drop_expired(self, now: float) -> None:
-        for queued in self.waiters():
+        for queued in self.queued_requests():
             if queued.dispatch_by < now:
                 self.leave(queued)
 
@@ -120,9 +120,9 @@
     def leave(self, queued: QueuedRequest) -> None:
         """Remove a request that will not be served from this queue."""
         self._queued_by_ticket.pop(queued.ticket, None)
-        self._shares.take_back(queued.message.terms.tenant)
+        self._shares.cancel(queued.message.terms.tenant)
 
-    def depart(self, tickets: Iterable[str]) -> None:
+    def withdraw(self, tickets: Iterable[str]) -> None:
         """Remove requests that no longer wait, by their tickets."""
         for ticket in tickets:
             queued = self._queued_by_ticket.get(ticket)
@@ -164,5 +164,5 @@
     terms = queued.message.terms
     needs_s = terms.first_byte_s + GRANT_LATENCY_S
     return dispatch_order(
-        queued.target_at, terms.rank, queued.came_at, needs_s, now, queued.start_tag
+        queued.target_at, terms.rank, queued.arrived_at, needs_s, now, queued.start_tag
     )
--- a/src/quaymill/process/jobs/quota_ledger.py
+++ b/src/quaymill/process/jobs/quota_ledger.py
@@ -211,7 +211,7 @@
 
         The cheap read may return an old ledger. It makes conflicts of the next change less likely.
         """
-        found = self._store.get(ObjectKind.QUOTA_LEDGERS, name, may_be_old=True)
+        found = self._store.get(ObjectKind.QUOTA_LEDGERS, name, allow_stale=True)
         if isinstance(found, StoredObject) and found.revision > known.revision:
             ledger = _decode_ledger(found)
             return ledger if isinstance(ledger, Ledger) else known
--- a/src/quaymill/process/jobs/slot_allocator.py
+++ b/src/quaymill/process/jobs/slot_allocator.py
@@ -94,7 +94,7 @@
         self._woken_at: dict[str, float] = {}
         self._random = random.Random()
         self._send_grant = send_grant
-        self.turns = PoolQueues(self._random)
+        self.queues = PoolQueues(self._random)
         self._lock = threading.Lock()
         self._counts_by_pool: dict[EnginePool, PoolCounts] = {}
         self._to_preempt_by_coordinator: dict[str, Counter[str]] = {}
@@ -135,7 +135,7 @@
             counts = self._counts(pool)
             in_flight = _by_replica(message.in_flight)
             counts.set_online(message.gateway, in_flight, boot_clock.now())
-            self.turns.depart(pool, message.withdrawn)
+            self.queues.withdraw(pool, message.withdrawn)
             replicas = pool.members(self._table)
             grants = self._grant_slots(pool, counts, replicas)
             self._preempt_excess(counts, [one for one in replicas if one.id in in_flight])
@@ -161,7 +161,7 @@
         with self._lock:
             counts = self._counts(pool)
             counts.set_online(message.gateway, _by_replica(message.in_flight), boot_clock.now())
-            self.turns.depart(pool, message.withdrawn)
+            self.queues.withdraw(pool, message.withdrawn)
             replicas = pool.members(self._table)
             grants: list[SlotGrant] = []
             if message.terms is None or self._send_grant is None:
@@ -208,26 +208,26 @@
     ) -> tuple[OnlinePlaced, list[SlotGrant]]:
         """Place a request if it is granted a slot now, otherwise queue it; the lock is held."""
         now = boot_clock.now()
-        if not self.turns.length(pool):
+        if not self.queues.length(pool):
             chosen = self._least_costly(counts, replicas, message)
             if chosen is None:
                 return OnlinePlaced("", counts.loads(replicas), 0), []
             if counts.online_load(chosen) < chosen.slots:
-                self.turns.record_immediate(pool, message.terms.tenant)
+                self.queues.record_immediate(pool, message.terms.tenant)
                 return self._placed_at(chosen, pool, counts, replicas, message), []
         if all(one.id in message.excluded for one in replicas):
             return OnlinePlaced("", counts.loads(replicas), self._reported_queue_length(pool)), []
-        queued = self.turns.join(pool, message, now)
+        queued = self.queues.join(pool, message, now)
         grants = self._grant_slots(pool, counts, replicas)
         own_grant = next((grant for grant in grants if grant.ticket == queued.ticket), None)
         if own_grant is not None:
-            self.turns.record_answer(own_grant, counts, accepted=True)
+            self.queues.record_answer(own_grant, counts, accepted=True)
             grants.remove(own_grant)
             placed = OnlinePlaced(
                 own_grant.replica.id, counts.loads(replicas), self._reported_queue_length(pool)
             )
             return placed, grants
-        retry_after_s = self.turns.refuse_if_infeasible(pool, queued, replicas, now)
+        retry_after_s = self.queues.refuse_if_infeasible(pool, queued, replicas, now)
         is_queued = retry_after_s is None
         queue_length = self._reported_queue_length(pool)
         return OnlinePlaced(
@@ -248,9 +248,9 @@
         """
         with self._lock:
             counts = self._counts(grant.pool)
-            self.turns.record_answer(grant, counts, accepted=bool(accepted))
+            self.queues.record_answer(grant, counts, accepted=bool(accepted))
             if accepted is None:
-                dropped = self.turns.drop_process(grant.process)
+                dropped = self.queues.drop_process(grant.process)
                 log_message("line:gateway_gone", gateway=grant.gateway, dropped=dropped)
             replicas = grant.pool.members(self._table)
             grants = [] if accepted else self._grant_slots(grant.pool, counts, replicas)
@@ -262,7 +262,7 @@
         self, pool: EnginePool, counts: PoolCounts, replicas: list[Replica]
     ) -> list[SlotGrant]:
         """Grant free slots to queued requests, and preempt batch items; the lock is held."""
-        grants = self.turns.grant_slots(pool, counts, replicas, boot_clock.now())
+        grants = self.queues.grant_slots(pool, counts, replicas, boot_clock.now())
         if grants:
             self._preempt_excess(counts, [grant.replica for grant in grants])
         return grants
@@ -273,13 +273,13 @@
 
     def _reported_queue_length(self, pool: EnginePool) -> int:
         """Return the queue length for gateways, ``NO_QUEUE`` if requests are not queued here."""
-        return NO_QUEUE if self._send_grant is None else self.turns.length(pool)
+        return NO_QUEUE if self._send_grant is None else self.queues.length(pool)
 
     def _record_slowness(self, reports: Iterable[SlownessReport]) -> None:
         for one in reports:
             replica = self._table.get(one.replica_id)
             if replica is not None:
-                replica.take_slowness(one.slowness, one.age_s)
+                replica.record_slowness(one.slowness, one.age_s)
 
     def _counts(self, pool: EnginePool) -> PoolCounts:
         """Return a pool's counts without expired claims and load reports; the lock is held."""
--- a/src/quaymill/process/jobs/slot_claims.py
+++ b/src/quaymill/process/jobs/slot_claims.py
@@ -11,7 +11,7 @@
 from quaymill.connection.peer_link import PeerClient
 from quaymill.connection.slot_messages import ClaimSlots, SlotsGranted
 from quaymill.process.jobs.slot_allocator import SlotAllocator
-from quaymill.process.membership.ranking import rank_nodes, strongest
+from quaymill.process.membership.ranking import rank_nodes, strongest_members
 
 CLAIM_TIMEOUT_S = 0.5
 AVOID_ALLOCATOR_S = 2.0
@@ -49,7 +49,7 @@
         """
         now = boot_clock.now()
         gateways = self._reachable(self._gateways())
-        strong_gateways = strongest(gateways)
+        strong_gateways = strongest_members(gateways)
         for group in (strong_gateways, gateways):
             # The key is the same in every build: all gateways must choose the same allocator.
             for member in rank_nodes(f"room/{service}/{pool}", group):
--- a/src/quaymill/process/jobs/slot_grants.py
+++ b/src/quaymill/process/jobs/slot_grants.py
@@ -148,11 +148,11 @@
         if accepted:
             counts.add_online(grant.gateway, grant.replica.id)
 
-    def depart(self, pool: EnginePool, tickets: Iterable[str]) -> None:
+    def withdraw(self, pool: EnginePool, tickets: Iterable[str]) -> None:
         """Remove requests that no longer wait according to their gateway, by their tickets."""
         queue = self._queue_by_pool.get(pool)
         if queue is not None:
-            queue.depart(tickets)
+            queue.withdraw(tickets)
 
     def drop_process(self, process: str) -> int:
         """Remove the requests of a gateway's process; return how many there were."""
--- a/src/quaymill/process/limits/fleet.py
+++ b/src/quaymill/process/limits/fleet.py
@@ -8,7 +8,7 @@
 from quaymill import boot_clock
 from quaymill.connection.member import Member, MemberState
 from quaymill.process.limits.shares import FleetView
-from quaymill.process.membership.ranking import rank_nodes, strongest
+from quaymill.process.membership.ranking import rank_nodes, strongest_members
 
 SILENT_GATEWAY_LIFETIME_S = 30.0
 """How long an unresponsive gateway counts as one that may be partitioned and still serve. It should
@@ -121,7 +121,7 @@
 
 
 def _ranked(tenant: str, gateways: list[Member]) -> tuple[Member, ...]:
-    strong = strongest(gateways)
+    strong = strongest_members(gateways)
     names = {member.name for member in strong}
     weak = [member for member in gateways if member.name not in names]
     key = f"limit/{tenant}"
--- a/src/quaymill/process/membership/membership.py
+++ b/src/quaymill/process/membership/membership.py
@@ -176,11 +176,11 @@
         for member in members:
             self._send(member.peer, Probe(**self._header_fields(), sequence=UNAWAITED_SEQUENCE))
 
-    def tell_crash_digest(self, digest: int) -> None:
+    def publish_crash_digest(self, digest: int) -> None:
         """Include this digest of the locally known crashes in each datagram."""
         self._crash_digest = digest
 
-    def confirm(self, at: float) -> None:
+    def confirm_versions(self, at: float) -> None:
         """Record that the published versions were the newest at this time of the boot clock."""
         if self._confirmed_at is None or at > self._confirmed_at:
             self._confirmed_at = at
@@ -190,7 +190,7 @@
         at = self._confirmed_at
         return float("inf") if at is None else boot_clock.now() - at
 
-    def tell(self, members: Iterable[Member]) -> None:
+    def send_notice(self, members: Iterable[Member]) -> None:
         """Send a notice with pending updates to these members at once."""
         for member in members:
             self._send(member.peer, Notice(**self._header_fields()))
@@ -383,7 +383,7 @@
         chosen = {member.name: member for member in reader_nodes(peers, self.local().zone)}
         for member in self._random.sample(peers, min(fanout, len(peers))):
             chosen[member.name] = member
-        self.tell(chosen.values())
+        self.send_notice(chosen.values())
 
     def _header_fields(self) -> dict[str, str | int]:
         local = self._table.local()
--- a/src/quaymill/process/membership/ranking.py
+++ b/src/quaymill/process/membership/ranking.py
@@ -51,7 +51,7 @@
     return tuple(sorted(ranked, key=lambda member: round_by_name[member.name]))
 
 
-def strongest(members: Iterable[Member]) -> tuple[Member, ...]:
+def strongest_members(members: Iterable[Member]) -> tuple[Member, ...]:
     """Return the members with the most cores, including those that tie with the last of them.
 
     They do work for the whole fleet, which would overload a weak node. If all members have the same
--- a/src/quaymill/process/membership/zone_reachability.py
+++ b/src/quaymill/process/membership/zone_reachability.py
@@ -85,7 +85,7 @@
         When peers were probed, by name; a reachable peer replies at once.
     """
 
-    heard_at: float
+    last_received_at: float
     peers: int
     peer_calls_since: Collection[float] = ()
     replicas_silent_since: Collection[float] = ()
@@ -96,7 +96,7 @@
         return tuple(
             name
             for name, at in self.probed_at.items()
-            if at > self.heard_at and now - at >= silent_after_s
+            if at > self.last_received_at and now - at >= silent_after_s
         )
 
 
@@ -108,7 +108,7 @@
     silent_after_s
         Time without a reply after which a probed peer counts as silent.
     """
-    heard_at = evidence.heard_at
+    last_received_at = evidence.last_received_at
     if not evidence.peers:
         return _assess_by_replicas(evidence, now)
     needed = max(MIN_REQUIRED_SILENT_PEERS, min(REQUIRED_SILENT_PEERS, evidence.peers))
@@ -119,11 +119,11 @@
         (evidence.replicas_silent_since, REPLICA_PROBE_AFTER_S),
     )
     overdue = any(
-        _is_overdue(since, heard_at, now, probe_after_s)
+        _is_overdue(since, last_received_at, now, probe_after_s)
         for pending_since, probe_after_s in waiting
         for since in pending_since
     )
-    probed = any(at > heard_at for at in evidence.probed_at.values())
+    probed = any(at > last_received_at for at in evidence.probed_at.values())
     return Reachability.UNCERTAIN if overdue or probed else Reachability.REACHABLE
 
 
@@ -132,7 +132,7 @@
     silent = [
         since
         for since in evidence.replicas_silent_since
-        if since > evidence.heard_at and now - since >= REPLICA_PROBE_AFTER_S
+        if since > evidence.last_received_at and now - since >= REPLICA_PROBE_AFTER_S
     ]
     return (
         Reachability.UNREACHABLE
@@ -141,12 +141,12 @@
     )
 
 
-def _is_overdue(since: float, heard_at: float, now: float, probe_after_s: float) -> bool:
+def _is_overdue(since: float, last_received_at: float, now: float, probe_after_s: float) -> bool:
     """Return whether an answer outstanding since then is a reason to probe the zone."""
-    if since > heard_at:
+    if since > last_received_at:
         return now - since >= probe_after_s
     # The zone has sent something in the meantime, so this one answer may just take long.
-    return now - heard_at >= REPROBE_AFTER_S
+    return now - last_received_at >= REPROBE_AFTER_S
 
 
 class MembershipLink(Protocol):
@@ -181,11 +181,11 @@
         """The zone in which the replica runs."""
 
     @property
-    def heard_at(self) -> float:
+    def last_received_at(self) -> float:
         """When this process last received something from the replica."""
 
     @property
-    def owes_since(self) -> float | None:
+    def unanswered_since(self) -> float | None:
         """Since when it has sent nothing for a request of this process; ``None`` without one."""
 
 
@@ -202,7 +202,7 @@
     """
 
     members: tuple[Member, ...] = ()
-    heard_at: float = -math.inf
+    last_received_at: float = -math.inf
     probed_at_by_name: dict[str, float] = attrs.field(factory=dict)
     unreachable_since: float = 0.0
     probed_at: float = -math.inf
@@ -213,7 +213,7 @@
 
     def discard_answered_probes(self) -> None:
         """Discard all probes if one of them was sent before the zone's last message."""
-        if any(at <= self.heard_at for at in self.probed_at_by_name.values()):
+        if any(at <= self.last_received_at for at in self.probed_at_by_name.values()):
             self.probed_at_by_name.clear()
 
 
@@ -233,7 +233,7 @@
         self._local_zone = local_zone
         self._membership = membership
         self._replicas: Callable[[], Iterable[WatchedReplica]] = tuple
-        self._is_reached: Callable[[Endpoint], bool] = lambda endpoint: False
+        self._responds: Callable[[Endpoint], bool] = lambda endpoint: False
         self._random = random.Random()
         self._lock = threading.Lock()
         self._zones: dict[str, _Zone] = {}
@@ -250,7 +250,7 @@
     def watch_replicas(
         self,
         replicas: Callable[[], Iterable[WatchedReplica]],
-        is_reached: Callable[[Endpoint], bool] = lambda endpoint: False,
+        responds: Callable[[Endpoint], bool] = lambda endpoint: False,
     ) -> None:
         """Take these replicas into account as well.
 
@@ -260,7 +260,7 @@
             Tries a connection; returns whether anything came back, a refusal included.
         """
         self._replicas = replicas
-        self._is_reached = is_reached
+        self._responds = responds
 
     def start(self) -> None:
         """Subscribe to the membership and begin the periodic checks."""
@@ -277,7 +277,7 @@
         """Return whether a zone is unreachable now."""
         return zone in self._unreachable
 
-    def reachable(self, members: Iterable[Member]) -> tuple[Member, ...]:
+    def prefer_reachable(self, members: Iterable[Member]) -> tuple[Member, ...]:
         """Return the members in reachable zones, or all members if there are none in these."""
         members = tuple(members)
         if not self._unreachable:
@@ -322,7 +322,7 @@
         zone = None if member is None else self._zones.get(member.zone)
         if zone is None:
             return
-        zone.heard_at = boot_clock.now()
+        zone.last_received_at = boot_clock.now()
         if member.zone in self._unreachable:
             with self._lock:
                 self._set_reachable(member.zone, member.name)
@@ -383,8 +383,8 @@
         """Update each zone's time of the last message from its replicas."""
         for replica in self._replicas():
             zone = self._zones.get(replica.zone)
-            if zone is not None and replica.heard_at > zone.heard_at:
-                zone.heard_at = replica.heard_at
+            if zone is not None and replica.last_received_at > zone.last_received_at:
+                zone.last_received_at = replica.last_received_at
 
     def _check_zone(self, name: str, zone: _Zone, now: float) -> Reachability:
         if name in self._unreachable:
@@ -400,7 +400,7 @@
 
     def _recheck_unreachable(self, name: str, zone: _Zone, now: float) -> None:
         """Probe an unreachable zone; mark it reachable if it has sent anything."""
-        if zone.heard_at > zone.unreachable_since:
+        if zone.last_received_at > zone.unreachable_since:
             self._set_reachable(name, "a replica")
         elif now - zone.probed_at >= UNREACHABLE_PROBE_INTERVAL_S:
             zone.probed_at = now
@@ -417,11 +417,11 @@
             threading.Thread(target=self._connect, args=arguments, daemon=True).start()
 
     def _connect(self, zone: str, replica: WatchedReplica) -> None:
-        if not self._is_reached(replica.entry.address):
+        if not self._responds(replica.entry.address):
             return
         with self._lock:
             if zone in self._zones:
-                self._zones[zone].heard_at = boot_clock.now()
+                self._zones[zone].last_received_at = boot_clock.now()
             self._set_reachable(zone, "a connection to a replica")
 
     def _probe_zones(self, statuses: Mapping[str, Reachability], now: float) -> None:
@@ -432,19 +432,21 @@
         """
         for name, status in statuses.items():
             zone = self._zones[name]
-            quiet = now - zone.heard_at > CHECK_INTERVAL_S
+            quiet = now - zone.last_received_at > CHECK_INTERVAL_S
             if status is Reachability.UNCERTAIN or (status is Reachability.REACHABLE and quiet):
                 self._probe_some_members(zone, now)
 
     def _evidence(self, name: str, zone: _Zone, now: float) -> Evidence:
         call_starts = [
             since
-            for one, since in self._calls_without_answer(now, zone.heard_at)
+            for one, since in self._calls_without_answer(now, zone.last_received_at)
             if self._zone_of(one) == name
         ]
-        silent_since = [replica.owes_since for replica in self._replicas() if replica.zone == name]
+        silent_since = [
+            replica.unanswered_since for replica in self._replicas() if replica.zone == name
+        ]
         return Evidence(
-            zone.heard_at,
+            zone.last_received_at,
             len(zone.live_members()),
             call_starts,
             [since for since in silent_since if since is not None],
@@ -455,12 +457,14 @@
         member = self._members_by_endpoint.get(endpoint)
         return "" if member is None else member.zone
 
-    def _calls_without_answer(self, now: float, heard_at: float) -> list[tuple[Endpoint, float]]:
+    def _calls_without_answer(
+        self, now: float, last_received_at: float
+    ) -> list[tuple[Endpoint, float]]:
         """Return the open calls and those after ``last_received_at`` that ended unanswered."""
         for endpoint, began in list(self._unanswered.items()):
             if now - began > UNANSWERED_RETENTION_S:
                 del self._unanswered[endpoint]
-        ended = [call for call in list(self._unanswered.items()) if call[1] > heard_at]
+        ended = [call for call in list(self._unanswered.items()) if call[1] > last_received_at]
         return [*list(self._open_calls.values()), *ended]
 
     def _probe_some_members(self, zone: _Zone, now: float) -> None:
@@ -485,7 +489,7 @@
             silent_s=round(now - min(evidence.probed_at.values(), default=now), 3),
             calls_unanswered=len(evidence.peer_calls_since),
             replicas_silent=len(evidence.replicas_silent_since),
-            heard_s_ago=round(min(now - evidence.heard_at, 999.0), 3),
+            heard_s_ago=round(min(now - evidence.last_received_at, 999.0), 3),
         )
         zone.probed_at_by_name.clear()
 
--- a/src/quaymill/process/peer_network.py
+++ b/src/quaymill/process/peer_network.py
@@ -42,7 +42,7 @@
     membership: Membership
     server: PeerServer
     client: PeerClient
-    reach: ZoneReachability
+    zone_reachability: ZoneReachability
     rules: CopyRules
     zones_lost_at_once: int = 0
 
@@ -64,12 +64,12 @@
         )
         link_filter = LinkFilter()
         membership = Membership(node_settings, link_filter)
-        reach = ZoneReachability(settings.zone, membership)
+        zone_reachability = ZoneReachability(settings.zone, membership)
         return cls(
             membership,
             PeerServer(Endpoint(settings.address, settings.peer_port)),
-            PeerClient(link_filter, reach if settings.zones_lost_at_once else None),
-            reach,
+            PeerClient(link_filter, zone_reachability if settings.zones_lost_at_once else None),
+            zone_reachability,
             CopyRules.from_settings(settings),
             settings.zones_lost_at_once,
         )
@@ -79,12 +79,12 @@
         self.server.start()
         self.membership.start()
         if self.zones_lost_at_once:
-            self.reach.start()
+            self.zone_reachability.start()
 
     def stop(self) -> None:
         """Leave without a word; peers find out."""
         self.server.stop()
-        self.reach.stop()
+        self.zone_reachability.stop()
         self.membership.stop()
         self.client.close()
 
@@ -133,7 +133,7 @@
 
     def reached_gateways(self) -> tuple[Member, ...]:
         """Return the live gateways apart from this process, in zones that can be reached."""
-        return self.reach.reachable(self.other_gateways())
+        return self.zone_reachability.prefer_reachable(self.other_gateways())
 
     def process(self, name: str) -> Member | None:
         """Return the node on which a process of that name runs; ``None`` if it is gone."""
@@ -149,12 +149,12 @@
         With more zones out of reach than may be lost at once, it is the own zone that is cut off:
         the processes of the others go on.
         """
-        if self.reach.unreachable_zones <= self.zones_lost_at_once:
+        if self.zone_reachability.unreachable_zones <= self.zones_lost_at_once:
             return True
         node_name, _, _ = name.rpartition(COORDINATOR_SEPARATOR)
         members = self.membership.members()
         zone = next((member.zone for member in members if member.name == node_name), "")
-        return not self.reach.is_unreachable(zone)
+        return not self.zone_reachability.is_unreachable(zone)
 
     def is_replaced(self, name: str) -> bool:
         """Return whether the node of a process runs another process now, which is alive."""
--- a/src/quaymill/process/poison/guard.py
+++ b/src/quaymill/process/poison/guard.py
@@ -56,14 +56,14 @@
         """Return for how many seconds a content must not be run; 0 if it may be run."""
         return self._records.barred_for_s(content, boot_clock.now())
 
-    def note_closed(self, content: str, incarnation: str, address: Endpoint) -> None:
+    def handle_early_close(self, content: str, incarnation: str, address: Endpoint) -> None:
         """Check for a crash after a replica closed a connection before its answer was complete."""
         if self._is_alive(address):
             return
         record = self._records.add(content, incarnation, boot_clock.now())
         if record is None:
             return
-        crashes = self._records.crashes_of(content)
+        crashes = self._records.crash_count(content)
         log_message(
             "request:crashed_replica",
             content=content,
@@ -73,9 +73,9 @@
         )
         self._on_crash(record)
 
-    def note_served(self, content: str) -> None:
+    def record_served(self, content: str) -> None:
         """Record that a replica has completed a content without a crash."""
-        self._records.excuse(content)
+        self._records.discount_crashes(content)
 
     def _is_alive(self, address: Endpoint) -> bool:
         now = boot_clock.now()
@@ -83,7 +83,7 @@
             cached_probe = self._probes_by_endpoint.get(address)
         if cached_probe is not None and now - cached_probe.at < PROBE_LIFETIME_S:
             return cached_probe.alive
-        probe = _Probe(self._connections.takes_connection(address), boot_clock.now())
+        probe = _Probe(self._connections.accepts_connections(address), boot_clock.now())
         with self._lock:
             self._probes_by_endpoint = {
                 endpoint: cached
--- a/src/quaymill/process/poison/sharing.py
+++ b/src/quaymill/process/poison/sharing.py
@@ -93,7 +93,7 @@
         self._stopping.set()
         self._wake.set()
 
-    def tell(self, record: CrashRecord) -> None:
+    def report(self, record: CrashRecord) -> None:
         """Report a record to all gateways, after a crash detected by this gateway."""
         with self._lock:
             self._unreported[record.content] = record
@@ -109,7 +109,7 @@
         return KnownCrashes(records, self._caught_up)
 
     def _publish_digest(self) -> None:
-        self._membership.tell_crash_digest(self._records.digest(boot_clock.now()))
+        self._membership.publish_crash_digest(self._records.digest(boot_clock.now()))
 
     def _merge(self, records: tuple[CrashRecord, ...], source: str) -> None:
         changed = self._records.merge(records, boot_clock.now())
--- a/src/quaymill/process/replica_set/online_queue.py
+++ b/src/quaymill/process/replica_set/online_queue.py
@@ -191,12 +191,12 @@
         on_left_queue: Callable[[str, str], None] = lambda service, ticket: None,
     ) -> None:
         self._table = table
-        self._ask = request_slot
+        self._request_slot = request_slot
         self._process_name = process_name
         self._release_slot = release_slot
         self._on_left_queue = on_left_queue
         self._tickets = itertools.count()
-        self._held_by_ticket: dict[str, _QueuedRequest] = {}
+        self._queued_by_ticket: dict[str, _QueuedRequest] = {}
         self._lock = threading.Lock()
         self._queues_by_service: dict[str, _ServiceQueue] = {}
         self._remaining_times_by_key: OrderedDict[tuple[str, str | None], deque[float]] = (
@@ -204,7 +204,7 @@
         )
 
     @property
-    def held(self) -> int:
+    def waiting_requests(self) -> int:
         """Number of requests that wait now."""
         return sum(len(queue.requests) for queue in self._queues_by_service.values())
 
@@ -228,13 +228,13 @@
             if not queue.service_s:
                 queue.assumed_service_s = ASSUMED_SERVICE_OBJECTIVES * route.objective_s
             queued = self._create_queued_request(queue, route, request, now)
-            self._held_by_ticket[queued.ticket] = queued
+            self._queued_by_ticket[queued.ticket] = queued
         try:
             self._ask_allocator(service, queue, queued, request)
             with self._lock:
                 if queued.wait_ended.is_set():
                     return queued.answer
-                if not queue.requests and self._may_go(service, queue, queued, now, 0):
+                if not queue.requests and self._may_dispatch_now(service, queue, queued, now, 0):
                     # Ends the wait, so that a late grant of the allocator is not accepted.
                     queued.end_wait(DecidedBy.LOCAL)
                     return None
@@ -244,7 +244,7 @@
             self._wait(service, queue, queued, request, presence)
         finally:
             with self._lock:
-                del self._held_by_ticket[queued.ticket]
+                del self._queued_by_ticket[queued.ticket]
                 if queued in queue.requests:
                     queue.requests.remove(queued)
             if queued.was_in_allocator_queue and queued.decided_by is not DecidedBy.ALLOCATOR:
@@ -321,7 +321,7 @@
                 service_s=queue.usual_service_s,
                 first_byte_s=queue.first_byte_s,
             )
-        answer = self._ask(service, request, terms)
+        answer = self._request_slot(service, request, terms)
         with self._lock:
             queued.in_allocator_queue = answer is QUEUED
             queued.was_in_allocator_queue = (
@@ -332,7 +332,7 @@
     def accept_grant(self, ticket: str, replica_id: str) -> bool:
         """Dispatch a request that was granted a slot; return whether the grant is accepted."""
         with self._lock:
-            queued = self._held_by_ticket.get(ticket)
+            queued = self._queued_by_ticket.get(ticket)
             if queued is None or queued.wait_ended.is_set():
                 return False
             replica = self._table.get(replica_id)
@@ -345,11 +345,11 @@
     def leave_allocator_queue(self) -> None:
         """Dispatch all requests by local decisions, as the allocator does not respond."""
         with self._lock:
-            for queued in self._held_by_ticket.values():
+            for queued in self._queued_by_ticket.values():
                 queued.in_allocator_queue = False
         self.recheck()
 
-    def give_back(self, replica: ChosenReplica) -> None:
+    def release_slot(self, replica: ChosenReplica) -> None:
         """Release a slot that was granted and is not used."""
         self._release_slot(replica)
 
@@ -380,13 +380,13 @@
         )
         dispatched = 0
         for queued in ordered:
-            if self._may_go(service, queue, queued, now, dispatched):
+            if self._may_dispatch_now(service, queue, queued, now, dispatched):
                 dispatched += 1
                 queue.requests.remove(queued)
                 deadline_passed = now >= queued.dispatch_by
                 queued.end_wait(DecidedBy.DISPATCH_DEADLINE if deadline_passed else DecidedBy.LOCAL)
 
-    def _may_go(
+    def _may_dispatch_now(
         self,
         service: str,
         queue: _ServiceQueue,
--- a/src/quaymill/process/replica_set/replica.py
+++ b/src/quaymill/process/replica_set/replica.py
@@ -111,7 +111,7 @@
     ) -> None:
         self.entry = entry
         self._is_unreachable = is_unreachable
-        self.heard_at = -math.inf
+        self.last_received_at = -math.inf
         self.id_hash = xxhash.xxh3_64_intdigest(entry.id.encode())
         self.in_flight = 0
         self.items_in_flight = 0
@@ -154,9 +154,9 @@
                 self._quiet_since = boot_clock.now()
             self.in_flight += 1
 
-    def hear(self) -> None:
+    def record_received(self) -> None:
         """Record that any data was received from the replica."""
-        self._quiet_since = self.heard_at = boot_clock.now()
+        self._quiet_since = self.last_received_at = boot_clock.now()
 
     @property
     def zone(self) -> str:
@@ -164,7 +164,7 @@
         return self.entry.zone
 
     @property
-    def owes_since(self) -> float | None:
+    def unanswered_since(self) -> float | None:
         """Time since when requests of this process wait for data (monotonic), or ``None``."""
         return self._quiet_since if self.in_flight else None
 
@@ -227,7 +227,7 @@
         with self._lock:
             self.items_in_flight -= 1
 
-    def take_pool_view(self, online_elsewhere: int, batch: int) -> None:
+    def record_pool_view(self, online_elsewhere: int, batch: int) -> None:
         """Record the slot allocator's report on the load of all gateways at the replica."""
         self._pool_view = _PoolView(online_elsewhere, batch, boot_clock.now())
 
@@ -237,7 +237,7 @@
         view = self._pool_view
         return view is not None and boot_clock.now() - view.at < POOL_VIEW_LIFETIME_S
 
-    def take_report(self, load: ReportedLoad) -> None:
+    def record_report(self, load: ReportedLoad) -> None:
         """Record the load reported by the replica, which includes requests of this process."""
         with self._lock:
             self._reported = load
@@ -245,7 +245,7 @@
             self._reported_at = boot_clock.now()
             self._slowness.add(SlownessReading(load.slowness, self._reported_at))
 
-    def take_slowness(self, slowness: float, age_s: float) -> None:
+    def record_slowness(self, slowness: float, age_s: float) -> None:
         """Record the slowness that the replica reported to another gateway ``age_s`` ago."""
         with self._lock:
             self._slowness.add(SlownessReading(slowness, boot_clock.now() - age_s))
--- a/src/quaymill/process/replica_set/table.py
+++ b/src/quaymill/process/replica_set/table.py
@@ -108,7 +108,7 @@
             self._rebuild(revision)
             return kept
 
-    def take_from_peer(self, entries: Iterable[ReplicaEntry], revision: int) -> None:
+    def replace_from_peer(self, entries: Iterable[ReplicaEntry], revision: int) -> None:
         """Replace the listed replicas by the list of a gateway with a newer revision.
 
         The revision is raised even if the content is the same, for example after a replica
@@ -124,7 +124,7 @@
             self._by_id[entry.id] = Replica(entry, self._is_unreachable)
             log_message("replica:listed", replica=entry.id, service=entry.service, zone=entry.zone)
             return
-        if entry.born_ms != replica.entry.born_ms:
+        if entry.started_ms != replica.entry.started_ms:
             # Any different start time is a newer start: the replica's clock may have been set back.
             log_message("replica:started_again", replica=entry.id, service=entry.service)
             replica.departed_at = boot_clock.now()
--- a/src/quaymill/process/replicas/replica.py
+++ b/src/quaymill/process/replicas/replica.py
@@ -76,7 +76,7 @@
             self._started_at_by_ticket.pop(ticket, None)
 
     @property
-    def own_in_flight(self) -> int:
+    def local_in_flight(self) -> int:
         """Requests of this node in flight to the replica."""
         return len(self._started_at_by_ticket)
 
--- a/src/quaymill/process/replicas/router.py
+++ b/src/quaymill/process/replicas/router.py
@@ -174,7 +174,7 @@
     highest = max((load for load in loads if load is not None), default=0.0)
     return [
         _Candidate(
-            replica, load if load is not None else max(highest, float(replica.own_in_flight))
+            replica, load if load is not None else max(highest, float(replica.local_in_flight))
         )
         for replica, load in zip(replicas, loads, strict=True)
     ]
--- a/src/quaymill/process/storage_node.py
+++ b/src/quaymill/process/storage_node.py
@@ -131,7 +131,7 @@
 
     def _take_request_changes(self, changes: Changes) -> None:
         for change in changes.changes:
-            if change.object.name == self._settings.name and not change.gone:
+            if change.object.name == self._settings.name and not change.deleted:
                 self._retirement.begin()
 
     def _lacks_peers(self) -> bool:
--- a/src/quaymill/request/answer_buffer.py
+++ b/src/quaymill/request/answer_buffer.py
@@ -64,7 +64,7 @@
         self._with_unread: set[BufferedAnswer] = set()
 
     @classmethod
-    def within_memory(cls, memory_mb: float) -> BufferedAnswers:
+    def for_process_memory(cls, memory_mb: float) -> BufferedAnswers:
         """Return an instance with a budget for a process with ``memory_mb`` MB; 0 if unknown."""
         budget_bytes = int(memory_mb * MEGABYTE * BUFFER_MEMORY_SHARE)
         return cls(budget_bytes or DEFAULT_BUDGET_BYTES)
@@ -175,7 +175,7 @@
         while len(self.unread) > self._buffers.max_answer_bytes:
             self._wait_or_end(FULL_BUFFER_TIMEOUT_S)
 
-    def send_held(self, timeout_s: float, readable: int = -1) -> bool:
+    def send_buffered(self, timeout_s: float, readable: int = -1) -> bool:
         """Send buffered data as soon as the caller accepts some, or return once data can be read.
 
         Parameters
@@ -227,7 +227,7 @@
             raise AnswerEndedError("the answer was ended before its caller had read all of it")
 
     def _wait_or_end(self, timeout_s: float) -> None:
-        if not self.send_held(timeout_s):
+        if not self.send_buffered(timeout_s):
             self._buffers.end(self, f"the caller read nothing for {timeout_s:g} s")
         self.raise_if_ended()
 
--- a/src/quaymill/request/answer_relay.py
+++ b/src/quaymill/request/answer_relay.py
@@ -16,7 +16,7 @@
 from quaymill.version.request_routes import RequestRoute
 
 MAX_BUFFERED_BYTES = 256 * 1024
-EVENT_GAP_PATIENCE_S = 1.0
+EVENT_GAP_TIMEOUT_S = 1.0
 EVENT_STREAM = "text/event-stream"
 
 
@@ -41,7 +41,7 @@
     def write(self, block: bytes) -> None:
         """Send a block of the body."""
 
-    def send_held(self, timeout_s: float, readable: int = -1) -> bool:
+    def send_buffered(self, timeout_s: float, readable: int = -1) -> bool:
         """Send buffered data; return early once the descriptor ``readable`` has data to read."""
 
     def abort(self) -> None:
@@ -128,19 +128,19 @@
     ) -> AttemptResult:
         """Relay events as they arrive; of a resumable stream, only complete events."""
         resumable = self._route.resumable
-        self._framer.rest = b""
+        self._framer.partial = b""
         while True:
             block = self._read_block(exchange, self._gap_timeout_s())
             if isinstance(block, OutcomeUnknown):
                 return broken_attempt(block)
-            replica.hear()
+            replica.record_received()
             if not block:
                 break
-            events = self._framer.take(block) if resumable else block
+            events = self._framer.feed(block) if resumable else block
             if not self._answer.started:
                 self._answer.start(head.status, head.reason, head.headers)
             self._answer.write(events)
-        if resumable and self._framer.rest:
+        if resumable and self._framer.partial:
             exchange.abandon()
             return Broken("the stream ended in the middle of an event", connection_closed=True)
         release_connection(exchange, head)
@@ -151,21 +151,21 @@
     def _read_block(self, exchange: Exchange, timeout_s: float) -> bytes | OutcomeUnknown:
         """Read the next block; while waiting for it, send buffered data to the caller."""
         give_up_at = boot_clock.now() + timeout_s
-        while self._answer.pending and not exchange.has_arrived():
-            if not self._answer.send_held(give_up_at - boot_clock.now(), exchange.descriptor):
+        while self._answer.pending and not exchange.is_read_ready():
+            if not self._answer.send_buffered(give_up_at - boot_clock.now(), exchange.descriptor):
                 break
         exchange.set_read_timeout(give_up_at - boot_clock.now())
         return exchange.read_block()
 
     def _gap_timeout_s(self) -> float:
         remaining_s = self._request.deadline.remaining_s()
-        return min(remaining_s, EVENT_GAP_PATIENCE_S) if self._may_try_another() else remaining_s
+        return min(remaining_s, EVENT_GAP_TIMEOUT_S) if self._may_try_another() else remaining_s
 
 
 def release_connection(exchange: Exchange, head: AnswerHead) -> None:
     """Keep the connection for reuse as long as the replica allows, after a complete answer."""
-    if head.keep_s > 0:
-        exchange.release(head.keep_s)
+    if head.keep_alive_s > 0:
+        exchange.release(head.keep_alive_s)
     else:
         exchange.abandon()
 
--- a/src/quaymill/request/attempt.py
+++ b/src/quaymill/request/attempt.py
@@ -128,7 +128,7 @@
                 break
         return self._failure
 
-    def note_cut(self, replica: Replica, failure: OutcomeUnknown) -> None:
+    def record_stream_failure(self, replica: Replica, failure: OutcomeUnknown) -> None:
         """Record that the answer of an attempt failed after it had started."""
         if self.presence.gone:
             return
--- a/src/quaymill/request/dispatch_order.py
+++ b/src/quaymill/request/dispatch_order.py
@@ -54,7 +54,7 @@
 def dispatch_order(
     target_at: float,
     rank: int,
-    came_at: float,
+    arrived_at: float,
     first_byte_s: float,
     now: float,
     start_tag: float = 0.0,
@@ -67,7 +67,7 @@
         Start tag of fair queueing among tenants (``FairShares``); 0 without tenants.
     """
     is_late = target_at - first_byte_s <= now
-    return is_late, rank, start_tag, came_at
+    return is_late, rank, start_tag, arrived_at
 
 
 def _completion_interval_s(engine: EngineState) -> float:
--- a/src/quaymill/request/event_stream.py
+++ b/src/quaymill/request/event_stream.py
@@ -23,16 +23,16 @@
 
     def __init__(self, last_id: str | None = None) -> None:
         self.last_id = last_id
-        self.rest = b""
+        self.partial = b""
 
-    def take(self, block: bytes) -> bytes:
+    def feed(self, block: bytes) -> bytes:
         """Add a block; return the events that it completes, without repeated ones."""
-        data = self.rest + block if self.rest else block
+        data = self.partial + block if self.partial else block
         end = data.rfind(EVENT_END) + len(EVENT_END)
         if end < len(EVENT_END):
-            self.rest = data
+            self.partial = data
             return b""
-        self.rest = data[end:]
+        self.partial = data[end:]
         return self._without_repeated(data[:end])
 
     def _without_repeated(self, events: bytes) -> bytes:
--- a/src/quaymill/request/fair_shares.py
+++ b/src/quaymill/request/fair_shares.py
@@ -36,7 +36,7 @@
         """Record that the request with this tag is dispatched to an engine."""
         self._virtual_time = max(self._virtual_time, tag)
 
-    def take_back(self, tenant: str | None) -> None:
+    def cancel(self, tenant: str | None) -> None:
         """Undo ``start_tag`` for a request that will not be served."""
         if tenant in self._next_tag_by_tenant:
             next_tag = self._next_tag_by_tenant[tenant] - 1.0
--- a/src/quaymill/request/first_byte_wait.py
+++ b/src/quaymill/request/first_byte_wait.py
@@ -10,8 +10,8 @@
 from quaymill.request.outcome import OutcomeUnknown
 
 CHECK_INTERVAL_S = 0.25
-FIRST_BYTE_PATIENCE_S = 2.0
-FIRST_BYTE_PATIENCE_BUSY_S = 10.0
+FIRST_BYTE_TIMEOUT_S = 2.0
+BUSY_FIRST_BYTE_TIMEOUT_S = 10.0
 """Applies while the load reports of the replica show that it is busy."""
 
 
@@ -63,10 +63,10 @@
 
 
 def _is_frozen(replica: AwaitedReplica, sent_at: float, waited_s: float, whole: bool) -> bool:
-    if waited_s < FIRST_BYTE_PATIENCE_S:
+    if waited_s < FIRST_BYTE_TIMEOUT_S:
         return False
     if not replica.reachable:
         return True
     if whole:
         return False
-    return waited_s >= FIRST_BYTE_PATIENCE_BUSY_S or not replica.is_busy_since(sent_at)
+    return waited_s >= BUSY_FIRST_BYTE_TIMEOUT_S or not replica.is_busy_since(sent_at)
--- a/src/quaymill/request/forwarded_request.py
+++ b/src/quaymill/request/forwarded_request.py
@@ -47,7 +47,7 @@
     @property
     def content_digest(self) -> str:
         """Content digest: the same whenever the same request is sent again, under any id."""
-        return content_of(self.host, self.method, self.target, self.body)
+        return content_digest_of(self.host, self.method, self.target, self.body)
 
     @property
     def host(self) -> str:
@@ -55,7 +55,7 @@
         return next((value for name, value in self.headers if name.lower() == "host"), "")
 
 
-def content_of(host: str, method: str, target: str, body: bytes) -> str:
+def content_digest_of(host: str, method: str, target: str, body: bytes) -> str:
     """Return the content digest of a request; the host is case-insensitive."""
     digest = xxhash.xxh3_128(f"{host.lower()}\0{method}\0{target}\0".encode())
     digest.update(body)
--- a/src/quaymill/request/forwarding.py
+++ b/src/quaymill/request/forwarding.py
@@ -62,10 +62,10 @@
 Shorter than ``MAX_IDLE_S``, since the replica may close an idle connection while the request is
 being sent."""
 MAX_IDLE_S = 20.0
-FIRST_EVENT_PATIENCE_S = 2.0
-SILENCE_PATIENCE_S = 0.6
+FIRST_EVENT_TIMEOUT_S = 2.0
+SILENCE_TIMEOUT_S = 0.6
 """Time to wait for a replica that sends nothing at all, if another replica may be tried."""
-SILENCE_CHECK_S = 0.1
+SILENCE_CHECK_INTERVAL_S = 0.1
 MIN_SEND_TIMEOUT_S = 1.0
 """Minimum time that a replica has to read a request, if another replica may be tried."""
 MIN_SEND_BYTES_PER_S = 1024 * 1024
@@ -179,7 +179,7 @@
         if isinstance(granted, CannotServeInTime):
             return self._give_up(granted.reason, retry_after_s=granted.retry_after_s)
         if granted is not None and (ended := self._result_without_attempt()) is not None:
-            self._dispatch_queue.give_back(granted)
+            self._dispatch_queue.release_slot(granted)
             return ended
         return self._try_replicas(granted)
 
@@ -280,11 +280,11 @@
         elif isinstance(result, Delivered):
             self._dispatch_queue.record(self._service, took_s, replica.first_byte_s)
             if result.status < 500:
-                self._guard.note_served(self._content_digest)
+                self._guard.record_served(self._content_digest)
 
     def _record_connection_closed(self, replica: ChosenReplica) -> None:
         entry = replica.entry
-        self._guard.note_closed(self._content_digest, entry.incarnation, entry.address)
+        self._guard.handle_early_close(self._content_digest, entry.incarnation, entry.address)
 
     def _send(self, replica: ChosenReplica, began: float) -> AttemptResult:
         remaining_s = self._request.deadline.remaining_s()
@@ -325,7 +325,7 @@
         failure = exchange.read_head(max(0.05, self._request.deadline.remaining_s()))
         if failure is not None:
             return broken_attempt(failure)
-        replica.hear()
+        replica.record_received()
         head = self._protocol.read_answer_head(exchange)
         return self._handle_answer(exchange, replica, head, began)
 
@@ -343,14 +343,14 @@
             timeout_s = min(timeout_s, self._first_byte_timeout_s(replica))
         give_up_at = boot_clock.now() + timeout_s
         while (left_s := give_up_at - boot_clock.now()) > 0:
-            if exchange.wait_readable(min(left_s, SILENCE_CHECK_S)):
+            if exchange.wait_readable(min(left_s, SILENCE_CHECK_INTERVAL_S)):
                 return None
             if may_try_another and self._is_unreachable_with_alternative(replica):
-                exchange.give_up()
+                exchange.abandon_unresponsive()
                 return Broken("the replica's zone is unreachable")
-            if may_try_another and replica.silent and boot_clock.now() - began > SILENCE_PATIENCE_S:
+            if may_try_another and replica.silent and boot_clock.now() - began > SILENCE_TIMEOUT_S:
                 break
-        exchange.give_up()
+        exchange.abandon_unresponsive()
         return Broken(f"the replica sent nothing for {boot_clock.now() - began:.2f} s")
 
     def _is_unreachable_with_alternative(self, replica: ChosenReplica) -> bool:
@@ -364,7 +364,7 @@
 
     def _first_byte_timeout_s(self, replica: ChosenReplica) -> float:
         if self._route.kind is RouteKind.STREAMING:
-            return FIRST_EVENT_PATIENCE_S
+            return FIRST_EVENT_TIMEOUT_S
         usual_s = max(replica.first_byte_s, self._route.objective_s / 2)
         return max(MIN_FIRST_BYTE_TIMEOUT_S, FIRST_BYTE_TIMEOUT_FACTOR * usual_s)
 
@@ -372,7 +372,7 @@
         self, exchange: Exchange, replica: ChosenReplica, head: AnswerHead, began: float
     ) -> AttemptResult:
         if head.load is not None:
-            replica.take_report(head.load)
+            replica.record_report(head.load)
         if head.not_executed:
             return self._handle_refusal(exchange, replica, head)
         if head.request_id != self._request.id:
--- a/src/quaymill/request/forwarding_result.py
+++ b/src/quaymill/request/forwarding_result.py
@@ -50,7 +50,7 @@
         Whether the key was revoked; otherwise it belongs to another tenant now.
     """
 
-    taken_away: bool
+    revoked: bool
 
 
 ForwardingResult = Delivered | CallerLeft | GivenUp | KeyChanged
--- a/src/quaymill/request/poison.py
+++ b/src/quaymill/request/poison.py
@@ -43,10 +43,10 @@
     def barred_for_s(self, content: str) -> float:
         """Return for how many seconds a content must not be run; 0 if it may be run."""
 
-    def note_closed(self, content: str, incarnation: str, address: Endpoint) -> None:
+    def handle_early_close(self, content: str, incarnation: str, address: Endpoint) -> None:
         """Record that a replica closed the connection before its answer was complete."""
 
-    def note_served(self, content: str) -> None:
+    def record_served(self, content: str) -> None:
         """Record that a replica has served the content completely."""
 
 
@@ -57,10 +57,10 @@
         """Return 0."""
         return 0.0
 
-    def note_closed(self, content: str, incarnation: str, address: Endpoint) -> None:
+    def handle_early_close(self, content: str, incarnation: str, address: Endpoint) -> None:
         """Do nothing."""
 
-    def note_served(self, content: str) -> None:
+    def record_served(self, content: str) -> None:
         """Do nothing."""
 
 
@@ -116,7 +116,7 @@
         changed = self.merge([CrashRecord(content, (incarnation,), 0.0)], now)
         return changed[0] if changed else None
 
-    def excuse(self, content: str) -> None:
+    def discount_crashes(self, content: str) -> None:
         """Record that a content was served; earlier crashes no longer count against it."""
         if content not in self._by_content:
             return
@@ -157,7 +157,7 @@
             self._is_barred(crashes) is barred for crashes in list(self._by_content.values())
         )
 
-    def crashes_of(self, content: str) -> int:
+    def crash_count(self, content: str) -> int:
         """Return how many replicas are known to have crashed while running a content."""
         crashes = self._by_content.get(content)
         return 0 if crashes is None else crashes.count
--- a/src/quaymill/request/replica_choice.py
+++ b/src/quaymill/request/replica_choice.py
@@ -67,7 +67,7 @@
     def unreachable(self) -> bool:
         """Whether the replica's zone is currently unreachable."""
 
-    def hear(self) -> None:
+    def record_received(self) -> None:
         """Record that data was received from the replica."""
 
     def begin_answer(self) -> None:
@@ -88,7 +88,7 @@
     def report_age_s(self) -> float:
         """Return the age of the last load report in seconds."""
 
-    def take_report(self, load: ReportedLoad) -> None:
+    def record_report(self, load: ReportedLoad) -> None:
         """Record a load report of the replica."""
 
     def slowness(self) -> float:
@@ -158,7 +158,7 @@
         the slot released with ``release_slot``.
         """
 
-    def give_back(self, replica: ChosenReplica) -> None:
+    def release_slot(self, replica: ChosenReplica) -> None:
         """Release the slot of a granted replica to which the request is not sent."""
 
     def record(self, service: str, took_s: float, first_byte_s: float) -> None:
@@ -177,7 +177,7 @@
     ) -> None:
         """Return at once."""
 
-    def give_back(self, replica: ChosenReplica) -> None:
+    def release_slot(self, replica: ChosenReplica) -> None:
         """Do nothing."""
 
     def record(self, service: str, took_s: float, first_byte_s: float) -> None:
--- a/src/quaymill_standins/fleet_replica.py
+++ b/src/quaymill_standins/fleet_replica.py
@@ -121,7 +121,7 @@
         port: int = 0,
     ) -> None:
         self.id = replica_id
-        self.born_ms = time.time_ns() // 1_000_000
+        self.started_ms = time.time_ns() // 1_000_000
         self.service = service
         self.zone = zone
         self.slots = slots
@@ -174,7 +174,7 @@
             "state": state,
             "cold_left_ms": 0,
             "seq": seq,
-            "born": self.born_ms,
+            "born": self.started_ms,
         }
 
     def runs_of(self, request_id: str) -> list[ReplicaRun]:
@@ -186,7 +186,7 @@
             self.probes += 1
             report = {"waiting": self.behaviour.waiting, "running": self._running}
             memory = {"kv_used": 0, "kv_total": 100_000}
-            return json_response(200, report | memory | {"born": self.born_ms})
+            return json_response(200, report | memory | {"born": self.started_ms})
         if request.header("Expect-Instance") not in ("", self.id):
             return Response(421, b"", (("Instance-Id", self.id),))
         if self.behaviour.shed:
--- a/tests/dispatch_player.py
+++ b/tests/dispatch_player.py
@@ -92,19 +92,19 @@
 
 @attrs.frozen
 class _Request:
-    came_at: float
+    arrived_at: float
     gateway: int
     tenant: int = 0
 
 
 def newest_first(
-    target_at: float, rank: int, came_at: float, first_byte_s: float, now: float, share: float
+    target_at: float, rank: int, arrived_at: float, first_byte_s: float, now: float, share: float
 ) -> tuple[bool, int, float, float]:
     """Order requests that can be in time by age, the newest first; for comparison only."""
-    is_late, rank, share, came_at = dispatch_order(
-        target_at, rank, came_at, first_byte_s, now, share
+    is_late, rank, share, arrived_at = dispatch_order(
+        target_at, rank, arrived_at, first_byte_s, now, share
     )
-    return is_late, rank, share, came_at if is_late else -came_at
+    return is_late, rank, share, arrived_at if is_late else -arrived_at
 
 
 class BurstPlayer:
@@ -141,7 +141,7 @@
     def play(self) -> BurstOutcome:
         """Simulate the whole load, and serve the requests that are queued at its end."""
         for request in self._arrivals():
-            self._push(request.came_at, "arrive", request)
+            self._push(request.arrived_at, "arrive", request)
         for gateway in range(self._burst.gateways):
             self._push(self._random.random() * REPORT_INTERVAL_S, "report", gateway)
         handlers = {
@@ -198,20 +198,20 @@
         self._dispatch_queued(request.gateway, now)
 
     def _may_dispatch(self, request: _Request, dispatched: int, now: float) -> bool:
-        if now - request.came_at >= DISPATCH_DEADLINE_S:
+        if now - request.arrived_at >= DISPATCH_DEADLINE_S:
             return True
         burst = self._burst
         loads = self._loads() if self._exact else self._views[request.gateway]
         load = min(loads) + dispatched
         engine = EngineState(load, burst.slots, burst.service_s, FIRST_BYTE_S)
-        return self._decide(engine, request.came_at + burst.objective_s, now)
+        return self._decide(engine, request.arrived_at + burst.objective_s, now)
 
     def _dispatch_queued(self, gateway: int, now: float) -> None:
         objective_s = self._burst.objective_s
         ordered = sorted(
             self._gateway_queues[gateway],
             key=lambda queued: self._order(
-                queued.came_at + objective_s, 0, queued.came_at, FIRST_BYTE_S, now, 0.0
+                queued.arrived_at + objective_s, 0, queued.arrived_at, FIRST_BYTE_S, now, 0.0
             ),
         )
         dispatched = 0
@@ -242,7 +242,7 @@
 
     def _start(self, request: _Request, engine: int, now: float) -> None:
         self._running[engine] += 1
-        latency_s = now - request.came_at + FIRST_BYTE_S
+        latency_s = now - request.arrived_at + FIRST_BYTE_S
         self.outcome.latencies_s.append(latency_s)
         late = latency_s > self._burst.objective_s
         self.outcome.late += late
@@ -329,7 +329,7 @@
 
     def _dispatch_at_deadline(self, ticket: str, now: float) -> None:
         """Dispatch a request at its dispatch deadline if it is still queued."""
-        for queued in self._pool_queue.waiters():
+        for queued in self._pool_queue.queued_requests():
             if queued.ticket == ticket:
                 self._grant_slot(queued, now)
 
--- a/tests/store_rig.py
+++ b/tests/store_rig.py
@@ -84,7 +84,7 @@
         self._store = store
         self._gateway = gateway
 
-    def get(self, kind: ObjectKind, name: str, *, may_be_old: bool = False) -> Any:
+    def get(self, kind: ObjectKind, name: str, *, allow_stale: bool = False) -> Any:
         return self._store.call(self._gateway, lambda: self._store.find(name))
 
     def create(self, kind: ObjectKind, name: str, spec: Any) -> Any:
--- a/tests/test_allocator_queue.py
+++ b/tests/test_allocator_queue.py
@@ -118,8 +118,8 @@
             self.table,
             self.ask_allocator,
             self.process,
-            lambda replica: self.reporter.give_back(replica),
-            lambda service, ticket: self.reporter.depart(service, ticket),
+            lambda replica: self.reporter.release_slot(replica),
+            lambda service, ticket: self.reporter.withdraw(service, ticket),
         )
         self.calls = AllocatorCalls(
             self.process,
@@ -144,7 +144,7 @@
             lambda: {SERVICE},
             self.queue.recheck,
             allocator_lost=self.queue.leave_allocator_queue,
-            release=self.queue.accept_grant,
+            dispatch_granted=self.queue.accept_grant,
         )
         self.router = Router(self.table, "z", name, self.reporter.place)
         self.queue.record(SERVICE, 0.8, 0.05)
@@ -216,7 +216,7 @@
             grant = gateway.queue.wait_for_slot(SERVICE, ROUTE, request, presence)
             if presence.gone:
                 if grant is not None:
-                    gateway.queue.give_back(grant)
+                    gateway.queue.release_slot(grant)
                 return
             if not isinstance(grant, CannotServeInTime):
                 gateway.begin(grant or gateway.router.choose(SERVICE))
@@ -236,7 +236,7 @@
         self.wait_for(lambda: set(names) <= set(self.results), f"{names} not dispatched")
 
     def wait_until_queued(self, length: int) -> None:
-        queues = self.allocator.allocator.turns
+        queues = self.allocator.allocator.queues
         self.wait_for(lambda: sum(queues.lengths().values()) == length, f"{queues.lengths()} wait")
 
     def take_all_slots(self) -> None:
@@ -375,7 +375,7 @@
         refusal = self.results["infeasible"]
         self.assertIsInstance(refusal, CannotServeInTime)
         self.assertGreater(refusal.retry_after_s, 1.0)
-        self.assertEqual(1, self.allocator.allocator.turns.refused_early)
+        self.assertEqual(1, self.allocator.allocator.queues.refused_early)
 
     def test_a_request_without_queue_terms_is_placed_immediately(self) -> None:
         self.take_all_slots()
@@ -414,7 +414,7 @@
         self.take_all_slots()
         self.send("r", self.first_gateway)
         self.wait_until_queued(1)
-        (ticket,) = self.first_gateway.queue._held_by_ticket
+        (ticket,) = self.first_gateway.queue._queued_by_ticket
         grant = OnlineGrant(ticket, "e1")
         self.assertEqual((ticket,), self.first_gateway.reporter.accept_grants([grant]))
         self.assertEqual((), self.first_gateway.reporter.accept_grants([grant]))
@@ -426,15 +426,15 @@
         """The allocator queued the request, but its answer was lost."""
         self.first_gateway.place_at_once()
         late: list[str] = []
-        request_slot = self.first_gateway.queue._ask
+        request_slot = self.first_gateway.queue._request_slot
 
         def lose_answer(service, request, terms):
             request_slot(service, request, terms)
             late.append(terms.ticket)
 
         self.second_gateway.place_at_once()
-        with mock.patch.object(self.first_gateway.queue, "_ask", lose_answer):
-            self.first_gateway.queue._may_go = lambda *_: True
+        with mock.patch.object(self.first_gateway.queue, "_request_slot", lose_answer):
+            self.first_gateway.queue._may_dispatch_now = lambda *_: True
             self.send("r", self.first_gateway)
             self.wait_until_dispatched("r")
         self.assertIsNone(self.results["r"])
@@ -485,13 +485,13 @@
 
         self.queue.wait_for_slot.side_effect = leave
         self.assertIsInstance(self.forward(), CallerLeft)
-        self.queue.give_back.assert_called_once_with(place)
+        self.queue.release_slot.assert_called_once_with(place)
 
     def test_the_slot_of_a_revoked_key_is_released(self) -> None:
         place = self.queue.wait_for_slot.return_value
-        changes = iter((None, KeyChanged(taken_away=True)))
+        changes = iter((None, KeyChanged(revoked=True)))
         self.assertIsInstance(self.forward(lambda: next(changes)), KeyChanged)
-        self.queue.give_back.assert_called_once_with(place)
+        self.queue.release_slot.assert_called_once_with(place)
 
 
 class MixedBuildsTest(unittest.TestCase):
--- a/tests/test_answer_buffer.py
+++ b/tests/test_answer_buffer.py
@@ -104,7 +104,7 @@
         self.buffers = BufferedAnswers(self.budget_bytes)
         self.connections = ReplicaConnections(LinkFilter())
         self.endpoint = Endpoint("127.0.0.1", free_port())
-        self.server = HttpServer(self.endpoint, self.handle, 40, held_answers=self.buffers)
+        self.server = HttpServer(self.endpoint, self.handle, 40, buffered_answers=self.buffers)
         self.server.start_serving()
         self.addCleanup(self.server.stop)
 
@@ -264,6 +264,6 @@
     def test_budget(self) -> None:
         machine = Machine(memory_mb=200)
         self.assertEqual(
-            12.5 * MEGABYTE, BufferedAnswers.within_memory(machine.memory_mb).budget_bytes
+            12.5 * MEGABYTE, BufferedAnswers.for_process_memory(machine.memory_mb).budget_bytes
         )
-        self.assertGreater(BufferedAnswers.within_memory(0.0).budget_bytes, 0)
+        self.assertGreater(BufferedAnswers.for_process_memory(0.0).budget_bytes, 0)
--- a/tests/test_crash_guard.py
+++ b/tests/test_crash_guard.py
@@ -60,25 +60,27 @@
         self.guard = CrashGuard(self.records, connections, self.reported.append)
 
     def test_a_replica_that_refuses_connections_has_crashed(self) -> None:
-        self.guard.note_closed("a", "replica", Endpoint("127.0.0.1", free_port()))
-        self.assertEqual(1, self.records.crashes_of("a"))
+        self.guard.handle_early_close("a", "replica", Endpoint("127.0.0.1", free_port()))
+        self.assertEqual(1, self.records.crash_count("a"))
         self.assertEqual(["a"], [record.content for record in self.reported])
 
     def test_a_replica_that_accepts_connections_has_not_crashed(self) -> None:
         with listener(closes=False) as endpoint:
-            self.guard.note_closed("a", "replica", endpoint)
-        self.assertEqual(0, self.records.crashes_of("a"))
+            self.guard.handle_early_close("a", "replica", endpoint)
+        self.assertEqual(0, self.records.crash_count("a"))
         self.assertEqual([], self.reported)
 
     def test_a_replica_that_closes_new_connections_has_crashed(self) -> None:
         with listener(closes=True) as endpoint:
-            self.guard.note_closed("a", "replica", endpoint)
-        self.assertEqual(1, self.records.crashes_of("a"))
+            self.guard.handle_early_close("a", "replica", endpoint)
+        self.assertEqual(1, self.records.crash_count("a"))
 
     def test_a_content_is_barred_after_enough_crashes(self) -> None:
         for number in range(MAX_CRASHES):
             self.assertEqual(0.0, self.guard.barred_for_s("a"))
-            self.guard.note_closed("a", f"replica-{number}", Endpoint("127.0.0.1", free_port()))
+            self.guard.handle_early_close(
+                "a", f"replica-{number}", Endpoint("127.0.0.1", free_port())
+            )
         self.assertGreater(self.guard.barred_for_s("a"), 0.0)
 
 
@@ -92,7 +94,7 @@
     def crash(self, gateway: str, content: str, crashes: int = MAX_CRASHES) -> None:
         for number in range(crashes):
             endpoint = Endpoint("127.0.0.1", free_port())
-            self.rig.gateways[gateway]._guard.note_closed(content, f"r-{number}", endpoint)
+            self.rig.gateways[gateway]._guard.handle_early_close(content, f"r-{number}", endpoint)
 
     def bars(self, gateway: str, content: str) -> bool:
         return self.rig.gateways[gateway]._guard.barred_for_s(content) > 0
@@ -115,7 +117,7 @@
     def test_crashes_detected_by_different_gateways_add_up(self) -> None:
         for number, name in enumerate(self.rig.gateways):
             endpoint = Endpoint("127.0.0.1", free_port())
-            self.rig.gateways[name]._guard.note_closed("a", f"r-{number}", endpoint)
+            self.rig.gateways[name]._guard.handle_early_close("a", f"r-{number}", endpoint)
         for name in self.rig.gateways:
             wait_until(lambda name=name: self.bars(name, "a"), f"{name} bars it", 1.0)
         wait_until(lambda: self.rig.store.read("quaymill-barred-requests", "a"), "the store has it")
--- a/tests/test_empty_pages.py
+++ b/tests/test_empty_pages.py
@@ -38,8 +38,8 @@
     def list(self, kind):
         return self._store.list(kind)
 
-    def get(self, kind, name, *, may_be_old=False):
-        return self._store.get(kind, name, may_be_old=may_be_old)
+    def get(self, kind, name, *, allow_stale=False):
+        return self._store.get(kind, name, allow_stale=allow_stale)
 
     def create(self, kind, name, spec):
         return self._late(self._store.create(kind, name, spec))
@@ -58,7 +58,7 @@
     def list(self, kind):
         return StoreUnanswered("nothing came")
 
-    def get(self, kind, name, *, may_be_old=False):
+    def get(self, kind, name, *, allow_stale=False):
         return StoreUnanswered("nothing came")
 
     def create(self, kind, name, spec):
--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -526,7 +526,7 @@
         document = held.listing.document
         # As it was before another coordinator took the job and listed the rest.
         held.listing = Listing(msgspec.structs.replace(document, results=document.results[:2]), 1)
-        held._order_confirmed_at = -math.inf
+        held._listing_confirmed_at = -math.inf
         page = json.loads(self.rig.read_results("gateway-0", "job", since=2).data)
         self.assertEqual(results[2:], page["results"])
 
@@ -554,7 +554,7 @@
 class _RefusingStore:
     """A store that turns every call away."""
 
-    def get(self, kind, name, *, may_be_old=False):
+    def get(self, kind, name, *, allow_stale=False):
         return StoreRefused("turned away")
 
     def list(self, kind):
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -93,19 +93,19 @@
         wait_until(replica.has_ended, "its port is free")
         again = FleetReplica(replica.id, replica.service, replica.zone, port=replica.port)
         again.behaviour = replica.behaviour
-        again.born_ms = replica.born_ms + LATER_MS
+        again.started_ms = replica.started_ms + LATER_MS
         again.start()
         self.rig.replicas[replica.id] = again
         self.rig.store.put("servers", again.id, again.entry(seq=0))
         for name in self.rig.gateways:
             wait_until(
-                lambda name=name: self.born(name, again.id) == again.born_ms,
+                lambda name=name: self.born(name, again.id) == again.started_ms,
                 f"{name} knows the new start",
             )
         return again
 
     def born(self, gateway: str, replica_id: str) -> int:
-        return self.rig.gateways[gateway].control._table.get(replica_id).entry.born_ms
+        return self.rig.gateways[gateway].control._table.get(replica_id).entry.started_ms
 
 
 class SameIdTest(SameIdCase):
--- a/tests/test_gateway_callers.py
+++ b/tests/test_gateway_callers.py
@@ -85,7 +85,7 @@
         self.assertEqual(self.running(), 1)
         holder.sock.shutdown(socket.SHUT_RDWR)
         holder.close()
-        wait_until(lambda: self.rig.load_view.replicas(MODEL)[0].own_in_flight == 0)
+        wait_until(lambda: self.rig.load_view.replicas(MODEL)[0].local_in_flight == 0)
         wait_until(lambda: self.rig.gateway.admission.in_service == 0)
 
 
--- a/tests/test_item_run.py
+++ b/tests/test_item_run.py
@@ -15,10 +15,10 @@
 from quaymill.connection.replica_connection import ReplicaConnections
 from quaymill.connection.replica_entry import ReplicaEntry
 from quaymill.platform.gateway_role import GATEWAY_PROTOCOL
-from quaymill.process.jobs.coordinated_job import RunningItem
+from quaymill.process.jobs.coordinated_job import CoordinatedItem
 from quaymill.process.jobs.item_run import ItemCut, run_item
 from quaymill.process.replica_set.replica import Replica
-from quaymill.request.forwarding import SILENCE_PATIENCE_S
+from quaymill.request.forwarding import SILENCE_TIMEOUT_S
 from standin_support import wait_until
 
 REQUEST_ID = "00000000000000aa"
@@ -45,7 +45,7 @@
         self.replica = Replica(ReplicaEntry("engine-1", "engine", address, "x", slots=4))
         self.connections = ReplicaConnections(LinkFilter())
         self.addCleanup(self.connections.close)
-        self.item = RunningItem(0, JobItem(REQUEST_ID, "/r/1", {}, b"", 10))
+        self.item = CoordinatedItem(0, JobItem(REQUEST_ID, "/r/1", {}, b"", 10))
         self.outcomes: list[object] = []
 
     def run_until_answered(self, answer: bytes) -> tuple[threading.Thread, socket.socket]:
@@ -73,7 +73,7 @@
     @params(NO_HEAD, HEAD_ONLY, HALF_AN_EVENT)
     def test_a_preempted_item_does_not_blame_the_replica(self, answer: bytes) -> None:
         thread, _ = self.run_until_answered(answer)
-        self.item.giving_way = True
+        self.item.being_preempted = True
         self.item.cancel()
         self.assertFalse(self.outcome_of(thread).blames_replica)
 
@@ -88,7 +88,7 @@
         began = boot_clock.now()
         with mock.patch.object(Replica, "unreachable", True):
             self.outcome_of(thread)
-        self.assertLess(boot_clock.now() - began, SILENCE_PATIENCE_S)
+        self.assertLess(boot_clock.now() - began, SILENCE_TIMEOUT_S)
 
     @params(NO_HEAD, HEAD_ONLY, HALF_AN_EVENT)
     def test_an_item_at_an_unresponsive_replica_is_given_up(self, answer: bytes) -> None:
--- a/tests/test_job_orders.py
+++ b/tests/test_job_orders.py
@@ -13,7 +13,7 @@
 from quaymill.connection.job_storage_messages import (
     JobsRenewed,
     KeyedResult,
-    KnownOrder,
+    ListedItems,
     RenewJobs,
     ResultKey,
 )
@@ -121,7 +121,7 @@
         )
         peers = _FixedPeers({f"s{index}": reply for index, reply in enumerate(replies)})
         renewal = LeaseRenewal(peers, lambda: members[:live], lambda: members, CopyRules(2))
-        outcome = renewal.renew(RenewJobs("g#1", ("job",), orders=(KnownOrder("job", "0"),)))
+        outcome = renewal.renew(RenewJobs("g#1", ("job",), orders=(ListedItems("job", "0"),)))
         self.assertEqual({"job"} if confirmed else set(), outcome.confirmed)
 
 
@@ -141,4 +141,4 @@
         coordinated = CoordinatedJob(job(), None, "g#1")
         results = tuple(ListedResult(index, "d", ResultState.SUCCEEDED) for index in (2, 0))
         coordinated.update_listing(Listing(ListingDocument("g#1", 3, results), 1), as_of=0.0)
-        self.assertEqual(KnownOrder("job", "5"), coordinated.known_listing())
+        self.assertEqual(ListedItems("job", "5"), coordinated.known_listing())
--- a/tests/test_job_progress.py
+++ b/tests/test_job_progress.py
@@ -139,28 +139,28 @@
         return self.storage.sent
 
     def test_each_event_is_sent_once(self) -> None:
-        self.item.take_events(["a", "b"], "2")
+        self.item.add_events(["a", "b"], "2")
         self.assertEqual([("storage-0", progress_of(0, "ab"))], self.save())
         self.assertEqual([], self.save())
-        self.item.take_events(["c"], "3")
+        self.item.add_events(["c"], "3")
         self.assertEqual([("storage-0", progress_of(2, "c"))], self.save())
 
     def test_progress_that_was_not_stored_is_sent_again(self) -> None:
         self.storage.fails = True
-        self.item.take_events(["a"], "1")
+        self.item.add_events(["a"], "1")
         self.save()
         self.storage.fails = False
-        self.item.take_events(["b"], "2")
+        self.item.add_events(["b"], "2")
         self.assertEqual([("storage-0", progress_of(0, "ab"))], self.save())
 
     def test_all_progress_is_sent_to_a_new_node(self) -> None:
-        self.item.take_events(["a"], "1")
+        self.item.add_events(["a"], "1")
         self.save()
         self.storage.node = "storage-1"
         self.assertEqual([("storage-1", progress_of(0, "a"))], self.save())
 
     def test_a_job_that_is_adopted_again_starts_a_new_lineage(self) -> None:
-        self.item.take_events(["a"], "1")
+        self.item.add_events(["a"], "1")
         self.save()
         self.job = CoordinatedJob(job(), None, "g#1")
         self.job.items[0].resume_from(progress_of(0, "xyz"))
@@ -168,7 +168,7 @@
         self.assertEqual(2, len(self.storage.lineages))
 
     def test_progress_of_finished_items_is_not_sent(self) -> None:
-        self.item.take_events(["a"], "1")
+        self.item.add_events(["a"], "1")
         self.job.finish(self.item, ResultState.SUCCEEDED, "a")
         self.assertEqual([], self.save())
 
--- a/tests/test_online_queue.py
+++ b/tests/test_online_queue.py
@@ -57,7 +57,7 @@
 
     def report_load(self, online: int, batch: int = 0) -> None:
         for replica in self.table.replicas():
-            replica.take_pool_view(online, batch)
+            replica.record_pool_view(online, batch)
         self.queue.recheck()
 
     def keep_reporting_load(self, online: int) -> None:
@@ -111,8 +111,8 @@
 
     def wait_queued(self, count: int) -> None:
         deadline = time.monotonic() + WAIT_S
-        while self.queue.held != count:
-            self.assertLess(time.monotonic(), deadline, f"{self.queue.held} are queued")
+        while self.queue.waiting_requests != count:
+            self.assertLess(time.monotonic(), deadline, f"{self.queue.waiting_requests} are queued")
             time.sleep(0.005)
 
 
--- a/tests/test_poison_load.py
+++ b/tests/test_poison_load.py
@@ -144,7 +144,7 @@
     def _end(self, now: float, run: _Run) -> None:
         if run in self._running[run.replica]:
             self._running[run.replica].remove(run)
-            self._records.excuse(run.content)
+            self._records.discount_crashes(run.content)
             self.outcome.served += 1
 
     def _crash_by(self, now: float, culprit: _Run) -> None:
--- a/tests/test_poison_records.py
+++ b/tests/test_poison_records.py
@@ -8,7 +8,7 @@
 from nose2.tools import params
 
 from quaymill.connection.crash_messages import CrashRecord
-from quaymill.request.forwarded_request import content_of
+from quaymill.request.forwarded_request import content_digest_of
 from quaymill.request.poison import (
     BARRED_S,
     MAX_CRASHES,
@@ -43,7 +43,7 @@
         records = PoisonRecords()
         for _ in range(MAX_CRASHES):
             records.add("a", REPLICAS[0], 0.0)
-        self.assertEqual(1, records.crashes_of("a"))
+        self.assertEqual(1, records.crash_count("a"))
 
     def test_refusal_time_decreases_and_ends(self) -> None:
         records = records_with("a", MAX_CRASHES, now=100.0)
@@ -57,9 +57,9 @@
 
     def test_crashes_before_a_content_was_served_do_not_count(self) -> None:
         records = records_with("a", MAX_CRASHES - 1)
-        records.excuse("a")
+        records.discount_crashes("a")
         records.add("a", REPLICAS[MAX_CRASHES], 1.0)
-        self.assertEqual(1, records.crashes_of("a"))
+        self.assertEqual(1, records.crash_count("a"))
 
     def test_barred_contents_are_dropped_last(self) -> None:
         records = records_with("a", MAX_CRASHES)
@@ -116,7 +116,11 @@
         ("h", "POST", "/x/1b", b"ody"),
     )
     def test_different_requests_have_different_digests(self, *request) -> None:
-        self.assertNotEqual(content_of("h", "POST", "/x/1", b"body"), content_of(*request))
+        self.assertNotEqual(
+            content_digest_of("h", "POST", "/x/1", b"body"), content_digest_of(*request)
+        )
 
     def test_host_is_case_insensitive(self) -> None:
-        self.assertEqual(content_of("h", "GET", "/", b""), content_of("H", "GET", "/", b""))
+        self.assertEqual(
+            content_digest_of("h", "GET", "/", b""), content_digest_of("H", "GET", "/", b"")
+        )
--- a/tests/test_pool_queue.py
+++ b/tests/test_pool_queue.py
@@ -66,7 +66,7 @@
 
     def test_an_unserved_request_costs_no_share(self) -> None:
         first, second = self.tag_all("a", "a")
-        self.shares.take_back("a")
+        self.shares.cancel("a")
         self.assertEqual(second, self.shares.start_tag("a"))
         self.assertLess(first, second)
 
--- a/tests/test_replica_choice.py
+++ b/tests/test_replica_choice.py
@@ -48,7 +48,7 @@
 
     def test_less_loaded_replica_is_chosen(self) -> None:
         self.set_entries(entry("a"), entry("b"))
-        self.table.get("a").take_report(ReportedLoad(5, 2, 8))
+        self.table.get("a").record_report(ReportedLoad(5, 2, 8))
         self.assertEqual({"b"}, self.choices())
 
     def test_local_requests_count_at_once(self) -> None:
@@ -83,7 +83,7 @@
             self.lost_zones.add("there")
             for _ in range(5):
                 self.table.get("good").begin()
-            self.table.get("good").hear()
+            self.table.get("good").record_received()
         elif state == "draining":
             self.set_entries(entry("bad", draining=True), entry("good"))
         elif state == "departed":
@@ -98,7 +98,7 @@
             # By load alone, the silent replica would be chosen.
             for _ in range(5):
                 self.table.get("good").begin()
-            self.table.get("good").hear()
+            self.table.get("good").record_received()
         self.assertEqual({"good"}, self.choices())
 
     def test_answers_of_other_requests_end_the_silence(self) -> None:
@@ -107,7 +107,7 @@
         replica.begin()
         replica._quiet_since = time.monotonic() - 5.0
         self.assertTrue(replica.silent)
-        replica.hear()
+        replica.record_received()
         self.assertFalse(replica.silent)
 
     def test_closed_connection_is_not_received_data(self) -> None:
@@ -115,9 +115,9 @@
         replica = self.table.get("a")
         replica.begin()
         replica.begin_answer()
-        self.assertEqual(-math.inf, replica.heard_at)
-        replica.hear()
-        self.assertGreater(replica.heard_at, 0.0)
+        self.assertEqual(-math.inf, replica.last_received_at)
+        replica.record_received()
+        self.assertGreater(replica.last_received_at, 0.0)
 
     def test_failing_replicas_are_used_if_there_are_no_others(self) -> None:
         self.set_entries(entry("a"), entry("b"))
@@ -160,7 +160,7 @@
     def test_old_reports_decay(self) -> None:
         self.set_entries(entry("a"))
         replica = self.table.get("a")
-        replica.take_report(ReportedLoad(8, 8, 8))
+        replica.record_report(ReportedLoad(8, 8, 8))
         at = time.monotonic()
         with mock.patch.object(boot_clock, "now", lambda: at + 10.0):
             self.assertLess(replica.load(), 0.1)
--- a/tests/test_replica_table.py
+++ b/tests/test_replica_table.py
@@ -67,7 +67,7 @@
     def test_same_content_at_a_newer_revision_is_requested_once(self):
         table = ReplicaTable()
         table.replace_all((A, B), 10)
-        table.take_from_peer((B, A), 20)
+        table.replace_from_peer((B, A), 20)
         self.assertEqual({"a", "b"}, {one.id for one in table.entries()})
         self.assertEqual(20, table.revision)
 
--- a/tests/test_replica_warnings.py
+++ b/tests/test_replica_warnings.py
@@ -49,13 +49,13 @@
     """When a replica with 8 slots that sends nothing counts as silent."""
 
     def full(self) -> None:
-        self.first.take_pool_view(online_elsewhere=3, batch=4)
+        self.first.record_pool_view(online_elsewhere=3, batch=4)
 
     def some_free(self) -> None:
-        self.first.take_pool_view(online_elsewhere=3, batch=3)
+        self.first.record_pool_view(online_elsewhere=3, batch=3)
 
     def reported_full(self) -> None:
-        self.first.take_report(ReportedLoad(running=8, waiting=0, slots=8))
+        self.first.record_report(ReportedLoad(running=8, waiting=0, slots=8))
 
     def unknown(self) -> None:
         pass
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -190,7 +190,7 @@
         fleet = RoutedFleet([replica("a1", load=0), replica("a2", load=0)])
         for _ in range(100):
             fleet.choose().begin()
-        self.assertEqual([one.own_in_flight for one in fleet.replicas.values()], [50, 50])
+        self.assertEqual([one.local_in_flight for one in fleet.replicas.values()], [50, 50])
 
     def test_local_requests_override_a_report_of_an_idle_replica(self):
         wrongly_idle = replica("a1", load=0)
@@ -198,7 +198,7 @@
         for _ in range(100):
             fleet.choose().begin()
             wrongly_idle.offer_report(LoadReport("a1", age_s=0.0, running=0, slots=32))
-        self.assertLessEqual(wrongly_idle.own_in_flight, 51)
+        self.assertLessEqual(wrongly_idle.local_in_flight, 51)
 
     @params(("no report", None, 0.0), ("too old", 0, 60.0))
     def test_unknown_load_does_not_count_as_idle(self, _, load, age_s):
@@ -211,7 +211,7 @@
         fleet = RoutedFleet([replica(f"a{number}", load=None) for number in range(4)])
         for _ in range(100):
             fleet.choose().begin()
-        self.assertLess(max(one.own_in_flight for one in fleet.replicas.values()), 30)
+        self.assertLess(max(one.local_in_flight for one in fleet.replicas.values()), 30)
 
 
 class AffinityTest(unittest.TestCase):
@@ -228,7 +228,7 @@
         fleet = RoutedFleet([replica(f"a{number}") for number in range(4)])
         for _ in range(80):
             fleet.choose("same").begin()
-        self.assertLess(max(one.own_in_flight for one in fleet.replicas.values()), 30)
+        self.assertLess(max(one.local_in_flight for one in fleet.replicas.values()), 30)
 
 
 class EjectionTest(unittest.TestCase):
--- a/tests/test_slot_allocator.py
+++ b/tests/test_slot_allocator.py
@@ -45,7 +45,7 @@
     SlotAllocator,
 )
 from quaymill.process.jobs.slot_claims import AVOID_ALLOCATOR_S, AllocatorChoice, SlotClaims
-from quaymill.process.membership.ranking import strongest
+from quaymill.process.membership.ranking import strongest_members
 from quaymill.process.replica_set.router import PlacementConstraints
 from quaymill.process.replica_set.table import ReplicaTable
 from quaymill.version.request_routes import RequestRoute, RouteKind, WeightedService
@@ -448,7 +448,7 @@
     ) -> None:
         # Two hundred events at 25 ms: five seconds for a complete item, six with the margin.
         self.record(200, 100, 2.5)
-        self.item.take_events(["x"] * events, str(events))
+        self.item.add_events(["x"] * events, str(events))
         self.assertEqual(expected, self.left_s(after_s) == INFEASIBLE_DUE_S)
 
     def test_averages_follow_recent_items(self) -> None:
@@ -603,7 +603,7 @@
             msgspec.structs.replace(member(f"g{n}", n + 1), cores=one)
             for n, one in enumerate(cores)
         ]
-        self.assertEqual(expected, len(strongest(members)))
+        self.assertEqual(expected, len(strongest_members(members)))
 
     def test_all_gateways_claim_from_the_same_allocator(self) -> None:
         for own_name in ("a", "b", "c"):
--- a/tests/test_store_pages.py
+++ b/tests/test_store_pages.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 from nose2.tools import params
 
-from quaymill.connection.object_store import Listing, StoredObject, UnreadObject
+from quaymill.connection.object_store import Listing, StoredObject, UnreadableObject
 from quaymill.connection.replica_entry import ReplicaEntry
 from quaymill.platform.configuration import decode_configuration, decode_replica
 from quaymill.platform.store_pages import (
@@ -143,7 +143,7 @@
 
     @params(*UNREADABLE)
     def test_alone(self, form: str) -> None:
-        self.assertIsInstance(read_object(UNREADABLE[form]), UnreadObject)
+        self.assertIsInstance(read_object(UNREADABLE[form]), UnreadableObject)
 
     @params(*UNREADABLE)
     def test_as_the_last_one(self, form: str) -> None:
@@ -154,7 +154,7 @@
 
     def test_it_is_named_where_it_can_be(self) -> None:
         page = read_list_page(list_of(UNREADABLE["not a number"], item("last")))
-        self.assertEqual(["bad"], [found.name for found in page.unread])
+        self.assertEqual(["bad"], [found.name for found in page.unreadable])
 
     @params(1, 40, 200)
     def test_a_page_cut_short_is_no_page(self, missing: int) -> None:
@@ -285,4 +285,4 @@
         self.assertIsInstance(page, ListPage)
         names = {found.name for found in page.objects}
         self.assertLessEqual({"first", "last"}, names)
-        self.assertIsInstance(Listing(page.objects, page.revision, page.unread), Listing)
+        self.assertIsInstance(Listing(page.objects, page.revision, page.unreadable), Listing)
--- a/tests/test_uneven_replicas.py
+++ b/tests/test_uneven_replicas.py
@@ -116,7 +116,7 @@
         loads = {one.id: rng.choice((0, 1, 2, 4.25, 8, 9, 17.5)) for one in replicas}
         offsets = {one.id: rng.choice((0.0, -1.0, 2.0)) for one in replicas}
         for one in replicas:
-            one.take_report(ReportedLoad(1, 0, 8))
+            one.record_report(ReportedLoad(1, 0, 8))
         ties = random.Random(seed)
 
         def plain(one: Replica) -> tuple[float, float]:
@@ -173,7 +173,7 @@
         )
         slow = self.table.get("x1")
         reporter.began(slow)
-        slow.take_report(ReportedLoad(1, 0, 8, 2.5))
+        slow.record_report(ReportedLoad(1, 0, 8, 2.5))
         reporter.ended(slow)
         reporter.place(slow, PlacementConstraints(frozenset(), {}))
         reporter._place_again_at = 0.0
--- a/tests/test_zone_cut.py
+++ b/tests/test_zone_cut.py
@@ -98,9 +98,9 @@
         return proxy
 
     @property
-    def reach(self) -> Any:
+    def zone_reachability(self) -> Any:
         """The zone reachability as known to the gateway of the partitioned zone."""
-        return self.rig.gateways[GATEWAY].network.reach
+        return self.rig.gateways[GATEWAY].network.zone_reachability
 
     def make_quick(self) -> None:
         for replica in self.rig.of_service("engine"):
@@ -173,7 +173,7 @@
 
     def test_request_waiting_for_its_first_byte_is_retried_at_once(self) -> None:
         # The replica's own silence must not end the attempt before the zone's state does.
-        patch = mock.patch.object(forwarding, "SILENCE_PATIENCE_S", WHOLE_ANSWER_TIMEOUT_S)
+        patch = mock.patch.object(forwarding, "SILENCE_TIMEOUT_S", WHOLE_ANSWER_TIMEOUT_S)
         patch.start()
         self.addCleanup(patch.stop)
         local, other = self.applications()
@@ -210,13 +210,13 @@
         for index in range(8):  # More than the local engine has slots.
             self.send(f"r-{index}")
         wait_until(
-            lambda: all(self.reach.is_unreachable(zone) for zone in ZONES[1:]),
+            lambda: all(self.zone_reachability.is_unreachable(zone) for zone in ZONES[1:]),
             "both are unreachable",
         )
         self.heal()
         began = time.monotonic()
         wait_until(
-            lambda: not any(self.reach.is_unreachable(zone) for zone in ZONES),
+            lambda: not any(self.zone_reachability.is_unreachable(zone) for zone in ZONES),
             "all are reachable",
         )
         self.assertLess(time.monotonic() - began, DETECTED_AFTER_S)
--- a/tests/test_zone_reachability.py
+++ b/tests/test_zone_reachability.py
@@ -128,8 +128,8 @@
     """The attributes of a replica that zone reachability uses."""
 
     zone: str
-    heard_at: float = NEVER
-    owes_since: float | None = None
+    last_received_at: float = NEVER
+    unanswered_since: float | None = None
     entry: object = attrs.field(factory=mock.Mock)
 
 
@@ -158,14 +158,14 @@
         self._datagram_listener: Callable[[str], None] = lambda name: None
         self._checked_at = self.now
         self.replicas: list[FakeReplica] = []
-        self.reach = ZoneReachability(LOCAL, self)
-        self.reach._random = random.Random(1)
-        self.reach.watch_replicas(lambda: self.replicas)
+        self.zone_reachability = ZoneReachability(LOCAL, self)
+        self.zone_reachability._random = random.Random(1)
+        self.zone_reachability.watch_replicas(lambda: self.replicas)
 
     def start(self) -> None:
         """Start zone reachability without its thread; ``run`` makes the checks."""
         with mock.patch("threading.Thread.start"):
-            self.reach.start()
+            self.zone_reachability.start()
 
     # The interface of the membership.
 
@@ -203,12 +203,12 @@
 
     def call(self, one: Member) -> None:
         """Call a peer, which answers after ``ANSWER_S`` unless it is cut off or down."""
-        token = self.reach.began(one.peer)
+        token = self.zone_reachability.began(one.peer)
         if self.is_up(one):
-            self.schedule(ANSWER_S, lambda: self.reach.ended(token, PeerRefusal("")))
+            self.schedule(ANSWER_S, lambda: self.zone_reachability.ended(token, PeerRefusal("")))
         else:
             failure = PeerNoReply(one.peer, "")
-            self.schedule(CALL_TIMEOUT_S, lambda: self.reach.ended(token, failure))
+            self.schedule(CALL_TIMEOUT_S, lambda: self.zone_reachability.ended(token, failure))
 
     def run(self, duration_s: float, on_step: Callable[[], None] = lambda: None) -> None:
         """Advance the time, with checks at ``CHECK_INTERVAL_S`` unless paused."""
@@ -224,12 +224,12 @@
                 action()
             if self.now - self._checked_at >= CHECK_INTERVAL_S - STEP_S / 2:
                 self._checked_at = self.now
-                self.reach.check()
+                self.zone_reachability.check()
 
     def run_until_unreachable(self, zone: str, on_step: Callable[[], None] = lambda: None) -> float:
         """Advance the time until a zone is unreachable, for at most 5 s; return the duration."""
         began = self.now
-        while not self.reach.is_unreachable(zone) and self.now < began + 5.0:
+        while not self.zone_reachability.is_unreachable(zone) and self.now < began + 5.0:
             self.run(STEP_S, on_step)
         return self.now - began
 
@@ -247,7 +247,11 @@
         return simulation
 
     def unreachable_in(self, simulation: ZoneSimulation) -> set[str]:
-        return {zone for zone in (LOCAL, CUT, OTHER) if simulation.reach.is_unreachable(zone)}
+        return {
+            zone
+            for zone in (LOCAL, CUT, OTHER)
+            if simulation.zone_reachability.is_unreachable(zone)
+        }
 
     def test_cut_zone_is_detected_within_the_latency_objective(self) -> None:
         simulation = self.simulation()
@@ -259,12 +263,12 @@
     def test_silent_replica_leads_to_detection(self) -> None:
         simulation = self.simulation()
         simulation.cut_zones = {CUT}
-        simulation.replicas = [FakeReplica(CUT, owes_since=simulation.now)]
+        simulation.replicas = [FakeReplica(CUT, unanswered_since=simulation.now)]
         self.assertLess(simulation.run_until_unreachable(CUT), OBJECTIVE_S)
 
     def test_message_just_before_the_cut_delays_detection_only_briefly(self) -> None:
         simulation = self.simulation()
-        simulation.replicas = [FakeReplica(CUT, owes_since=simulation.now)]
+        simulation.replicas = [FakeReplica(CUT, unanswered_since=simulation.now)]
         simulation.run(STEP_S)
         simulation._datagram_listener(f"{CUT}/1")
         simulation.cut_zones = {CUT}
@@ -273,7 +277,7 @@
     def test_two_silent_machines_never_make_a_larger_zone_unreachable(self) -> None:
         simulation = self.simulation()
         simulation.down = {simulation.members_in(CUT)[0].name, simulation.members_in(CUT)[1].name}
-        simulation.replicas = [FakeReplica(CUT, owes_since=simulation.now)]
+        simulation.replicas = [FakeReplica(CUT, unanswered_since=simulation.now)]
 
         def call() -> None:
             simulation.call(simulation.members_in(CUT)[0])
@@ -303,7 +307,7 @@
 
     def test_slow_replicas_cause_few_probes(self) -> None:
         simulation = self.simulation()
-        simulation.replicas = [FakeReplica(CUT, owes_since=simulation.now) for _ in range(8)]
+        simulation.replicas = [FakeReplica(CUT, unanswered_since=simulation.now) for _ in range(8)]
         simulation.run(2.0)
         self.assertEqual(set(), self.unreachable_in(simulation))
         probe_rounds = 1 + 2.0 / REPROBE_AFTER_S
@@ -328,11 +332,11 @@
         simulation = self.simulation()
         for one in simulation.members_in(CUT):
             simulation.call(one)
-        simulation.replicas = [FakeReplica(CUT, owes_since=simulation.now)]
+        simulation.replicas = [FakeReplica(CUT, unanswered_since=simulation.now)]
         simulation.paused = True
         simulation.run(5.0)
         simulation.paused = False
-        simulation.reach.check()
+        simulation.zone_reachability.check()
         self.assertEqual(set(), self.unreachable_in(simulation))
         self.assertEqual(0, simulation.probes_sent)
         simulation.run(1.0)
@@ -367,8 +371,8 @@
     def test_any_message_makes_the_zone_reachable(self) -> None:
         messages: dict[str, Callable[[ZoneSimulation], None]] = {
             "datagram": lambda simulation: simulation._datagram_listener(f"{CUT}/3"),
-            "answer": lambda simulation: simulation.reach.ended(
-                simulation.reach.began(Endpoint(CUT, 2)), PeerRefusal("")
+            "answer": lambda simulation: simulation.zone_reachability.ended(
+                simulation.zone_reachability.began(Endpoint(CUT, 2)), PeerRefusal("")
             ),
             "replica": lambda simulation: simulation.replicas.append(
                 FakeReplica(CUT, simulation.now)
@@ -382,15 +386,15 @@
                 simulation.run_until_unreachable(CUT)
                 simulation.run(1.0)
                 send(simulation)
-                simulation.reach.check()
+                simulation.zone_reachability.check()
                 self.assertEqual(set(), self.unreachable_in(simulation))
 
     def test_refused_connection_causes_no_probe(self) -> None:
         simulation = self.simulation()
         endpoint = simulation.members_in(CUT)[0].peer
-        token = simulation.reach.began(endpoint)
+        token = simulation.zone_reachability.began(endpoint)
         simulation.run(STEP_S)
-        simulation.reach.ended(token, PeerUnreachable(endpoint, "refused"))
+        simulation.zone_reachability.ended(token, PeerUnreachable(endpoint, "refused"))
         simulation.run(1.0)
         self.assertEqual(0, simulation.probes_sent)
 
@@ -399,12 +403,14 @@
         simulation.cut_zones = {CUT}
         simulation.call(simulation.members_in(CUT)[0])
         simulation.run_until_unreachable(CUT)
-        self.assertTrue(simulation.reach.refuses(simulation.members_in(CUT)[1].peer))
-        self.assertFalse(simulation.reach.refuses(simulation.members_in(OTHER)[1].peer))
-        chosen = simulation.reach.reachable(simulation.members())
+        self.assertTrue(simulation.zone_reachability.refuses(simulation.members_in(CUT)[1].peer))
+        self.assertFalse(simulation.zone_reachability.refuses(simulation.members_in(OTHER)[1].peer))
+        chosen = simulation.zone_reachability.prefer_reachable(simulation.members())
         self.assertEqual({LOCAL, OTHER}, {one.zone for one in chosen})
         in_cut_zone = simulation.members_in(CUT)
-        self.assertEqual(tuple(in_cut_zone), simulation.reach.reachable(in_cut_zone))
+        self.assertEqual(
+            tuple(in_cut_zone), simulation.zone_reachability.prefer_reachable(in_cut_zone)
+        )
 
     def test_zone_without_members_is_not_unreachable(self) -> None:
         simulation = self.simulation()
@@ -412,10 +418,10 @@
         simulation.call(simulation.members_in(CUT)[0])
         simulation.run_until_unreachable(CUT)
         simulation._known = [one for one in simulation._known if one.zone != CUT]
-        simulation.reach._on_members_changed()
+        simulation.zone_reachability._on_members_changed()
         simulation.run(0.2)
-        self.assertEqual(0, simulation.reach.unreachable_zones)
-        self.assertFalse(simulation.reach.is_unreachable(CUT))
+        self.assertEqual(0, simulation.zone_reachability.unreachable_zones)
+        self.assertFalse(simulation.zone_reachability.is_unreachable(CUT))
 
     def test_zone_of_dead_nodes_is_assessed_by_its_replicas(self) -> None:
         """An upgrade may stop all nodes of a small zone while its replicas continue to run."""
@@ -428,17 +434,20 @@
             else one
             for one in simulation._known
         ]
-        simulation.reach._on_members_changed()
+        simulation.zone_reachability._on_members_changed()
         simulation.call(simulation.members_in(OTHER)[0])
         simulation.run(1.0)
-        self.assertFalse(simulation.reach.is_unreachable(CUT))
-        simulation.replicas = [FakeReplica(CUT, owes_since=simulation.now) for _ in range(3)]
+        self.assertFalse(simulation.zone_reachability.is_unreachable(CUT))
+        simulation.replicas = [FakeReplica(CUT, unanswered_since=simulation.now) for _ in range(3)]
         simulation.run(0.5)
-        self.assertTrue(simulation.reach.is_unreachable(CUT))
+        self.assertTrue(simulation.zone_reachability.is_unreachable(CUT))
         simulation.replicas = [FakeReplica(CUT)]
-        simulation.reach._is_reached = lambda endpoint: True
+        simulation.zone_reachability._responds = lambda endpoint: True
         simulation.run(0.5)
-        wait_until(lambda: not simulation.reach.is_unreachable(CUT), "a replica takes a connection")
+        wait_until(
+            lambda: not simulation.zone_reachability.is_unreachable(CUT),
+            "a replica takes a connection",
+        )
 
     def test_local_zone_counts_as_cut_off_if_too_many_zones_are_unreachable(self) -> None:
         rows = (({CUT}, {LOCAL: True, CUT: True}), ({CUT, OTHER}, {LOCAL: True, CUT: False}))
@@ -449,7 +458,7 @@
                     simulation,
                     mock.Mock(),
                     mock.Mock(),
-                    simulation.reach,
+                    simulation.zone_reachability,
                     mock.Mock(),
                     zones_lost_at_once=1,
                 )
@@ -465,7 +474,7 @@
     def test_unreachable_gateways_are_not_ranked_and_not_counted_as_live(self) -> None:
         simulation = self.simulation()
         fleet = GatewayFleet(
-            simulation, f"{LOCAL}/0", lambda one: True, simulation.reach.is_unreachable
+            simulation, f"{LOCAL}/0", lambda one: True, simulation.zone_reachability.is_unreachable
         )
         self.assertEqual(15, len(fleet.ranked("tenant")))
         simulation.cut_zones = {CUT}
--- a/tests/uneven_player.py
+++ b/tests/uneven_player.py
@@ -198,7 +198,7 @@
         self._push(self._end_of(server, request.work_s), self._end, request, number)
 
     def _report(self, view: int, number: int, slowness: float) -> None:
-        self._views[view][number].take_slowness(slowness, self._load.report_delay_s)
+        self._views[view][number].record_slowness(slowness, self._load.report_delay_s)
 
     def _end(self, request: _Request, number: int) -> None:
         server = self._servers[number]
@@ -213,7 +213,7 @@
         if self._load.views > 1:
             slowness = self._slowness(server, self._now) if self._reports_slowness else 1.0
             slots = self._load.slots
-            replica.take_report(ReportedLoad(server.running, len(server.queue), slots, slowness))
+            replica.record_report(ReportedLoad(server.running, len(server.queue), slots, slowness))
 
     def _draw_slow_periods(self) -> list[float]:
         load = self._load
