--- a/src/quaymill/connection/crash_messages.py
+++ b/src/quaymill/connection/crash_messages.py
@@ -46,7 +46,8 @@
     records
         All records of the answering gateway, if they were requested.
     settled
-        Whether the answering gateway has received, since its start, the earlier records of others.
+        Whether the answering gateway has already fetched the records that other gateways had when
+        it started.
     """
 
     records: tuple[CrashRecord, ...] = ()
--- a/src/quaymill/connection/engine_client.py
+++ b/src/quaymill/connection/engine_client.py
@@ -1,7 +1,7 @@
 """Client for model engines, which speak OpenAI's protocol with extra fields.
 
-An answer is valid only if it echoes the id of the attempt, and a stream is complete only with
-its terminator. Events are checked as raw bytes and parsed only where necessary, for speed.
+A successful answer is valid only if it echoes the id of the attempt, and a stream is complete only
+with its terminator. Events are checked as raw bytes and parsed only where necessary, for speed.
 """
 
 from __future__ import annotations
@@ -61,7 +61,7 @@
         self._partial = b""
 
     def set_stall_timeout(self, timeout_s: float) -> None:
-        """Set the timeout for each of the next events."""
+        """Set the timeout of each following read."""
         self._exchange.set_read_timeout(timeout_s)
 
     def next_events(self) -> bytes | OutcomeUnknown:
@@ -85,7 +85,7 @@
             return self._check_events(events)
 
     def finish(self) -> None:
-        """Read the end of the body after the terminator, and release the connection."""
+        """Release the connection if the body ends after the terminator; close it otherwise."""
         self._exchange.set_read_timeout(STREAM_END_TIMEOUT_S)
         if self._exchange.read_block() == b"":
             self._exchange.release()
--- a/src/quaymill/connection/job_messages.py
+++ b/src/quaymill/connection/job_messages.py
@@ -19,7 +19,7 @@
     """States of a batch job, named as in OpenAI's batch API.
 
     IN_PROGRESS -> COMPLETED when every item has ended;
-    IN_PROGRESS -> CANCELLED when the tenant cancels; both ends are final.
+    IN_PROGRESS -> CANCELLED when the tenant cancels. Both of these states are final.
     """
 
     IN_PROGRESS = "in_progress"
--- a/src/quaymill/connection/job_storage_messages.py
+++ b/src/quaymill/connection/job_storage_messages.py
@@ -232,7 +232,7 @@
     handed_over_jobs
         Jobs that the coordinator has handed over to another one.
     orders
-        Listed items of every open job, including jobs whose lease this node does not hold.
+        Listed items of every open job, including jobs without a lease at the receiving node.
     """
 
     repeatable: ClassVar[bool] = True
--- a/src/quaymill/connection/limit_messages.py
+++ b/src/quaymill/connection/limit_messages.py
@@ -7,8 +7,8 @@
 from quaymill.connection.peer_link import PeerMessage
 
 AGE_PARTS = 5
-"""Number of equal parts of the window in which gateways report the age of granted requests. With
-fewer parts, a request is counted for longer after it has left the window."""
+"""Number of equal parts into which the window is divided to report the ages of granted requests.
+With fewer parts, a request is counted for longer after it has left the window."""
 
 
 class GrantedBy(msgspec.Struct, frozen=True, array_like=True):
--- a/src/quaymill/connection/member.py
+++ b/src/quaymill/connection/member.py
@@ -12,9 +12,10 @@
 class MemberState(enum.StrEnum):
     """States of a node as seen by its peers.
 
-    ALIVE -> SUSPECT when probes fail; SUSPECT -> DEAD when the suspicion is not refuted in time;
-    SUSPECT or DEAD -> ALIVE when the node answers with a higher incarnation;
-    any -> DRAINING when the node announces a planned stop; DRAINING -> DEAD when it has stopped.
+    ALIVE or DRAINING -> SUSPECT when probes fail;
+    SUSPECT -> DEAD when the suspicion is not refuted in time;
+    SUSPECT or DEAD -> ALIVE or DRAINING when the node refutes it with a higher incarnation;
+    any -> DRAINING when the node announces a planned stop.
     ``Member.draining`` stays set when a draining node becomes SUSPECT.
     """
 
@@ -30,7 +31,8 @@
     Attributes
     ----------
     incarnation
-        Number that the node increases to refute a suspicion; the highest one is valid.
+        Number that the node increases when it starts, drains or refutes a suspicion; the record
+        with the highest one is valid.
     configuration_generation
         Generation of the serving configuration that is active on the node.
     machine_list_version
--- a/src/quaymill/connection/peer_server.py
+++ b/src/quaymill/connection/peer_server.py
@@ -57,7 +57,7 @@
     received
         Bytes received that have not been taken as lines yet.
     searched_bytes
-        Number of bytes at their start that are known to hold no newline.
+        Number of bytes at the start of ``received`` that are known to contain no newline.
     idle_since
         Monotonic time at which the connection last became idle.
     """
@@ -133,7 +133,7 @@
 
     def start(self) -> None:
         """Start accepting peers."""
-        # A union of one type is that type, which msgspec decodes without a tag; so add a second.
+        # msgspec requires the tag only in a union of several types, so a second type is added.
         self._decoder = msgspec.json.Decoder(Union[tuple([*self._handlers, PeerRefusal])])  # noqa: UP007
         threading.Thread(target=self._accept_peers, name="peer-accept", daemon=True).start()
         self._start_worker()
--- a/src/quaymill/connection/platform_client.py
+++ b/src/quaymill/connection/platform_client.py
@@ -1,7 +1,7 @@
 """Client for the platform's object API: typed results, compare-and-swap and watches.
 
 After ``PlatformUnavailable`` with ``may_have_acted`` a change may have taken effect although no
-answer was received; the caller must read the object before it relies on either.
+answer was received; the caller must read the object to find out.
 """
 
 from __future__ import annotations
--- a/src/quaymill/connection/platform_objects.py
+++ b/src/quaymill/connection/platform_objects.py
@@ -52,7 +52,7 @@
     Attributes
     ----------
     may_have_acted
-        Whether the request may have taken effect; ``False`` if it was not sent.
+        Whether the request may have taken effect; ``False`` if it certainly changed nothing.
     """
 
     reason: str
--- a/src/quaymill/process/membership/failure_detector.py
+++ b/src/quaymill/process/membership/failure_detector.py
@@ -18,7 +18,7 @@
 
 INDIRECT_PROBES = 3
 PROCESS_PAUSE_S = 1.0
-"""Delay of a probe from which on this process itself is assumed to have been paused."""
+"""If a round of probing is late by more than this, this process itself was probably paused."""
 MAX_RELAYED_PROBES = 1000
 RELAYED_PROBE_LIFETIME_S = 5.0
 MAX_TIMEOUT_FACTOR = 8.0
@@ -26,10 +26,11 @@
 TIMEOUT_FACTOR_GROWTH = 2.0
 """Factor by which a late reply extends the timeouts."""
 TIMEOUT_FACTOR_DECAY = 0.8
-"""Factor by which an early reply shortens the timeouts. It takes about three early replies to
-undo a late one, which avoids oscillation in a fleet that is barely fast enough."""
+"""Factor by which an early reply shortens the timeouts. About three early replies undo a late one,
+which avoids oscillation in a fleet that is barely fast enough."""
 EARLY_SHARE = 0.5
-"""Fraction of the timeout within which a reply is early; it would also be in time after a decay."""
+"""Fraction of the timeout within which a reply is early. It is below ``TIMEOUT_FACTOR_DECAY``, so
+an early reply would also have met the shortened timeout."""
 REMEMBERED_ABANDONED_PROBES = 16
 """Abandoned probes whose replies are still recognised as late."""
 
--- a/src/quaymill/process/membership/member_socket.py
+++ b/src/quaymill/process/membership/member_socket.py
@@ -81,7 +81,7 @@
             try:
                 line, address = self._socket.recvfrom(RECEIVE_BYTES)
             except OSError:
-                continue  # An earlier datagram may have failed, such as with "connection refused".
+                continue  # Reports that an earlier send failed, such as "connection refused".
             datagram = decode_datagram(line)
             if datagram is None:
                 continue
--- a/src/quaymill/process/membership/member_table.py
+++ b/src/quaymill/process/membership/member_table.py
@@ -2,7 +2,8 @@
 
 Of two records of a member, the one with the higher incarnation wins. Within an incarnation, DEAD
 overrides SUSPECT, and SUSPECT overrides ALIVE and DRAINING; generation and machine list version
-only increase. Only the member itself raises its incarnation, to refute reports about it.
+only increase. Only the member itself raises its incarnation: when it starts, announces that it is
+draining, or refutes a report about itself.
 """
 
 from __future__ import annotations
--- a/src/quaymill/process/membership/membership.py
+++ b/src/quaymill/process/membership/membership.py
@@ -50,7 +50,7 @@
 PROCESS_ID_BYTES = 4
 
 MAX_CONFIRMED_AGE_S = 60.0
-"""Age from which on a confirmation is no longer reported to other nodes."""
+"""Age at which a confirmation is no longer reported to other nodes."""
 MIN_LOGGED_SUSPENSION_S = 0.2
 """Shortest suspension that is logged; no timeout that other nodes rely on is shorter."""
 
@@ -165,7 +165,7 @@
 
     @property
     def timeout_factor(self) -> float:
-        """Factor by which timeouts of probes are extended now; 1 while replies arrive early."""
+        """Factor by which probe intervals and timeouts are extended now; at least 1."""
         return self._detector.timeout_factor
 
     def probe(self, members: Iterable[Member]) -> None:
@@ -229,8 +229,8 @@
         revision = self._table.revision
         for record in datagram.records:
             update = self._table.merge(record.member())
-            # Records from a comparison are not spread further, except the local one, since
-            # other nodes receive them from their own comparisons.
+            # Records received in a comparison are not spread, since other nodes receive them in
+            # comparisons of their own. A refutation by this node is always spread.
             if update is not None and (
                 not isinstance(datagram, SyncAnswer) or update.name == self.local().name
             ):
--- a/src/quaymill/process/membership/messages.py
+++ b/src/quaymill/process/membership/messages.py
@@ -1,8 +1,8 @@
 """Datagrams of the membership: one JSON line each, at most ``MAX_DATAGRAM_BYTES``.
 
 Every datagram contains its sender's incarnation, generation and machine list version, so that a
-new configuration becomes known without a message of its own, and records of members that have
-changed recently.
+new configuration becomes known without a message of its own. It may also contain records of members
+that have changed recently.
 """
 
 from __future__ import annotations
@@ -87,12 +87,12 @@
     Attributes
     ----------
     confirmed_ms_ago
-        How long ago, in milliseconds, these versions were known to be the platform's newest; -1
-        if that is not known.
+        How long ago, in milliseconds, ``generation`` and ``machines`` were known to be the
+        platform's newest; -1 if that is not known.
     crashes
         Digest of the crashes that the sender knows of; 0 if none.
     records
-        Members as the sender sees them, the newest changes first.
+        Records of members as the sender knows them.
     """
 
     sender: str
--- a/src/quaymill/process/membership/ranking.py
+++ b/src/quaymill/process/membership/ranking.py
@@ -23,7 +23,7 @@
 def rank_nodes(key: str, members: Iterable[Member], zone: str = "") -> tuple[Member, ...]:
     """Return members by rendezvous hashing of ``key``, those in ``zone`` first if one is given.
 
-    Removing a member moves only the keys on which it ranked first.
+    Removing a member changes the first-ranked member only of keys for which it ranked first.
     """
     return tuple(
         sorted(
@@ -40,7 +40,7 @@
     """Return members by rendezvous hashing of ``key``, in rounds of one member per zone.
 
     Each zone is used once before any zone is used again. The first member is the same as that of
-    ``rank_nodes``. Removing a member affects only the keys for which it ranked high.
+    ``rank_nodes``. Removing a member leaves the members before it in place.
     """
     ranked = rank_nodes(key, members)
     round_by_name: dict[str, int] = {}
--- a/src/quaymill/process/membership/synchronisation.py
+++ b/src/quaymill/process/membership/synchronisation.py
@@ -40,7 +40,7 @@
         self._random = random_source
 
     def begin(self, target: Endpoint) -> None:
-        """Send the digests of this node's table and its own record to another node."""
+        """Send the digests of this node's table, and this node's record, to another node."""
         sync = Sync(**self._header_fields(), digests=self._table.digests())
         sync.records = (MemberRecord.of(self._table.local()),)
         self._socket.send(target, sync)
@@ -70,7 +70,8 @@
     def _batches(self, buckets: frozenset[int], wanted: tuple[int, ...]) -> list[list[Member]]:
         """Return the members of the buckets in batches that fit into one datagram each."""
         members = self._table.in_buckets(buckets)
-        self._random.shuffle(members)  # Records over the limit differ from exchange to exchange.
+        # If there are too many records for one exchange, each exchange omits different ones.
+        self._random.shuffle(members)
         empty = SyncAnswer(**self._header_fields(), wanted=wanted)
         capacity_bytes = MAX_DATAGRAM_BYTES - len(encode_datagram(empty))
         batches: list[list[Member]] = [[]]
--- a/src/quaymill/process/membership/zone_reachability.py
+++ b/src/quaymill/process/membership/zone_reachability.py
@@ -32,13 +32,13 @@
 REPLICA_PROBE_AFTER_S = 0.1
 """The same for a replica, whose first byte normally takes tens of milliseconds."""
 REPROBE_AFTER_S = 0.25
-"""Time without a message from a zone after which it is probed because of a request that is older
-than the zone's last message: the request may just take long, or the zone was cut off after that
-message."""
+"""Time without a message from a zone after which an outstanding request is a reason to probe it,
+although the zone has sent something since the request began. The request may just take long, or
+the zone may have been cut off after its last message."""
 SILENT_AFTER_S = 0.1
-"""Time without a reply after which a probed peer counts as silent. Together with the time until
-the probe it stays below the shortest latency objective (0.3 s), within which a request is sent to
-another zone."""
+"""Time without a reply after which a probed peer counts as silent. It is short enough that a cut
+zone is detected, and its requests are sent elsewhere, within the shortest latency objective
+of 0.3 s."""
 REQUIRED_SILENT_PEERS = 3
 """Number of peers that must be silent, since two machines may fail at once; in a smaller zone all
 peers must be."""
@@ -54,7 +54,7 @@
 """A call that fails sooner was refused by a reachable machine or not sent at all, so it does not
 count as unanswered."""
 PROCESS_PAUSE_S = 0.1
-"""Delay of a check from which on this process itself is assumed to have been paused, so that
+"""If a check is late by more than this, this process itself is assumed to have been paused, so that
 answers may have arrived without having been read."""
 
 
@@ -80,7 +80,8 @@
         Start times of the calls to peers that have no answer.
     replicas_silent_since
         Since when replicas with an outstanding request have sent nothing. Calls and requests may
-        take long for other reasons, so they only cause probes.
+        take long for other reasons, so they are only a reason to probe. In a zone without live
+        peers, silent replicas alone make the zone unreachable.
     probed_at
         When peers were probed, by name; a reachable peer replies at once.
     """
@@ -128,7 +129,7 @@
 
 
 def _assess_by_replicas(evidence: Evidence, now: float) -> Reachability:
-    """Return whether a zone is reachable whose members are all dead; its replicas may live."""
+    """Assess a zone whose members are all dead, although its replicas may still run."""
     silent = [
         since
         for since in evidence.replicas_silent_since
@@ -154,7 +155,7 @@
 
     @property
     def timeout_factor(self) -> float:
-        """Factor by which timeouts are extended now; 1 while replies arrive early."""
+        """Factor by which timeouts are extended now; at least 1."""
 
     def members(self) -> tuple[Member, ...]:
         """Return every member known, this node and the dead included."""
@@ -256,8 +257,8 @@
 
         Parameters
         ----------
-        is_reached
-            Tries a connection; returns whether anything came back, a refusal included.
+        responds
+            Tries to connect to an endpoint; returns whether it responds, even by a refusal.
         """
         self._replicas = replicas
         self._responds = responds
@@ -278,7 +279,7 @@
         return zone in self._unreachable
 
     def prefer_reachable(self, members: Iterable[Member]) -> tuple[Member, ...]:
-        """Return the members in reachable zones, or all members if there are none in these."""
+        """Return the members in reachable zones, or all members if no zone of them is reachable."""
         members = tuple(members)
         if not self._unreachable:
             return members
@@ -460,7 +461,7 @@
     def _calls_without_answer(
         self, now: float, last_received_at: float
     ) -> list[tuple[Endpoint, float]]:
-        """Return the open calls and those after ``last_received_at`` that ended unanswered."""
+        """Return open calls, and unanswered ones that began after ``last_received_at``."""
         for endpoint, began in list(self._unanswered.items()):
             if now - began > UNANSWERED_RETENTION_S:
                 del self._unanswered[endpoint]
--- a/src/quaymill/process/replicas/ejection.py
+++ b/src/quaymill/process/replicas/ejection.py
@@ -1,4 +1,4 @@
-"""Temporarily excludes failing replicas from routing, never more than half of a service's."""
+"""Temporarily excludes failing replicas from routing, at most half of those of each service."""
 
 from __future__ import annotations
 
@@ -37,7 +37,8 @@
 
     A replica is ejected after ``CONSECUTIVE_FAILURES``, or when its first bytes are much later
     than those of the others. When its ejection ends it receives requests again, and the next
-    ejection lasts twice as long. A timely answer resets its failures and the ejection time.
+    ejection lasts twice as long. An answer resets the failures, and also the ejection
+    time unless the replica is slow or ejected.
     """
 
     def __init__(self) -> None:
--- a/src/quaymill/process/replicas/load_view.py
+++ b/src/quaymill/process/replicas/load_view.py
@@ -5,8 +5,8 @@
 another zone, one of its nodes returns all reports that it has. When a polling node dies, its
 reports become outdated and the load is unknown until the next node in the ranking polls.
 
-The cost per node is bounded by the number of polls and by the bytes of pulled reports. In a
-large fleet the intervals become longer instead.
+The number of polls and the bytes of pulled reports per second are limited for each node, so the
+intervals become longer in a large fleet.
 """
 
 from __future__ import annotations
@@ -175,7 +175,7 @@
         return ranked_here
 
     def _choose_peers_to_pull_from(self, live: tuple[Member, ...]) -> dict[Endpoint, str]:
-        """Return the peers to pull from, each with a zone (empty for what the peer polls)."""
+        """Return the peers to pull from, each with the zone to request (empty: what it polls)."""
         peers: dict[Endpoint, str] = {}
         for zone, views in self._by_zone.items():
             if zone == self._settings.zone:
--- a/src/quaymill/process/replicas/replica.py
+++ b/src/quaymill/process/replicas/replica.py
@@ -45,7 +45,7 @@
         self._machine = machine
 
     def offer_report(self, report: LoadReport) -> bool:
-        """Store a report if it was measured after the stored one; return whether it was."""
+        """Store a report if it is newer than the stored one; return whether it was stored."""
         measured_at = boot_clock.now() - report.age_s
         with self._lock:
             if self._report is not None and measured_at <= self._measured_at:
@@ -126,7 +126,7 @@
         return report.waiting > 0 or 0 < report.slots <= report.running
 
     def is_busy_since(self, sent_at: float) -> bool:
-        """Return whether the replica is busy by a report measured at or after ``sent_at``."""
+        """Return whether a report measured at or after ``sent_at`` shows a busy replica."""
         return self._measured_at >= sent_at and self.is_busy()
 
     def load(self) -> float | None:
--- a/src/quaymill/process/replicas/router.py
+++ b/src/quaymill/process/replicas/router.py
@@ -1,8 +1,8 @@
 """Chooses the replica for a request.
 
 The zone group is chosen first, exactly by weight. Within the group, replicas of the local zone
-are preferred. Among these, the less loaded of two random ones is chosen, unless the replica that
-is preferred for the prompt prefix has little more load.
+are preferred. Among these, the less loaded of two random ones is chosen. The replica that is
+preferred for the prompt prefix is chosen instead if its load is at most slightly higher.
 """
 
 from __future__ import annotations
--- a/tests/test_zone_reachability.py
+++ b/tests/test_zone_reachability.py
@@ -71,7 +71,11 @@
             Evidence(NOW - 0.3, 5, ago(0.5)),
             Reachability.UNCERTAIN,
         ),
-        ("a replica too", Evidence(NOW - 0.3, 5, (), ago(0.5)), Reachability.UNCERTAIN),
+        (
+            "replica answer overdue, last message not recent",
+            Evidence(NOW - 0.3, 5, (), ago(0.5)),
+            Reachability.UNCERTAIN,
+        ),
         (
             "a replica processes a prompt",
             Evidence(NEVER, 5, (), ago(0.08)),
@@ -99,16 +103,20 @@
             Reachability.UNREACHABLE,
         ),
         (
-            "one has answered",
+            "one of the probed peers has answered",
             Evidence(NOW - 0.1, 5, (), (), probed(0.2, 0.2, 0.2)),
             Reachability.REACHABLE,
         ),
         (
-            "both of two",
+            "both peers of a zone are silent",
             Evidence(NEVER, 2, (), (), probed(0.2, 0.2)),
             Reachability.UNREACHABLE,
         ),
-        ("the only one", Evidence(NEVER, 1, ago(9.0), (), probed(9.0)), Reachability.UNCERTAIN),
+        (
+            "the only peer of a zone is silent",
+            Evidence(NEVER, 1, ago(9.0), (), probed(9.0)),
+            Reachability.UNCERTAIN,
+        ),
     )
     def test_assessment(self, _name: str, evidence: Evidence, expected: Reachability) -> None:
         self.assertIs(expected, assess(evidence, NOW))
