--- a/src/quaymill/connection/crash_messages.py
+++ b/src/quaymill/connection/crash_messages.py
@@ -46,8 +46,8 @@
     records
         All records of the answering gateway, if they were requested.
     settled
-        Whether the answering gateway has already fetched the records that other gateways had when
-        it started.
+        Whether the answering gateway, since its start, has fetched earlier records from another
+        gateway or from the store.
     """
 
     records: tuple[CrashRecord, ...] = ()
