--- a/src/quaymill/process/membership/failure_detector.py
+++ b/src/quaymill/process/membership/failure_detector.py
@@ -40,7 +40,7 @@
 class _RelayedProbe(msgspec.Struct, frozen=True):
     """A probe sent on behalf of another node, to which the reply is forwarded."""
 
-    asker: Endpoint
+    requester: Endpoint
     sequence: int
     expires: float
 
@@ -125,13 +125,13 @@
             )
         relayed = self._relayed.pop(reply.sequence, None)
         if relayed is not None:
-            passed_on = ProbeReply(
+            forwarded_reply = ProbeReply(
                 **self._header_fields(), sequence=relayed.sequence, subject=reply.subject
             )
-            self._send(relayed.asker, passed_on, ())
+            self._send(relayed.requester, forwarded_reply, ())
 
-    def relay(self, request: ProbeRequest, asker: Endpoint) -> None:
-        """Probe a node on behalf of ``asker``, which got no reply from it."""
+    def relay(self, request: ProbeRequest, requester: Endpoint) -> None:
+        """Probe a node on behalf of ``requester``, which got no reply from it."""
         now = boot_clock.now()
         if len(self._relayed) >= MAX_RELAYED_PROBES:
             self._relayed = {
@@ -141,7 +141,7 @@
             }
         sequence = self._next_sequence()
         expires = now + RELAYED_PROBE_LIFETIME_S
-        self._relayed[sequence] = _RelayedProbe(asker, request.sequence, expires)
+        self._relayed[sequence] = _RelayedProbe(requester, request.sequence, expires)
         self._send(request.target, Probe(**self._header_fields(), sequence=sequence), ())
 
     def _probe_is_answered(self, target: Member) -> bool:
@@ -149,10 +149,12 @@
         answered = threading.Event()
         self._awaited_replies[sequence] = answered
         # A suspect receives its own record, so that it can refute the suspicion.
-        shown = (target,) if target.state is MemberState.SUSPECT else ()
+        first_records = (target,) if target.state is MemberState.SUSPECT else ()
         timeout_s = self._timing.probe_timeout_s * self._timeout_factor
         try:
-            self._send(target.peer, Probe(**self._header_fields(), sequence=sequence), shown)
+            self._send(
+                target.peer, Probe(**self._header_fields(), sequence=sequence), first_records
+            )
             if answered.wait(EARLY_SHARE * timeout_s):
                 self._timeout_factor = max(1.0, TIMEOUT_FACTOR_DECAY * self._timeout_factor)
                 return True
--- a/src/quaymill/process/membership/membership.py
+++ b/src/quaymill/process/membership/membership.py
@@ -284,7 +284,7 @@
         if known is None:
             self._synchronisation.begin(source)
         else:
-            self._send(source, Notice(**self._header_fields()), shown=(known,))
+            self._send(source, Notice(**self._header_fields()), first_records=(known,))
 
     def _probe_loop(self) -> None:
         interval_s = self._timing.probe_interval_s
@@ -397,11 +397,13 @@
             "crashes": self._crash_digest,
         }
 
-    def _send(self, target: Endpoint, datagram: Datagram, shown: tuple[Member, ...] = ()) -> None:
-        """Send a datagram with the records ``shown`` and as many updates as fit."""
-        datagram.records = tuple(MemberRecord.of(record) for record in shown)
+    def _send(
+        self, target: Endpoint, datagram: Datagram, first_records: tuple[Member, ...] = ()
+    ) -> None:
+        """Send a datagram with the records ``first_records`` and as many updates as fit."""
+        datagram.records = tuple(MemberRecord.of(record) for record in first_records)
         remaining_bytes = MAX_DATAGRAM_BYTES - len(encode_datagram(datagram))
-        names = {record.name for record in shown}
+        names = {record.name for record in first_records}
         updates = self._updates.take_records(remaining_bytes, len(self._table.all()))
         datagram.records += tuple(
             MemberRecord.of(record) for record in updates if record.name not in names
--- a/src/quaymill/process/membership/zone_reachability.py
+++ b/src/quaymill/process/membership/zone_reachability.py
@@ -92,7 +92,7 @@
     replicas_silent_since: Collection[float] = ()
     probed_at: Mapping[str, float] = attrs.field(factory=dict)
 
-    def silent(self, now: float, silent_after_s: float) -> tuple[str, ...]:
+    def silent_peers(self, now: float, silent_after_s: float) -> tuple[str, ...]:
         """Return the probed peers after whose probe nothing was received from the zone."""
         return tuple(
             name
@@ -112,16 +112,16 @@
     last_received_at = evidence.last_received_at
     if not evidence.peers:
         return _assess_by_replicas(evidence, now)
-    needed = max(MIN_REQUIRED_SILENT_PEERS, min(REQUIRED_SILENT_PEERS, evidence.peers))
-    if len(evidence.silent(now, silent_after_s)) >= needed:
+    required_silent = max(MIN_REQUIRED_SILENT_PEERS, min(REQUIRED_SILENT_PEERS, evidence.peers))
+    if len(evidence.silent_peers(now, silent_after_s)) >= required_silent:
         return Reachability.UNREACHABLE
-    waiting = (
+    outstanding = (
         (evidence.peer_calls_since, PEER_PROBE_AFTER_S),
         (evidence.replicas_silent_since, REPLICA_PROBE_AFTER_S),
     )
     overdue = any(
         _is_overdue(since, last_received_at, now, probe_after_s)
-        for pending_since, probe_after_s in waiting
+        for pending_since, probe_after_s in outstanding
         for since in pending_since
     )
     probed = any(at > last_received_at for at in evidence.probed_at.values())
@@ -198,7 +198,7 @@
     ----------
     probed_at_by_name
         When peers were probed since the last message from the zone.
-    unreachable_since, probed_at
+    unreachable_since, last_probed_at
         Since when the zone is unreachable, and when it was last probed in this state.
     """
 
@@ -206,7 +206,7 @@
     last_received_at: float = -math.inf
     probed_at_by_name: dict[str, float] = attrs.field(factory=dict)
     unreachable_since: float = 0.0
-    probed_at: float = -math.inf
+    last_probed_at: float = -math.inf
 
     def live_members(self) -> list[Member]:
         """Return the members that should answer: those not marked as dead."""
@@ -403,8 +403,8 @@
         """Probe an unreachable zone; mark it reachable if it has sent anything."""
         if zone.last_received_at > zone.unreachable_since:
             self._set_reachable(name, "a replica")
-        elif now - zone.probed_at >= UNREACHABLE_PROBE_INTERVAL_S:
-            zone.probed_at = now
+        elif now - zone.last_probed_at >= UNREACHABLE_PROBE_INTERVAL_S:
+            zone.last_probed_at = now
             self._membership.probe([self._random.choice(zone.members)])
             if not zone.live_members():
                 self._try_replica(name)
@@ -481,12 +481,12 @@
         self, name: str, zone: _Zone, evidence: Evidence, now: float, silent_after_s: float
     ) -> None:
         zone.unreachable_since = now
-        zone.probed_at = now
+        zone.last_probed_at = now
         self._unreachable |= {name}
         log_message(
             "zone:unreachable",
             lost_zone=name,
-            silent=sorted(evidence.silent(now, silent_after_s)),
+            silent=sorted(evidence.silent_peers(now, silent_after_s)),
             silent_s=round(now - min(evidence.probed_at.values(), default=now), 3),
             calls_unanswered=len(evidence.peer_calls_since),
             replicas_silent=len(evidence.replicas_silent_since),
--- a/src/quaymill/process/replicas/replica.py
+++ b/src/quaymill/process/replicas/replica.py
@@ -140,11 +140,11 @@
             if report is None or boot_clock.now() - self._measured_at > REPORT_LIFETIME_S:
                 return None
             measured_at = self._measured_at
-            since = sum(
+            started_after_report = sum(
                 1 for started_at in self._started_at_by_ticket.values() if started_at > measured_at
             )
             reported = report.running - report.batch_running + report.waiting
-            return max(reported + since, len(self._started_at_by_ticket))
+            return max(reported + started_after_report, len(self._started_at_by_ticket))
 
     @property
     def slots(self) -> int:
--- a/tests/test_membership_faults.py
+++ b/tests/test_membership_faults.py
@@ -232,16 +232,16 @@
 
     def test_dead_sender_receives_its_record(self):
         first = self.settings[0].peer_endpoint
-        with socket.socket(type=socket.SOCK_DGRAM) as resumed:
-            resumed.bind(("127.0.0.1", 0))
-            resumed.settimeout(5.0)
-            endpoint = Endpoint(*resumed.getsockname())
+        with socket.socket(type=socket.SOCK_DGRAM) as dead_node_socket:
+            dead_node_socket.bind(("127.0.0.1", 0))
+            dead_node_socket.settimeout(5.0)
+            endpoint = Endpoint(*dead_node_socket.getsockname())
             dead = Member("n9", "a", "r", endpoint, endpoint, MemberState.DEAD, incarnation=5)
             death_notice = Notice("n1", self.members[1].local().incarnation)
             death_notice.records = (MemberRecord.of(dead),)
-            resumed.sendto(encode_datagram(death_notice), (first.host, first.port))
-            resumed.sendto(encode_datagram(Notice("n9", 5)), (first.host, first.port))
-            answer = decode_datagram(resumed.recv(65536))
+            dead_node_socket.sendto(encode_datagram(death_notice), (first.host, first.port))
+            dead_node_socket.sendto(encode_datagram(Notice("n9", 5)), (first.host, first.port))
+            answer = decode_datagram(dead_node_socket.recv(65536))
         self.assertIn(MemberRecord.of(dead), answer.records)
 
 
@@ -289,7 +289,7 @@
         self.detector = FailureDetector(
             self.table,
             MembershipSettings(probe_interval_s=0.04, probe_timeout_s=0.02, suspicion_s=0.2),
-            lambda target, datagram, shown: self.sent.append(datagram),
+            lambda target, datagram, first_records: self.sent.append(datagram),
             lambda: HEADER_FIELDS,
             random.Random(1),
         )
@@ -320,7 +320,7 @@
             self.assertIsNone(self.detector.probe_next())
         self.assertEqual(self.detector.timeout_factor, 1.0)
 
-    def reply_at_once(self, target, datagram, shown) -> None:
+    def reply_at_once(self, target, datagram, first_records) -> None:
         self.sent.append(datagram)
         if isinstance(datagram, Probe):
             self.reply_to_last()
--- a/tests/test_membership_table.py
+++ b/tests/test_membership_table.py
@@ -42,7 +42,7 @@
         self.table = MemberTable(member("self"))
 
     @params((DEAD, 4, True), (SUSPECT, 4, True), (ALIVE, 4, False), (DRAINING, 4, False))
-    def test_report_of_failure_of_a_former_process_is_answered(self, state, incarnation, answered):
+    def test_failure_report_about_a_former_process_is_answered(self, state, incarnation, answered):
         update = self.table.merge(member("self", state, incarnation))
         self.assertEqual(self.table.local() if answered else None, update)
         self.assertEqual(5, self.table.local().incarnation)
@@ -164,7 +164,7 @@
 class RankingTest(unittest.TestCase):
     """Nodes that know the same members rank them equally."""
 
-    def test_given_zone_ranks_first_and_a_loss_moves_only_its_keys(self):
+    def test_given_zone_ranks_first_and_removed_member_moves_only_its_own_keys(self):
         members = [member(f"n{number}", zone="ab"[number % 2]) for number in range(20)]
         ranked = rank_nodes("key", members, "b")
         self.assertEqual({m.zone for m in ranked[:10]}, {"b"})
--- a/tests/test_zone_reachability.py
+++ b/tests/test_zone_reachability.py
@@ -33,7 +33,7 @@
 NOW = 1000.0
 NEVER = -math.inf
 STEP_S = 0.005
-ANSWER_S = 0.005
+ANSWER_DELAY_S = 0.005
 CALL_TIMEOUT_S = 0.05
 OBJECTIVE_S = 0.3
 """The shortest latency objective, within which a cut zone has to be detected."""
@@ -196,7 +196,7 @@
         for one in members:
             self.probes_sent += 1
             if self.is_up(one):
-                self.schedule(ANSWER_S, lambda name=one.name: self._datagram_listener(name))
+                self.schedule(ANSWER_DELAY_S, lambda name=one.name: self._datagram_listener(name))
 
     # The simulated fleet.
 
@@ -210,10 +210,12 @@
         self._scheduled.append((self.now + delay_s, action))
 
     def call(self, one: Member) -> None:
-        """Call a peer, which answers after ``ANSWER_S`` unless it is cut off or down."""
+        """Call a peer, which answers after ``ANSWER_DELAY_S`` unless it is cut off or down."""
         token = self.zone_reachability.began(one.peer)
         if self.is_up(one):
-            self.schedule(ANSWER_S, lambda: self.zone_reachability.ended(token, PeerRefusal("")))
+            self.schedule(
+                ANSWER_DELAY_S, lambda: self.zone_reachability.ended(token, PeerRefusal(""))
+            )
         else:
             failure = PeerNoReply(one.peer, "")
             self.schedule(CALL_TIMEOUT_S, lambda: self.zone_reachability.ended(token, failure))
@@ -373,7 +375,7 @@
             simulation.probes_sent - probes_before, 1.0 / UNREACHABLE_PROBE_INTERVAL_S + 1
         )
         simulation.cut_zones = set()
-        simulation.run(UNREACHABLE_PROBE_INTERVAL_S + CHECK_INTERVAL_S + ANSWER_S)
+        simulation.run(UNREACHABLE_PROBE_INTERVAL_S + CHECK_INTERVAL_S + ANSWER_DELAY_S)
         self.assertEqual(set(), self.unreachable_in(simulation))
 
     def test_any_message_makes_the_zone_reachable(self) -> None:
