--- a/src/quaymill/connection/configuration_messages.py
+++ b/src/quaymill/connection/configuration_messages.py
@@ -21,7 +21,7 @@
 
 
 class WholeConfiguration(PeerMessage, frozen=True):
-    """The active configuration of the peer, if it no longer has all differences."""
+    """Active configuration of the answering node, if that lacks some of the differences."""
 
     configuration: ServingConfiguration
 
--- a/src/quaymill/connection/job_messages.py
+++ b/src/quaymill/connection/job_messages.py
@@ -306,7 +306,13 @@
 
 
 class ReadResults(PeerMessage, frozen=True):
-    """Request results of a job with index above ``after_index``, in the order of indexes."""
+    """Request results of a job with index above ``after_index``, in the order of indexes.
+
+    Attributes
+    ----------
+    failed
+        Whether to return the items that ended with an error, instead of the successful ones.
+    """
 
     group: int
     job_id: str
--- a/src/quaymill/connection/log_messages.py
+++ b/src/quaymill/connection/log_messages.py
@@ -2,7 +2,8 @@
 
 The protocol is Raft: terms, votes, log matching and commit on a majority. Every message contains
 the identity of its recipient. A replica that restarts with an empty disk has a new identity and
-refuses messages to the old one, so that it cannot vote or acknowledge entries in its place.
+refuses messages to the old one, so that it cannot vote or acknowledge entries on behalf of the
+replica that lost its data.
 """
 
 from __future__ import annotations
@@ -121,7 +122,8 @@
     matched
         Whether the log matched at ``previous_index``; the entries are then on disk.
     last_index
-        Index from which the leader continues; if not ``matched``, the last one that may match.
+        Last index known to match if ``matched``; otherwise the last one that may match, after which
+        the leader continues.
     """
 
     replica: str
--- a/src/quaymill/connection/peer_link.py
+++ b/src/quaymill/connection/peer_link.py
@@ -26,7 +26,7 @@
 MAX_IDLE_CONNECTIONS_PER_PEER = 8
 IDLE_CONNECTION_LIFETIME_S = 30.0
 REUSED_CONNECTION_TIMEOUT_SHARE = 0.5
-"""Share of the timeout that a repeatable message waits on a reused connection."""
+"""Share of the timeout for the reply to a repeatable message on a reused connection."""
 MIN_TIMEOUT_S = 0.001
 CONNECT_TIMEOUT_S = 1.0
 
@@ -159,8 +159,9 @@
     ) -> _Received | PeerFailure:
         """Send a message and return the received line.
 
-        A reused connection may no longer respond. A repeatable message therefore waits on it for
-        only a share of the timeout, and is then sent again on a new connection.
+        A reused connection may no longer respond. The reply to a repeatable message is therefore
+        awaited on it for only a share of the timeout, and the message is then sent again on a new
+        connection.
         """
         line = msgspec.json.encode(message) + b"\n"
         reused = self._idle.take(endpoint, IDLE_CONNECTION_LIFETIME_S)
@@ -232,7 +233,7 @@
 
 
 def _read_line(connection: socket.socket, deadline: float) -> bytes:
-    """Read up to a newline; raises ``OSError`` at the deadline or the end of the stream."""
+    """Read until the bytes end with a newline; raises ``OSError`` at the deadline or stream end."""
     chunks: list[bytes] = []
     while True:
         remaining_s = deadline - boot_clock.now()
--- a/src/quaymill/connection/replica_connection.py
+++ b/src/quaymill/connection/replica_connection.py
@@ -303,7 +303,8 @@
     def accepts_connections(self, endpoint: Endpoint) -> bool:
         """Return whether an endpoint may be in service, judged by opening a connection.
 
-        A timeout counts as in service, since it may be due to a lost packet.
+        A timeout counts as in service, since it may be due to a lost packet. A connection that is
+        closed immediately after it was opened counts as not in service.
         """
         try:
             address = (endpoint.host, endpoint.port)
--- a/src/quaymill/process/replicas/notifier.py
+++ b/src/quaymill/process/replicas/notifier.py
@@ -1,7 +1,7 @@
 """Notifies batch schedulers of online requests that are sent to their replicas.
 
-A notice is sent at the same time as the request and does not delay it. It is not sent again if
-it is lost, since the engine's priorities and the load report have the same effect later.
+A notice is sent at the same time as the request and does not delay it. A lost notice is not sent
+again: the engine's priorities and the next load report then have the same effect, only later.
 """
 
 from __future__ import annotations
--- a/src/quaymill/process/replicas/replica_poller.py
+++ b/src/quaymill/process/replicas/replica_poller.py
@@ -29,7 +29,7 @@
     """Poll a replica once; return ``None`` if it answers without a valid load document.
 
     The stored report then becomes outdated, after which the load is unknown. A replica that does
-    not answer at all is reported as unreachable.
+    not answer completely is reported as unreachable.
     """
     deadline = boot_clock.now() + POLL_TIMEOUT_S
     unreachable = LoadReport(replica=view.name, age_s=0.0, reachable=False)
