--- a/src/quaymill/process/membership/dissemination.py
+++ b/src/quaymill/process/membership/dissemination.py
@@ -15,7 +15,7 @@
 
 class _PendingUpdate(msgspec.Struct):
     record: Member
-    size: int
+    size_bytes: int
     sent: int = 0
 
 
@@ -40,15 +40,17 @@
         """Return records for one datagram, with an encoded size of at most ``budget_bytes``."""
         if not self._pending:
             return []
-        limit = TRANSMISSIONS_PER_LOG2_MEMBERS * max(math.ceil(math.log2(members + 1)), 1)
+        max_transmissions = TRANSMISSIONS_PER_LOG2_MEMBERS * max(
+            math.ceil(math.log2(members + 1)), 1
+        )
         selected = []
         with self._lock:
             for update in sorted(reversed(self._pending.values()), key=lambda update: update.sent):
-                if update.size > budget_bytes:
+                if update.size_bytes > budget_bytes:
                     break
-                budget_bytes -= update.size
+                budget_bytes -= update.size_bytes
                 selected.append(update.record)
                 update.sent += 1
-                if update.sent >= limit:
+                if update.sent >= max_transmissions:
                     del self._pending[update.record.name]
         return selected
--- a/src/quaymill/process/replicas/status_rows.py
+++ b/src/quaymill/process/replicas/status_rows.py
@@ -23,14 +23,14 @@
 
 def _row(service: str, zone_group: str, views: Iterable[ReplicaView]) -> ReplicaStatus:
     draining = [view for view in views if view.draining]
-    staying = [view for view in views if not view.draining]
+    not_draining = [view for view in views if not view.draining]
     reports = [report for view in views if (report := view.report()) and report.reachable]
     return ReplicaStatus(
         service=service,
         zone_group=zone_group,
-        live=sum(1 for view in staying if view.reachable and not view.ejected),
+        live=sum(1 for view in not_draining if view.reachable and not view.ejected),
         draining=len(draining),
-        ejected=sum(1 for view in staying if view.ejected),
+        ejected=sum(1 for view in not_draining if view.ejected),
         running=sum(report.running for report in reports),
         waiting=sum(report.waiting for report in reports),
         slots=sum(report.slots for report in reports),
