--- a/src/quaymill/connection/endpoint.py
+++ b/src/quaymill/connection/endpoint.py
@@ -43,7 +43,7 @@
 class LinkFilter:
     """The endpoints that this process must not send to, for fault tests.
 
-    Every client in this process checks ``blocks`` before it opens a connection or sends.
+    Clients in this process check ``blocks`` before they send a message or a request.
     Only the outgoing direction is blocked, so that one-way cuts can be simulated.
     """
 
--- a/src/quaymill/connection/replica_connection.py
+++ b/src/quaymill/connection/replica_connection.py
@@ -33,7 +33,7 @@
 RETRY_AFTER_UNREACHABLE_S = 1.0
 PROBE_CONNECT_TIMEOUT_S = 0.1
 """A machine without a listening process refuses the connection within a round trip of some
-milliseconds; no response for this long means a lost packet or a full accept queue instead."""
+milliseconds; no response for this long means a lost packet, a full accept queue or a cut link."""
 PROBE_CLOSE_TIMEOUT_S = 0.02
 """A proxy that accepts connections for a stopped process closes them within this time."""
 
