--- a/src/quaymill/connection/object_store.py
+++ b/src/quaymill/connection/object_store.py
@@ -1,8 +1,8 @@
 """Interface to the platform's object store: typed calls, results and failures.
 
 An adapter makes the calls. There are two kinds of failures: after ``StoreRefused`` the call has
-had no effect; after ``StoreUnanswered`` it may have taken effect, or may take effect later if the
-revision that it requires is then still current.
+had no effect; after ``StoreUnanswered`` it may have taken effect, or may take effect later if its
+condition, such as the required revision, is then still met.
 """
 
 from __future__ import annotations
