--- a/src/quaymill/connection/peer_link.py
+++ b/src/quaymill/connection/peer_link.py
@@ -107,7 +107,7 @@
     def __init__(self, link_filter: LinkFilter, observer: CallObserver | None = None) -> None:
         self._link_filter = link_filter
         self._observer = observer
-        # An idle connection becomes readable only when the peer has closed it.
+        # An idle connection is readable if the peer has closed it or sent unexpected bytes.
         self._idle = IdleConnections[socket.socket](
             MAX_IDLE_CONNECTIONS_PER_PEER,
             lambda connection: not is_readable(connection, 0.0),
--- a/src/quaymill/connection/replica_connection.py
+++ b/src/quaymill/connection/replica_connection.py
@@ -102,7 +102,7 @@
     def is_read_ready(self) -> bool:
         """Return whether a read of the body returns at once, with data, its end or an error.
 
-        This leaves the socket non-blocking: call ``set_read_timeout`` before the next read.
+        This may leave the socket non-blocking: call ``set_read_timeout`` before the next read.
         """
         if is_readable(self._socket, 0.0):
             return True
