--- a/src/quaymill/process/front/access.py
+++ b/src/quaymill/process/front/access.py
@@ -1,15 +1,15 @@
-"""Who sends a request, by the configuration in force as it is looked at.
+"""Identifies callers by their keys, using the configuration in force at that time.
 
-Which version decides, and when:
+Which configuration version is used at which point:
 
 ======================  ===========================================================
-a request's head read   the version in force then: 401, or whose request it is
-while it waits          looked at again before its first run: a key that was taken
-                        away meanwhile starts nothing, one that was given to another
-                        tenant is sent again by its caller, under the new name
-once it has run         none: what was begun goes on, and is taken up elsewhere
-a call about a job      the version in force then; the job stays its tenant's, whatever
-                        becomes of the key by which it came
+head of a request read  the version in force then: 401, or the tenant is identified
+request is queued       the key is checked again before the first attempt: a request with
+                        a key revoked meanwhile is refused; one with a key reassigned to
+                        another tenant gets a 503, so that its caller sends it again
+after the first attempt none: the request continues, on another replica if necessary
+call about a job        the version in force then; a job stays with its tenant even if
+                        the key with which it was submitted is revoked or reassigned
 ======================  ===========================================================
 """
 
@@ -28,18 +28,18 @@
 
 @attrs.frozen
 class Caller:
-    """Who sends a request.
+    """The sender of a request.
 
     Attributes
     ----------
     tenant
-        ``None`` where requests need no key and none that is known came.
+        ``None`` where requests need no key and the request carried no known key.
     has_tenants
         Whether the configuration has tenants at all.
     digest
-        Of the key; empty without one.
+        Digest of the key; empty without a key.
     version
-        Of the configuration by which it was told.
+        Version of the configuration that identified the caller.
     """
 
     tenant: RequestTenant | None
@@ -49,22 +49,22 @@
 
     @property
     def told_name(self) -> str | None:
-        """What replicas are told; ``None`` where there are no tenants."""
+        """Tenant name sent to replicas: ``None`` without tenants, empty for an unknown caller."""
         if not self.has_tenants:
             return None
         return self.tenant.name if self.tenant else ""
 
     def rank(self, route_priority: int) -> int:
-        """Return the rank of a request: the tenant's own goes before its route's."""
+        """Return the rank of a request; the tenant's priority overrides the route's."""
         if self.tenant is None or self.tenant.priority is None:
             return route_priority
         return self.tenant.priority
 
     def job_name(self, job_id: str) -> str:
-        """Return the name under which a job of this caller is kept.
+        """Return the name under which a job of this caller is stored.
 
-        Two tenants may give their jobs the same id: these are two jobs, and whoever asks for
-        another's is told what is told of any job that is not there.
+        Two tenants may use the same job id for different jobs. A request for another tenant's job
+        gets the same response as one for a job that does not exist.
         """
         if not self.has_tenants:
             return job_id
@@ -74,7 +74,7 @@
 
 
 class KeyState(enum.Enum):
-    """What has become of the key by which a request was taken."""
+    """Current state of the key with which a request was accepted."""
 
     HELD = enum.auto()
     GIVEN_TO_ANOTHER = enum.auto()
@@ -82,7 +82,7 @@
 
 
 def identify(routes: RequestRoutes, key: bytes, *, key_needed: bool) -> Caller | None:
-    """Return who holds a key; ``None`` if a key is needed and this one is not known."""
+    """Return the holder of a key; ``None`` if a key is needed and this one is not known."""
     if routes.tenants is None:
         return Caller(None, has_tenants=False, version=routes.version)
     digest = key_digest(key) if key else ""
@@ -93,7 +93,7 @@
 
 
 def key_state(caller: Caller, routes: RequestRoutes) -> KeyState:
-    """Return what the configuration says now of the key of a caller that was identified before."""
+    """Return the state of an identified caller's key in the given configuration."""
     if caller.tenant is None or routes.version == caller.version:
         return KeyState.HELD
     holder = routes.holder_of(caller.digest)
--- a/src/quaymill/process/front/caller_protocol.py
+++ b/src/quaymill/process/front/caller_protocol.py
@@ -1,4 +1,4 @@
-"""What an adapter tells the front of callers' requests, and how it puts the front's answers."""
+"""The interface between the front and the adapter of a caller protocol."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 @attrs.frozen
 class CallerRequest:
-    """What the headers of an opaque request say.
+    """Values that the adapter reads from the headers of an opaque request.
 
     Attributes
     ----------
     id
-        The caller's id for this sending; empty if it gave none.
+        The caller's id of the request; empty if it sent none.
     patience_s
-        How long the caller waits; ``None`` if it did not say.
+        How long the caller waits for the response; ``None`` if it did not say.
     """
 
     id: str
@@ -31,7 +31,7 @@
 
 
 class JobOperation(enum.Enum):
-    """Calls about a job that was submitted before."""
+    """Operations on a submitted job."""
 
     READ_RESULTS = enum.auto()
     READ_BODY = enum.auto()
@@ -40,16 +40,16 @@
 
 @attrs.frozen
 class JobCall:
-    """One such call.
+    """A call about a submitted job.
 
     Attributes
     ----------
     since
-        Position of the first result asked for.
+        Position of the first requested result.
     item_id
-        The item whose body is asked for.
+        The item whose body is requested.
     wait_s
-        How long the answer may be held until a result exists.
+        How long the answer may be delayed until a result exists.
     """
 
     operation: JobOperation
@@ -61,7 +61,7 @@
 
 @attrs.frozen
 class Malformed:
-    """What a caller sent cannot be understood."""
+    """A request of a caller is malformed."""
 
     reason: str
     remedy: str
@@ -69,20 +69,20 @@
 
 @attrs.frozen
 class CallerProtocol:
-    """Functions of an adapter.
+    """Functions that an adapter provides.
 
     Attributes
     ----------
     read_key
-        Returns the key that a request carries; empty unless it is exactly one, in the right form.
+        Returns the key of a request; empty unless there is exactly one, in a valid form.
     read_request
         Reads the headers of an opaque request.
     find_job_call
-        Recognises a call about a job; ``None`` if the request is no such call.
+        Recognises a call about a job; ``None`` if the request is not such a call.
     read_job
-        Reads a submitted job from its body.
+        Parses the body of a submitted job.
     write_results
-        Puts a page of results: number of items, results, position after them.
+        Encodes a page of results: number of items of the job, results, position after them.
     """
 
     read_key: Callable[[FrontRequest], bytes]
--- a/src/quaymill/process/front/front_service.py
+++ b/src/quaymill/process/front/front_service.py
@@ -57,12 +57,12 @@
 RETRY_AFTER = "Retry-After"
 STARTING_RETRY_AFTER_S = 0.5
 STARTING_PATIENCE_S = 1.0
-"""How long a request waits for the first configuration: a read of the store takes a tenth of it."""
+"""How long a request waits for the first configuration."""
 STARTING_CHECK_S = 0.02
-"""Time between two looks for it."""
+"""Time between two checks whether there is a configuration."""
 DEFAULT_PATIENCE_S = 60.0
 MAX_UNREAD_BODY_BYTES = 64 * 1024
-"""A shorter body of a refused request is read, so that its connection can be used on."""
+"""A body of a refused request up to this size is read, so that its connection can be reused."""
 
 
 class FrontService:
@@ -71,11 +71,11 @@
     Parameters
     ----------
     routes
-        Returns the routes in force; version 0 while none is known.
+        Returns the routes in force; their version is 0 until a configuration is known.
     limiter
-        Keeps tenants within their limits.
+        Enforces the limits of tenants.
     admission_limit
-        Requests in service at once; below the server's threads.
+        Most requests in service at once; lower than the server's number of threads.
     """
 
     def __init__(
@@ -116,11 +116,13 @@
                 writer.close_after()
             if full:
                 self._refuse(
-                    request, writer, Refusal(503, "this node is full", SHORT_RETRY_AFTER_S)
+                    request,
+                    writer,
+                    Refusal(503, "this gateway is at capacity", SHORT_RETRY_AFTER_S),
                 )
             else:
                 self._answer(request, writer)
-            # A caller that is slow to read is in service until it has its answer.
+            # A request stays in service until its caller has read the whole answer.
             writer.finish()
         finally:
             with self._lock:
@@ -129,7 +131,7 @@
     def _answer(self, request: FrontRequest, writer: AnswerWriter) -> None:
         routes = self._wait_for_routes()
         if not routes.version:
-            refusal = Refusal(503, "no configuration is known yet", STARTING_RETRY_AFTER_S)
+            refusal = Refusal(503, "this gateway has no configuration yet", STARTING_RETRY_AFTER_S)
             self._refuse(request, writer, refusal)
             return
         call = self._protocol.find_job_call(request)
@@ -138,7 +140,7 @@
             return
         route = routes.find(request.host, request.path)
         if call is None and route is None:
-            self._refuse(request, writer, Refusal(404, "no route leads to this path"))
+            self._refuse(request, writer, Refusal(404, "no route matches this host and path"))
             return
         is_public = route.public if route else routes.has_public_jobs(request.host)
         key = self._protocol.read_key(request)
@@ -153,21 +155,21 @@
             self._forward_within_limits(request, route, caller, writer)
 
     def _take_body(self, request: FrontRequest, writer: AnswerWriter) -> bytes | None:
-        """Return the whole body; ``None`` if the request was refused for it."""
+        """Return the whole body; ``None`` if the request was refused because of its body."""
         try:
             return request.read_body(self._routes().limits.max_body_bytes)
         except BodyTooLargeError:
             refusal = Refusal(413, "the body is longer than the limit")
         except BrokenBodyError as error:
-            refusal = Refusal(400, f"the body is not whole: {error}")
+            refusal = Refusal(400, f"the body is incomplete or malformed: {error}")
         writer.close_after()
         self._refuse(request, writer, refusal)
         return None
 
     def _wait_for_routes(self) -> RequestRoutes:
-        """Return the routes in force; a gateway that has just started knows them in a moment.
+        """Return the routes in force; wait a short time for them after a start.
 
-        To wait is better than to refuse: a caller who is told to come back may do so once only.
+        Waiting is better than refusing, as a caller may retry only once.
         """
         until = boot_clock.now() + STARTING_PATIENCE_S
         while not (routes := self._routes()).version and boot_clock.now() < until:
@@ -179,7 +181,7 @@
     def _forward_within_limits(
         self, request: FrontRequest, route: RequestRoute, caller: Caller, writer: AnswerWriter
     ) -> None:
-        """Refuse at once what is beyond the tenant's limits; forward the rest."""
+        """Refuse a request over its tenant's limits immediately; forward any other."""
         tenant = caller.tenant
         if tenant is None or not tenant.limits.any_set:
             self._forward(request, route, caller, writer)
@@ -253,7 +255,7 @@
             self.body_bytes += size
 
     def _key_change(self, caller: Caller) -> KeyChanged | None:
-        """Return what has become of a caller's key, unless it holds it still."""
+        """Return how a caller's key has changed; ``None`` if the caller still holds it."""
         state = key_state(caller, self._routes())
         if state is KeyState.HELD:
             return None
@@ -336,7 +338,7 @@
     def _refuse_early(
         self, request: FrontRequest, writer: AnswerWriter, refusal: Refusal, tenant: str = ""
     ) -> None:
-        """Refuse a request whose body was not asked for; a short one is read and dropped."""
+        """Refuse a request before its body is read; a short body is read and dropped."""
         read = self._protocol.read_request(request)
         request_id = "" if isinstance(read, Malformed) else read.id
         request.drop_body(MAX_UNREAD_BODY_BYTES)
--- a/src/quaymill/process/front/head_watch.py
+++ b/src/quaymill/process/front/head_watch.py
@@ -1,8 +1,8 @@
-"""Keeps connections from the workers until the head of a request has come whole.
+"""Passes a connection to a worker only when the whole head of a request has arrived.
 
-A worker that reads a head waits for its sender. As many slow senders as there are workers would
-else keep a process that calls itself ready from taking anybody else's request. One thread looks at
-all such connections; nothing is read from them before a worker takes them.
+A worker that reads a head waits for its sender, so that slow senders could occupy all workers and
+block every other caller. Instead one thread watches all connections that wait for a head; data is
+only peeked at, and read by the worker that gets the connection.
 """
 
 from __future__ import annotations
@@ -21,31 +21,31 @@
 
 HEAD_ENDS = (b"\r\n\r\n", b"\n\n")
 MAX_PEEK_BYTES = 64 * 1024
-"""A head that is longer goes to a worker, which refuses it."""
+"""A longer head is passed to a worker, which refuses it."""
 POLL_TIMEOUT_S = 0.5
-"""Time between two looks for connections that take too long."""
+"""Time between two checks for connections that take too long."""
 EMPTY_POLL_TIMEOUT_S = 5.0
-"""The same while there were none at the last look: waking up costs processor time."""
+"""The same while there are no waiting connections, to save processor time."""
 _EVENTS = select.EPOLLIN | select.EPOLLRDHUP | select.EPOLLET
 
 
 class Connection(Protocol):
-    """What is needed of a caller's connection."""
+    """The parts of a caller's connection that are used here."""
 
     socket: socket.socket
 
     def close(self) -> None:
-        """Close it."""
+        """Close the connection."""
 
 
 @attrs.define
 class _Waiting:
-    """A connection whose head is not whole.
+    """A connection whose head is incomplete.
 
     Attributes
     ----------
     began
-        Whether some of the head has come.
+        Whether a part of the head has arrived.
     until
         Monotonic time at which it is closed.
     """
@@ -56,14 +56,14 @@
 
 
 class HeadWatch:
-    """Hands connections on once the head of a request is there.
+    """Passes on each connection when the head of a request is complete.
 
     Parameters
     ----------
     hand_on
-        Called with a connection whose head is whole, too long, or will never be whole.
+        Called with a connection whose head is complete or too long, or whose peer has closed it.
     header_timeout_s, idle_timeout_s
-        Return how long a head may take from its first byte, and how long the first byte may take.
+        Return the time limits for a head after its first byte, and for the first byte.
     """
 
     def __init__(
@@ -82,16 +82,16 @@
 
     @property
     def busy(self) -> bool:
-        """Whether a head is being sent."""
+        """Whether a head has arrived in part."""
         with self._lock:
             return any(one.began for one in self._waiting.values())
 
     def start(self) -> None:
-        """Begin to watch."""
+        """Start the watching thread."""
         threading.Thread(target=self._watch, name="front-heads", daemon=True).start()
 
     def stop(self) -> None:
-        """Close the connections on which nothing has come; heads that have begun may end."""
+        """Close the connections without any data; heads that have begun may be completed."""
         self._stopping = True
         with self._lock:
             idle = [fd for fd, one in self._waiting.items() if not one.began]
@@ -100,7 +100,7 @@
             connection.close()
 
     def take(self, connection: Connection) -> None:
-        """Hand a connection on now, or once its head is whole."""
+        """Pass a connection on now, or when its head is complete."""
         if _head_is_whole(connection.socket):
             self._hand_on(connection)
             return
@@ -108,7 +108,7 @@
         waiting = _Waiting(connection, False, boot_clock.now() + self._idle_timeout_s())
         with self._lock:
             self._waiting[descriptor] = waiting
-            # What has come since the look above is told at once.
+            # Data that arrived since the check above is reported immediately.
             self._poll.register(descriptor, _EVENTS)
 
     def _watch(self) -> None:
@@ -151,13 +151,13 @@
 
 
 def _head_is_whole(connection: socket.socket) -> bool:
-    """Return whether a worker would not have to wait for the head, or for its end."""
+    """Return whether a worker can read the head, or find it invalid, without waiting."""
     if not is_readable(connection, 0.0):
         return False
     try:
         seen = connection.recv(MAX_PEEK_BYTES, socket.MSG_PEEK)
     except OSError:
-        # Reset: the worker finds that out and closes it.
+        # The connection was reset: the worker gets the same error and closes it.
         return True
     if not seen or len(seen) == MAX_PEEK_BYTES:
         return True
--- a/src/quaymill/process/front/http_server.py
+++ b/src/quaymill/process/front/http_server.py
@@ -1,8 +1,8 @@
-"""The HTTP server towards callers: cheroot without WSGI, so that requests stay as they were sent.
+"""The HTTP server for callers: cheroot without WSGI, so that requests are not altered.
 
 Target, headers and body reach the handler as received. A handler writes its answer through an
-``AnswerWriter``; an answer that cannot be completed is broken off so that the caller sees it
-as incomplete.
+``AnswerWriter``; an answer that cannot be completed is aborted so that the caller detects that
+it is incomplete.
 """
 
 from __future__ import annotations
@@ -32,11 +32,11 @@
 IDLE_WORKERS_INTERVAL_S = 10.0
 MAX_KEPT_CONNECTIONS = 2000
 IDLE_CHECK_MARGIN_S = 10.0
-"""Idle connections are timed by the time of day, which may jump; callers close earlier."""
+"""Added to the idle timeout, as cheroot measures it with the wall clock, which may jump."""
 READ_BLOCK_BYTES = 256 * 1024
 SERVER_NAME = "quaymill"
 DEFAULT_HEADER_TIMEOUT_S = 3.0
-"""Until a configuration tells how long a head may take."""
+"""Used until a configuration sets the time that a head may take."""
 
 
 class BrokenBodyError(Exception):
@@ -48,7 +48,7 @@
 
 
 class _LineRecorder:
-    """Passes lines through and keeps them."""
+    """Records the lines that are read through it."""
 
     def __init__(self, rfile) -> None:
         self._rfile = rfile
@@ -61,7 +61,7 @@
 
 
 class _HeaderReader(server.HeaderReader):
-    """Keeps the headers as sent beside cheroot's own folded view of them."""
+    """Keeps the header lines as sent in addition to cheroot's folded headers."""
 
     def __call__(self, rfile, hdict=None):
         recorder = _LineRecorder(rfile)
@@ -77,7 +77,7 @@
     header_reader = _HeaderReader()
 
     def read_request_line(self) -> bool:
-        """Refuse a target that is no URL; cheroot fails at some of them."""
+        """Refuse a target that is not a URL; for some of them cheroot raises ``ValueError``."""
         try:
             return super().read_request_line()
         except ValueError:
@@ -85,17 +85,17 @@
             return False
 
     def read_request_headers(self) -> bool:
-        """Refuse requests whose end could be read in two ways."""
+        """Refuse requests with an ambiguous body length or a space around a header name."""
         if not super().read_request_headers():
             return False
         pairs = self.header_pairs()
         lengths = [value for name, value in pairs if name.lower() == "content-length"]
         if len(lengths) > 1 or (lengths and self.chunked_read):
-            self.simple_response("400 Bad Request", "Ambiguous length of the body")
+            self.simple_response("400 Bad Request", "Ambiguous body length")
             return False
         if any(name != name.strip() for name, _ in pairs):
-            # A replica might read such a name as one that is kept from it.
-            self.simple_response("400 Bad Request", "Space in the name of a header")
+            # A replica might strip the space and accept a header that must not reach it.
+            self.simple_response("400 Bad Request", "Space around a header name")
             return False
         return True
 
@@ -121,9 +121,9 @@
     target
         Path and query as sent.
     path, query
-        The two parts of the target, not unquoted.
+        The two parts of the target, still percent-encoded.
     presence
-        Whether the caller still waits.
+        Whether the caller is still connected.
     body_was_read
         Whether the whole body has been read, so that another request may follow.
     """
@@ -144,7 +144,7 @@
         return self._by_name.get(name.lower())
 
     def header_values(self, name: str) -> list[str]:
-        """Return the values of all headers of a name, as often as it was sent."""
+        """Return the values of all headers with a name, in the order sent."""
         wanted = name.lower()
         return [value for sent, value in self.headers if sent.lower() == wanted]
 
@@ -159,7 +159,7 @@
         Raises
         ------
         BrokenBodyError, BodyTooLargeError
-            It is not whole, or longer than the limit; the connection must be closed.
+            It is incomplete or longer than the limit; the connection must be closed.
         """
         announced = self.header("Content-Length")
         if announced is not None and int(announced) > limit_bytes:
@@ -173,17 +173,17 @@
                     raise BodyTooLargeError
                 blocks.append(block)
             if self._request.chunked_read:
-                # What follows the last chunk belongs to this request, not to the next one.
+                # Trailers after the last chunk belong to this request, not to the next one.
                 list(self._request.rfile.read_trailer_lines())
         except (OSError, ValueError, errors.MaxSizeExceeded) as error:
             raise BrokenBodyError(str(error)) from error
         if announced is not None and total_bytes != int(announced):
-            raise BrokenBodyError(f"{total_bytes} of {announced} bytes came")
+            raise BrokenBodyError(f"received {total_bytes} of {announced} bytes")
         self.body_was_read = True
         return b"".join(blocks)
 
     def drop_body(self, limit_bytes: int) -> None:
-        """Read a body that is not wanted, if it is short; a longer one is left unread."""
+        """Read and discard a body up to ``limit_bytes``; a longer one is left unread."""
         if self.body_was_read:
             return
         with contextlib.suppress(BrokenBodyError, BodyTooLargeError):
@@ -198,12 +198,12 @@
     started
         Whether the head has been sent.
     status
-        Status code sent; 0 before.
+        Status code sent; 0 before that.
 
     Parameters
     ----------
     held
-        Keeps what the caller is slow to take; ``None`` where writing waits for the caller.
+        Buffers data for a slow caller; ``None`` where writing waits for the caller.
     """
 
     def __init__(self, request: _HttpRequest, held: BufferedAnswer | None = None) -> None:
@@ -213,7 +213,7 @@
         self.status = 0
 
     def start(self, status: int, reason: str, headers: Headers, length: int | None = None) -> None:
-        """Send the head; without ``length`` the body's end is marked by its last chunk."""
+        """Send the head; without ``length`` the body is sent in chunked encoding."""
         self.started = True
         self.status = status
         text = reason or _reason_of(status)
@@ -225,7 +225,7 @@
         self._request.ensure_headers_sent()
 
     def write(self, block: bytes) -> None:
-        """Send a part of the body; raises ``OSError`` when the caller is gone."""
+        """Send a part of the body; raises ``OSError`` when the caller has disconnected."""
         if not block:
             return
         if self._held is None:
@@ -242,31 +242,31 @@
 
     @property
     def pending(self) -> bool:
-        """Whether something is held that the caller has not taken yet."""
+        """Whether there is buffered data that the caller has not read yet."""
         return self._held is not None and self._held.pending
 
     def send_held(self, timeout_s: float, beside: int = -1) -> bool:
-        """Wait until the caller takes something, or there is something to read ``beside``."""
+        """Send buffered data; return early once the descriptor ``beside`` has data to read."""
         return self._held.send_held(timeout_s, beside)
 
     def finish(self) -> None:
-        """Return once the caller has taken all; raises ``OSError`` if it does not."""
+        """Wait until the caller has read everything; raises ``OSError`` if it does not."""
         if self._held is not None:
             self._held.finish()
 
     def drop_held(self) -> None:
-        """Forget what the caller has not taken."""
+        """Discard the buffered data that the caller has not read."""
         if self._held is not None:
             self._held.drop()
 
     def answer(self, status: int, headers: Headers, body: bytes, reason: str = "") -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
         self.start(status, reason, headers, len(body))
         if self._request.method != b"HEAD":
             self.write(body)
 
     def abort(self) -> None:
-        """End the connection; an answer that was begun is seen to be incomplete."""
+        """Close the connection without completing the answer, so that the caller detects it."""
         self._request.chunked_write = False
         self._request.sent_headers = True
         self._request.close_connection = True
@@ -277,48 +277,45 @@
 
 
 Handler = Callable[[FrontRequest, AnswerWriter], None]
-"""Answers one request; what it raises ends the connection."""
+"""Answers one request; an exception from it closes the connection."""
 
 
 class _ElasticThreadPool(ThreadPool):
-    """Starts a worker when a connection finds none idle, and ends some that stay idle.
-
-    The library's own pool has as many threads as it is given, whether there is work or not.
-    """
+    """Starts workers on demand and ends idle ones; cheroot's pool has a fixed size."""
 
     def put(self, obj) -> None:
-        """Queue a connection; the worker that takes it may be a new one."""
+        """Queue a connection; start a worker for it if none is idle."""
         if self.idle <= self.qsize and len(self._threads) < self.max:
             self._threads.append(self._spawn_worker())
         super().put(obj)
 
     def end_idle(self) -> None:
-        """End workers beyond those that are busy and a few in reserve."""
+        """End idle workers except for the configured minimum."""
         spare = self.idle - self.min
         if spare > 0:
             self.shrink(spare)
 
     @property
     def busy(self) -> bool:
-        """Whether a worker has a connection, or one waits for a worker."""
+        """Whether a worker serves a connection or a connection waits for a worker."""
         return self.qsize > 0 or any(worker.conn is not None for worker in self._threads)
 
 
 class HttpServer(server.HTTPServer):
-    """Serves a handler; errors go to the log as one line each.
+    """Serves requests with a handler; each error is logged as one line.
 
     Parameters
     ----------
     threads
-        Most workers, and so most requests being read or answered at once.
+        Most workers; limits the requests that are read or answered at once.
     idle_threads
-        Workers that are kept although there is nothing to do.
+        Workers that are kept while they are idle.
     watch
-        Returns the presence of the caller on a connection; ``unwatch`` ends that.
+        Begins to watch a connection and returns its caller's presence; ``unwatch`` ends that.
     listener
-        Where connections wait already; the server listens by itself if there is none.
+        A socket that listens already; without it the server opens its own.
     held_answers
-        Keeps answers for callers that read slowly; without it writing waits for them.
+        Buffers answers for callers that read slowly; without it writing waits for them.
     """
 
     ConnectionClass = _HttpConnection
@@ -354,7 +351,7 @@
 
     @property
     def idle_timeout_s(self) -> float:
-        """How long a connection may lie idle, and a read or write may take."""
+        """How long a connection may be idle, and how long a read or write may take."""
         return self.timeout - IDLE_CHECK_MARGIN_S
 
     @idle_timeout_s.setter
@@ -362,14 +359,14 @@
         self.timeout = seconds + IDLE_CHECK_MARGIN_S
 
     def start_serving(self) -> None:
-        """Listen, then serve on threads of its own.
+        """Listen, and start the threads that serve.
 
         Raises
         ------
         OSError
-            The address cannot be listened on.
+            The server cannot listen on the address.
         """
-        # Worker threads inherit from the thread that makes them that they hold up no exit.
+        # Worker threads inherit the daemon flag of the thread that creates them.
         preparing = threading.Thread(target=self._prepare, name="front-prepare", daemon=True)
         preparing.start()
         preparing.join()
@@ -381,14 +378,14 @@
             threading.Thread(target=target, name=name, daemon=True).start()
 
     def bind(self, family: int, type: int, proto: int = 0) -> socket.socket:
-        """Return the socket to listen at: the one where connections wait already, or a new one."""
+        """Return the socket to listen on: the given listener or a new one."""
         if self._listener is None:
             return super().bind(family, type, proto)
         self.socket = self._listener
         return self.socket
 
     def process_conn(self, conn: server.HTTPConnection) -> None:
-        """Give a connection to a worker, once the head of a request is there."""
+        """Pass a connection to a worker when the head of a request has arrived."""
         if conn.rfile.has_data():
             super().process_conn(conn)
         else:
@@ -407,11 +404,11 @@
 
     @property
     def busy(self) -> bool:
-        """Whether a connection is being read or answered, or waits for that."""
+        """Whether a request is being received or answered, or waits for a worker."""
         return self.requests.busy or self._heads.busy
 
     def stop_accepting(self) -> None:
-        """Take no more connections and close idle ones; requests in service go on."""
+        """Accept no more connections and close idle ones; requests in service continue."""
         self.ready = False
         self._connections.stop()
         self.socket.close()
@@ -419,19 +416,19 @@
         self._heads.stop()
 
     def stop(self) -> None:
-        """Close everything at once."""
+        """Close all connections immediately."""
         self._heads.stop()
         super().stop()
 
     def error_log(self, msg: str = "", level: int = logging.INFO, traceback: bool = False) -> None:
-        """Log what the server could not handle."""
+        """Log an error of the HTTP server."""
         log_message("front:http_error", message=msg, level=logging.getLevelName(level))
 
 
 def _gateway(
     handler: Handler, watch, unwatch, held_answers: BufferedAnswers | None
 ) -> type[server.Gateway]:
-    """Return the class by which cheroot hands requests to ``handler``."""
+    """Return the gateway class through which cheroot calls ``handler``."""
 
     class FrontGateway(server.Gateway):
         def respond(self) -> None:
@@ -443,8 +440,8 @@
                 handler(FrontRequest(self.req, presence), writer)
                 writer.finish()
             except OSError:
-                writer.abort()  # The caller is gone, or its connection broke.
-            except Exception as error:  # A bug must end one request, not the server's thread.
+                writer.abort()  # The caller has disconnected.
+            except Exception as error:  # A bug must not end the worker.
                 log_message("front:handler_error", error=repr(error))
                 writer.abort()
             finally:
--- a/src/quaymill/process/front/metrics.py
+++ b/src/quaymill/process/front/metrics.py
@@ -5,13 +5,13 @@
 from prometheus_client import CollectorRegistry, Counter, Histogram
 
 MAX_TENANTS_SHOWN = 100
-"""Tenants with a counter of their own: a few are beyond their limits at a time, of thousands."""
+"""Most tenants with a counter of their own, to bound the number of time series."""
 OTHER_TENANTS = "(others)"
 LATENCY_BUCKETS_S = (0.01, 0.03, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 4.0, 8.0, 16.0)
 
 
 class FrontMetrics:
-    """What the front counts; ``registry`` may hold other parts' metrics too."""
+    """The metrics of the front; ``registry`` may hold metrics of other parts as well."""
 
     def __init__(self, registry: CollectorRegistry) -> None:
         self.registry = registry
@@ -23,13 +23,13 @@
         )
         self.refusals = Counter(
             "quaymill_front_refusals",
-            "Answers of our own that are not successes, by status.",
+            "Error responses of the gateway itself, by status.",
             ("status",),
             registry=registry,
         )
         self._over_limit = Counter(
             "quaymill_front_over_limit",
-            "Requests refused since their tenant was beyond its limits.",
+            "Requests refused because their tenant was over its limits.",
             ("tenant",),
             registry=registry,
         )
@@ -43,7 +43,7 @@
         )
 
     def count_over_limit(self, tenant: str) -> None:
-        """Count a refusal; tenants beyond the first hundred share one counter."""
+        """Count a refusal; tenants after the first ``MAX_TENANTS_SHOWN`` share one counter."""
         if len(self._tenants_shown) < MAX_TENANTS_SHOWN:
             self._tenants_shown.add(tenant)
         shown = tenant if tenant in self._tenants_shown else OTHER_TENANTS
--- a/src/quaymill/process/front/plain_pages.py
+++ b/src/quaymill/process/front/plain_pages.py
@@ -1,4 +1,4 @@
-"""Small servers beside the callers' one: readiness for the platform, metrics for scrapers."""
+"""HTTP servers for the platform's readiness checks and for metrics scrapers."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 THREADS = 4
 IDLE_THREADS = 1
-"""Such a page is asked for once a second or less, by one or two askers."""
+"""One idle worker is enough, as such pages are requested once a second or less often."""
 METRICS_PATH = "/metrics"
 METRICS_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 
 
 class ReadinessServer(HttpServer):
-    """Answers 200 while callers may be brought here, 503 otherwise."""
+    """Answers 200 while the gateway is ready for callers, 503 otherwise."""
 
     def __init__(self, endpoint: Endpoint, path: str, is_ready: Callable[[], bool]) -> None:
         super().__init__(endpoint, self._handle, THREADS, idle_threads=IDLE_THREADS)
@@ -32,7 +32,7 @@
 
 
 class MetricsServer(HttpServer):
-    """Shows a registry's metrics as text."""
+    """Serves a registry's metrics in the Prometheus text format."""
 
     def __init__(self, endpoint: Endpoint, registry: CollectorRegistry) -> None:
         super().__init__(endpoint, self._handle, THREADS, idle_threads=IDLE_THREADS)
--- a/src/quaymill/process/front/refusals.py
+++ b/src/quaymill/process/front/refusals.py
@@ -1,4 +1,4 @@
-"""Answers of our own that are no success, and which one each outcome leads to."""
+"""Error responses of the gateway itself, and the outcomes that lead to them."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 @attrs.frozen
 class Refusal:
-    """An answer of our own.
+    """An error response of the gateway itself.
 
     Attributes
     ----------
     retry_after_s
-        When to come back; only where the request has not run.
+        When the caller should retry; only where the request has not run.
     headers
-        Beside those of every refusal.
+        In addition to the headers of every refusal.
     kind
-        What the log tells: ``over-limit`` is an ordinary one, of which there may be very many.
+        Outcome written to the log; ``over-limit`` marks an ordinary line, which may be dropped.
     """
 
     status: int
@@ -37,32 +37,32 @@
 
 
 UNKNOWN_KEY = Refusal(
-    401, "the request needs a key of a tenant as its bearer key", headers=AUTHENTICATE
+    401, "the request needs a valid tenant key as its bearer token", headers=AUTHENTICATE
 )
-KEY_MOVED = Refusal(503, "the key has been given to another tenant; send again", 0.0)
+KEY_MOVED = Refusal(503, "the key now belongs to another tenant; send the request again", 0.0)
 
 
 def malformed_refusal(malformed: Malformed) -> Refusal:
-    """Refuse what cannot be understood."""
+    """Return the refusal of a malformed request."""
     return Refusal(400, f"{malformed.reason}; {malformed.remedy}")
 
 
 def forwarding_refusal(result: GivenUp | KeyChanged) -> Refusal:
-    """Refuse a request that was not forwarded to an answer."""
+    """Return the refusal of a request for which no replica's answer was sent."""
     if isinstance(result, KeyChanged):
         return UNKNOWN_KEY if result.taken_away else KEY_MOVED
     return given_up_refusal(result)
 
 
 def over_limit_refusal(over_limit: NotRun) -> Refusal:
-    """Refuse a request beyond its tenant's limits."""
+    """Return the refusal of a request over its tenant's limits."""
     message = f"{over_limit.reason}; {over_limit.remedy}"
     retry_after_s = round(over_limit.retry_after_s or 0.0, 2)
     return Refusal(over_limit.status, message, retry_after_s, kind="over-limit")
 
 
 def given_up_refusal(result: GivenUp) -> Refusal:
-    """Refuse a request that was given up on: "not run" only where that is certain."""
+    """Return the refusal of an abandoned request: 503 only if it has certainly not run."""
     if result.may_have_run:
         return Refusal(504 if result.timed_out else 502, result.reason)
     if result.retry_after_s is not None:
@@ -71,16 +71,16 @@
 
 
 def over_quota_refusal(result: OverQuota) -> Refusal:
-    """Refuse a job that does not fit its quota."""
+    """Return the refusal of a job that exceeds its quota."""
     message = (
         f"the route's batch jobs hold {result.held_tokens} of {result.quota} tokens;"
-        " send the job again once items have ended"
+        " send the job again when items have ended"
     )
     return Refusal(429, message, round(result.retry_after_s, 2))
 
 
 def job_refusal(result: NoSuchJob | Unsure) -> Refusal:
-    """Refuse a call about a job that is not there, or of which that is not certain."""
+    """Return the refusal of a call about a job that does not exist or whose state is unknown."""
     if isinstance(result, NoSuchJob):
-        return Refusal(404, "there is no such job")
+        return Refusal(404, "the job does not exist")
     return Refusal(503, result.reason, SHORT_RETRY_AFTER_S)
