--- a/src/quaymill/process/__init__.py
+++ b/src/quaymill/process/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for the whole process."""
+"""Parts that exist for the whole lifetime of a process."""
--- a/src/quaymill/process/configuration_holder.py
+++ b/src/quaymill/process/configuration_holder.py
@@ -1,4 +1,4 @@
-"""The configuration in force in this process: the highest generation seen, never an older one."""
+"""The configuration in force in this process: the one with the highest generation so far."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ConfigurationHolder:
-    """Holds one immutable configuration and tells listeners of each newer one."""
+    """Holds one immutable configuration and notifies listeners of each newer one."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
--- a/src/quaymill/process/early_listener.py
+++ b/src/quaymill/process/early_listener.py
@@ -1,8 +1,8 @@
 """Listens for callers before the rest of a gateway is loaded.
 
-Loading takes 0.4 s of processor time, and a second or more on a weak machine. After many gateways
-were killed at once a caller that meets closed ports twice has used up its tries; one whose
-connection stands waits a moment. Only the standard library is used here, and little of it.
+Loading the other modules can take more than a second. Meanwhile a caller would find the port
+closed and might use up its retries, while an accepted connection just waits. This module imports
+only a few modules of the standard library, so that it loads quickly.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 from pathlib import Path
 
 LISTEN_BACKLOG = 512
-"""Connections that wait to be accepted: what comes to one gateway while it is loading."""
+"""Most connections that wait to be accepted while the gateway is loading."""
 
 
 def open_listener(settings_file: Path) -> socket.socket | None:
-    """Listen at the callers' address of a settings file.
+    """Listen on the callers' address of a settings file.
 
     Returns
     -------
-    ``None`` where that cannot be; whoever loads the settings and listens later tells why.
+    ``None`` if that fails; the error is reported when the settings are loaded later.
     """
     try:
         settings = tomllib.loads(settings_file.read_text())
@@ -29,8 +29,8 @@
             return None
         listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        # Without it the second part of an answer waits 40 ms for the caller's acknowledgement.
-        # Accepted connections have it from here.
+        # Otherwise the second part of an answer waits for the caller's delayed acknowledgement.
+        # Accepted connections inherit the option.
         listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         listener.bind((host, int(port)))
         listener.listen(LISTEN_BACKLOG)
--- a/src/quaymill/process/gateway_gauges.py
+++ b/src/quaymill/process/gateway_gauges.py
@@ -1,4 +1,4 @@
-"""Gauges that a gateway shows: what each means, and how it is read."""
+"""Gauges of a gateway with their help texts."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
 PREFIX = "quaymill_"
 MEANINGS = {
     "configuration_version": "Version of the configuration in force.",
-    "control_age_seconds": "How long ago configuration and replicas were known to be the newest.",
+    "control_age_seconds": "Seconds since configuration and replicas were last confirmed as current.",
     "requests_in_service": "Requests of callers in service.",
-    "requests_held": "Requests that wait for a free slot of an engine.",
-    "request_body_bytes": "Size of the bodies of forwarded requests in service.",
-    "answer_bytes_held": "Parts of answers that callers have not taken yet.",
-    "answers_ended": "Answers ended since the start, since their callers read too slowly.",
-    "line_tenants": "Tenants that have requests in the lines kept here.",
-    "line_refused": "Requests refused since they could not be served in time, since the start.",
+    "requests_held": "Requests that wait for a free engine slot.",
+    "request_body_bytes": "Bytes in the bodies of forwarded requests in service.",
+    "answer_bytes_held": "Bytes of answers that are buffered until callers read them.",
+    "answers_ended": "Answers aborted since the start because their callers read too slowly.",
+    "line_tenants": "Tenants with requests in this gateway's pool queues.",
+    "line_refused": "Requests refused since the start because they could not be served in time.",
     "batch_items_running": "Batch items in service.",
-    "batch_jobs_open": "Batch jobs coordinated here.",
-    "requests_barred": "Requests that are refused, since replicas crashed under them.",
-    "requests_suspected": "Requests under which fewer replicas crashed.",
+    "batch_jobs_open": "Batch jobs coordinated by this gateway.",
+    "requests_barred": "Request contents blocked after crashing replicas.",
+    "requests_suspected": "Request contents that crashed replicas, but too few to be blocked.",
     "storage_nodes": "Live storage nodes.",
     "gateways": "Live gateways.",
     "zones_unreachable": "Zones that this process cannot reach.",
-    "replica_connections_opened": "Connections opened to replicas since the start.",
-    "store_calls": "Calls of the platform's store since the start.",
-    "store_calls_saved": "Calls of the store not made since the start, while it was away.",
-    "store_circuit_open": "1 while calls of the store are held back, since it does not answer.",
-    "log_lines_dropped": "Log lines left out since the start.",
+    "replica_connections_opened": "Connections to replicas opened since the start.",
+    "store_calls": "Calls to the platform's store since the start.",
+    "store_calls_saved": "Calls to the store skipped since the start while it was unavailable.",
+    "store_circuit_open": "1 while calls to the store are suspended because it does not answer.",
+    "log_lines_dropped": "Log lines dropped since the start.",
 }
 REPLICA_STATES: dict[str, Callable[[Replica], bool]] = {
     "listed": lambda replica: replica.departed_at is None,
@@ -44,7 +44,7 @@
 
 
 def add_gauges(registry: CollectorRegistry, readings: Mapping[str, Callable[[], float]]) -> None:
-    """Add a gauge for each reading; each has its meaning in ``MEANINGS``."""
+    """Add a gauge for each reading, with its help text from ``HELP_TEXTS``."""
     for name, read in readings.items():
         Gauge(f"{PREFIX}{name}", MEANINGS[name], registry=registry).set_function(read)
 
@@ -56,8 +56,8 @@
     lengths: Callable[[], Mapping[EnginePool, int]]
 
     def collect(self) -> Iterator[GaugeMetricFamily]:
-        """Return one gauge for all pools."""
-        meaning = "Requests of all gateways that wait in the lines kept here, by pool."
+        """Return a gauge family with one sample for each pool."""
+        meaning = "Requests of all gateways in this gateway's pool queues, by pool."
         family = GaugeMetricFamily(f"{PREFIX}line_requests", meaning, labels=("service", "pool"))
         for pool, length in self.lengths().items():
             family.add_metric((pool.service, str(pool.index)), length)
@@ -67,7 +67,7 @@
 def add_line_gauge(
     registry: CollectorRegistry, lengths: Callable[[], Mapping[EnginePool, int]]
 ) -> None:
-    """Add the number of requests that wait in line, by pool."""
+    """Add the number of queued requests by pool."""
     registry.register(_LineCollector(lengths))
 
 
--- a/src/quaymill/process/gateway_node.py
+++ b/src/quaymill/process/gateway_node.py
@@ -1,4 +1,4 @@
-"""A gateway process: builds its parts, starts them, and stops them in order."""
+"""A gateway process: builds its parts, starts them and stops them in order."""
 
 from __future__ import annotations
 
@@ -68,8 +68,8 @@
 
 CONNECT_TIMEOUT_S = 0.3
 ZONE_LOST_CONNECT_TIMEOUT_S = 0.15
-"""The same where a zone may be cut off: half of callers' shortest objective (0.3 s), so that a
-request which meets the cut first is still in time elsewhere."""
+"""Connect timeout where a zone may be cut off; short enough that a request can still be served on
+time in another zone."""
 THREADS = 160
 ADMISSION_LIMIT = 144
 STOP_MARGIN_S = 0.7
@@ -80,7 +80,7 @@
 
 @attrs.frozen
 class GatewayProtocol:
-    """What an adapter brings for a gateway."""
+    """The protocols that an adapter provides for a gateway."""
 
     callers: CallerProtocol
     replicas: ReplicaProtocol
@@ -92,22 +92,22 @@
 
 @attrs.frozen
 class GatewayFeatures:
-    """What an adapter knows of the deployment that switches parts of a gateway on.
+    """Properties of the deployment that enable optional parts of a gateway.
 
     Attributes
     ----------
     callers_may_read_slowly
-        Whether answers are held for callers that read slower than replicas send.
+        Whether answers are buffered for callers that read more slowly than replicas send.
     """
 
     callers_may_read_slowly: bool = False
 
 
 class GatewayNode:
-    """All parts of one gateway.
+    """A gateway with all its parts.
 
-    States: starting, ready (``start`` was called and configuration and replicas are known),
-    draining (``stop``: not ready, requests in flight end), stopped.
+    States: starting, ready (after ``start``, with a known configuration and replicas), draining
+    (after ``stop``: not ready, requests in flight are completed), stopped.
     """
 
     def __init__(
@@ -188,7 +188,7 @@
             lambda first, wishes: self._notices.place(first, wishes),
         )
         self._loads = EngineLoads(self._connections, protocol.reports)
-        # Queue, orders, keeper and notices call one another: lambdas wait until all are built.
+        # The next four parts call one another; lambdas look up those that are built later.
         self._queue = OnlineQueue(
             self._table,
             self._ask_turn,
@@ -381,7 +381,7 @@
         add_line_gauge(self._metrics.registry, self._keeper.turns.lengths)
 
     def start(self) -> None:
-        """Start the parts; each finds those it uses already running."""
+        """Start the parts, each after those that it uses."""
         self.network.start()
         self.control.subscribe(self._apply_limits)
         self.control.start()
@@ -405,7 +405,7 @@
         )
 
     def stop(self) -> None:
-        """Leave in order, so that no request is cut: peers and callers are told first."""
+        """Stop without aborting requests: notify peers and callers, then drain."""
         began = boot_clock.now()
         deadline = began + self._settings.bounds.grace_s - STOP_MARGIN_S
         log_message("node:draining", in_service=self._front.in_service)
@@ -413,7 +413,7 @@
         self.network.membership.announce_draining()
         handing_over = threading.Thread(target=self.jobs.hand_over_all, daemon=True)
         handing_over.start()
-        # Callers whose connections were brought here before the platform noticed still send.
+        # New connections still arrive until the platform notices that this gateway is not ready.
         time.sleep(self._settings.bounds.leave_s)
         self._server.stop_accepting()
         idle = self._wait_until_idle(deadline)
@@ -423,10 +423,9 @@
         self._stop_talking()
 
     def _wait_until_idle(self, deadline: float) -> bool:
-        """Wait until nothing has been in service for a while; return whether that came true.
+        """Wait until the gateway has been idle for a while; return ``False`` at the deadline.
 
-        A request that is still being read counts as none yet, so a moment without any is not
-        enough.
+        A short idle period is required, as a request that has just arrived is not counted yet.
         """
         idle_since = boot_clock.now()
         while boot_clock.now() < deadline:
@@ -444,17 +443,17 @@
         return len(self.network.storage_nodes()) > self._settings.disks_lost_at_once
 
     def _has_joined(self) -> bool:
-        """Return whether jobs can be kept, or the storage nodes have had time to be found.
+        """Return whether enough storage nodes are known, or the time for finding them has passed.
 
-        A gateway that has just started would else be brought jobs which it must refuse.
-        Without storage nodes it still serves online requests.
+        Otherwise a gateway that has just started would receive jobs that it must refuse. Without
+        storage nodes it still serves online requests.
         """
         if self._can_store():
             return True
         return boot_clock.now() - self._started_at > JOIN_PATIENCE_S
 
     def kill(self) -> None:
-        """Stop as a process that dies does: peers and callers are told nothing."""
+        """Stop as a crashing process does, without notifying peers and callers."""
         self._stop_talking()
         self.coordinator.stop()
         self.quota.stop()
@@ -463,7 +462,7 @@
         self._readiness.stop()
 
     def _stop_talking(self) -> None:
-        """Stop the parts that speak to peers, to the store and to replicas of their own accord."""
+        """Stop the parts that contact peers, the store or replicas in the background."""
         self.control.stop()
         self._registry.stop()
         self._loads.stop()
--- a/src/quaymill/process/gateway_parts.py
+++ b/src/quaymill/process/gateway_parts.py
@@ -1,4 +1,4 @@
-"""Parts of a gateway that follow from its settings and its network alone."""
+"""Builds those parts of a gateway that need only its settings, network and store."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 def build_circuit_store(
     settings: ServingSettings, network: PeerNetwork, store: ObjectStore
 ) -> CircuitStore:
-    """Return the platform's store behind a circuit breaker with the operator's bounds."""
+    """Return the platform's store wrapped in a circuit breaker that keeps the operator's bounds."""
     bounds = settings.bounds
     settle_s = bounds.settle_ms / MS_PER_S
     longest_s = longest_probe_s(
@@ -42,7 +42,7 @@
     network: PeerNetwork,
     limits_of: Callable[[str], TenantLimits | None],
 ) -> TenantLimiter:
-    """Return what keeps tenants to their limits, counted over all gateways."""
+    """Return the limiter that enforces tenants' limits across all gateways."""
     bounds = settings.bounds
     return TenantLimiter(
         settings.name,
--- a/src/quaymill/process/job_copies.py
+++ b/src/quaymill/process/job_copies.py
@@ -1,4 +1,4 @@
-"""On which storage nodes the copies of a job lie, worked out alike by every process."""
+"""Determines which storage nodes hold the copies of a job; every process gets the same result."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 @attrs.frozen
 class CopyRules:
-    """How many copies of a job there are, and which storage nodes have them.
+    """How many copies of a job there are, and which storage nodes hold them.
 
     Attributes
     ----------
     needed
-        Copies on disks before anything is acknowledged; repair keeps up one more where there
-        are nodes enough.
+        Copies on disks before anything is acknowledged; repair maintains one more if there are
+        enough nodes.
     zones
-        Zones in which copies lie, where that many can be reached; with 1 it does not matter
-        where they lie.
+        Number of zones over which copies are spread, if that many can be reached; with 1 zones
+        are ignored.
     """
 
     needed: int
@@ -30,27 +30,27 @@
 
     @classmethod
     def from_settings(cls, settings: ServingSettings) -> CopyRules:
-        """Return the rules by which the losses that settings allow are borne."""
+        """Return the rules that tolerate the losses of disks and zones allowed by the settings."""
         return cls(settings.disks_lost_at_once + 1, settings.zones_lost_at_once + 1)
 
     @property
     def kept(self) -> int:
-        """Copies that repair keeps up."""
+        """Number of copies that repair maintains."""
         return self.needed + 1
 
     def rank(self, job_id: str, members: Iterable[Member]) -> tuple[Member, ...]:
-        """Return storage nodes in the order in which they are to have a job.
+        """Return storage nodes in order of preference for a job's copies.
 
-        The first is the same whatever the number of zones: it keeps the job's progress, and gives
-        the job away when its coordinator is gone.
+        The first does not depend on the number of zones: it keeps the job's progress and assigns
+        the job to another gateway when its coordinator has ended.
         """
         rank = rank_across_zones if self.zones > 1 else rank_nodes
         return rank(job_id, members)
 
     def holders(self, job_id: str, members: Iterable[Member]) -> tuple[Member, ...]:
-        """Return the storage nodes that are to have a job."""
+        """Return the storage nodes that should hold a job."""
         return self.rank(job_id, members)[: self.kept]
 
     def zones_needed(self, members: Iterable[Member]) -> int:
-        """Return in how many zones copies must lie if there are no other nodes than these."""
+        """Return the number of zones that must hold copies if these are all storage nodes."""
         return min(self.zones, len({member.zone for member in members}))
--- a/src/quaymill/process/machine_list.py
+++ b/src/quaymill/process/machine_list.py
@@ -1,4 +1,4 @@
-"""The platform's machine list as this process holds it; it lags behind the truth."""
+"""The newest version of the platform's machine list that this process has received."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class MachineListHolder:
-    """Holds one immutable machine list and tells listeners of each newer one."""
+    """Holds one immutable machine list and notifies listeners of each newer one."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -29,7 +29,7 @@
         self._listeners: list[Listener] = []
 
     def current(self) -> MachineList:
-        """Return the newest list seen."""
+        """Return the newest list received."""
         return self._current
 
     def subscribe(self, listener: Listener) -> None:
@@ -39,7 +39,7 @@
             listener(self._current)
 
     def offer(self, candidate: MachineList) -> bool:
-        """Take ``candidate`` if its version is higher; return whether it was."""
+        """Replace the list by ``candidate`` if its version is higher; return whether it was."""
         with self._lock:
             if candidate.version <= self._current.version:
                 return False
--- a/src/quaymill/process/machine_list_changes.py
+++ b/src/quaymill/process/machine_list_changes.py
@@ -12,7 +12,7 @@
 
 
 def find_machine_changes(base: MachineList, target: MachineList) -> MachineListChanges:
-    """Return what leads from ``base`` to ``target``."""
+    """Return the changes that turn ``base`` into ``target``."""
     held = {machine.name: machine for machine in base.machines}
     names = {machine.name for machine in target.machines}
     return MachineListChanges(
@@ -24,7 +24,7 @@
 
 
 def apply_machine_changes(base: MachineList, changes: MachineListChanges) -> MachineList | None:
-    """Return the later list, ``None`` if the changes do not start from ``base``."""
+    """Return the list after the changes; ``None`` if they do not start from ``base``."""
     if changes.base_version not in (0, base.version):
         return None
     machines = {}
@@ -37,7 +37,7 @@
 
 
 class MachineListLog:
-    """The latest changes of the list that this node holds, for peers that are behind."""
+    """The latest changes of this node's machine list, for peers with an older version."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -45,13 +45,13 @@
         self._kept: deque[MachineListChanges] = deque(maxlen=MAX_KEPT_CHANGES)
 
     def add(self, machine_list: MachineList) -> None:
-        """Keep what led to the list that is held now."""
+        """Record the changes from the previous list to this one."""
         with self._lock:
             self._kept.append(find_machine_changes(self._last, machine_list))
             self._last = machine_list
 
     def since(self, version: int, current: MachineList) -> MachineListChanges:
-        """Return what leads on from a version; the whole list if the changes are not kept."""
+        """Return the changes since a version, or the whole list if they are not kept."""
         with self._lock:
             later = [kept for kept in self._kept if kept.base_version >= version]
         if not version or not later or later[0].base_version != version:
--- a/src/quaymill/process/node.py
+++ b/src/quaymill/process/node.py
@@ -1,4 +1,4 @@
-"""One node: builds the parts, starts them, and stops them in order on SIGTERM."""
+"""One node: builds its parts, starts them and stops them in order on SIGTERM or SIGINT."""
 
 from __future__ import annotations
 
@@ -37,16 +37,16 @@
 
 
 class BlockedLinks(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Body of ``POST /debug/links``: the endpoints to which this node must not send."""
+    """Body of ``POST /debug/links``: the endpoints to which this node sends nothing."""
 
     blocked: tuple[str, ...]
 
 
 class Node:
-    """All parts of one node process.
+    """A node with all its parts.
 
-    States: starting, serving, draining (``stop`` was called: no new work, requests in
-    flight are finished), stopped.
+    States: starting, serving, draining (after ``stop``: no new work, requests in flight are
+    completed), stopped.
     """
 
     def __init__(self, settings: NodeSettings) -> None:
@@ -129,8 +129,8 @@
         return gateway
 
     def start(self) -> None:
-        """Start the parts; each finds those it uses already running."""
-        # The peer server answers last, when every handler is registered and its part can answer.
+        """Start the parts, each after those that it uses."""
+        # The peer server starts when all handlers are registered and their parts are running.
         self._membership.start()
         self._configuration.start()
         self._job_store.start()
@@ -143,10 +143,11 @@
         log_message("node:started", http=str(self._settings.http_endpoint))
 
     def stop(self) -> None:
-        """Leave in order, so that no request is cut.
+        """Stop without aborting requests.
 
-        Peers and callers are told first; batch work gives its leases back while online
-        requests finish; leadership of the log goes to another replica before this one stops.
+        Peers and callers are notified first; the batch schedulers return their leases while
+        online requests finish; another replica takes over leadership of the log before this one
+        stops.
         """
         self._membership.announce_draining()
         self._gateway.begin_drain()
@@ -166,7 +167,7 @@
         log_message("node:stopped")
 
     def _set_links(self, request: Request) -> Response:
-        """Cut the outgoing links named; a fault switch for tests."""
+        """Block the given outgoing links; a fault switch for tests."""
         body = request.read_body(MAX_FAULT_SWITCH_BYTES)
         links = msgspec.json.decode(body, type=BlockedLinks)
         self._link_filter.set_blocked(frozenset(Endpoint.parse(text) for text in links.blocked))
@@ -176,7 +177,7 @@
 def run_node(settings: NodeSettings) -> int:
     """Run a node until SIGTERM or SIGINT; return the exit code."""
     logs = start_logs(settings.name, settings.log_file)
-    # SIGUSR1 prints the stacks of all threads: a node that hangs can be looked into.
+    # SIGUSR1 prints the stacks of all threads, to debug a node that hangs.
     faulthandler.register(signal.SIGUSR1)
     stop_signal = StopSignal()
     node = Node(settings)
--- a/src/quaymill/process/node_registry.py
+++ b/src/quaymill/process/node_registry.py
@@ -1,7 +1,7 @@
-"""The nodes' own entries in the platform's store: how nodes find each other without seeds.
+"""Entries of nodes in the platform's store, through which nodes find each other without seeds.
 
-A few nodes, those that rank first, write an entry; a node that knows too few others reads
-them and joins through any that answers.
+The few nodes that rank first write an entry each; a node that knows too few others reads the
+entries and joins through any node that answers.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 class NodeRegistry:
-    """Writes this node's entry, and finds peers when the seeds did not help.
+    """Writes this node's entry, and finds peers when the seeds do not lead to them.
 
     Parameters
     ----------
@@ -53,11 +53,11 @@
         self._stopping = threading.Event()
 
     def start(self) -> None:
-        """Begin to look for peers while some are lacking, and to register."""
+        """Start the thread that looks for missing peers and registers this node."""
         threading.Thread(target=self._run, name="node-registry", daemon=True).start()
 
     def stop(self) -> None:
-        """Look no more."""
+        """Stop looking for peers and registering."""
         self._stopping.set()
 
     def _run(self) -> None:
--- a/src/quaymill/process/peer_network.py
+++ b/src/quaymill/process/peer_network.py
@@ -1,4 +1,4 @@
-"""A process's place among its peers: membership, and the internal protocol in both directions."""
+"""A process's access to its peers: membership, and client and server of the peer protocol."""
 
 from __future__ import annotations
 
@@ -23,20 +23,20 @@
 )
 COORDINATOR_SEPARATOR = "#"
 MADE_UP_FOR_AFTER_S = 10.0
-"""Time after which copies of all that a dead storage node held stand elsewhere: twice the 4.8 s
-within which the users' sheets count a machine as made up for."""
+"""Time after which other nodes have copies of everything that a dead storage node held; includes a
+margin for repairs."""
 
 
 @attrs.frozen
 class PeerNetwork:
-    """The peers as one process sees them.
+    """The peers of one process.
 
     Attributes
     ----------
     rules
-        On which of the storage nodes the copies of a job lie.
+        How many copies of a job there are, and which storage nodes hold them.
     zones_lost_at_once
-        How many zones may be cut off at once; 0 where all always count as reachable.
+        How many zones may be cut off at once; with 0 all zones count as reachable.
     """
 
     membership: Membership
@@ -48,7 +48,7 @@
 
     @classmethod
     def from_settings(cls, settings: ServingSettings) -> PeerNetwork:
-        """Bind the sockets; nothing is answered before ``start``."""
+        """Bind the sockets; peers get no answers before ``start``."""
         node_settings = NodeSettings(
             name=settings.name,
             zone=settings.zone,
@@ -75,14 +75,14 @@
         )
 
     def start(self) -> None:
-        """Answer peers; every handler must be registered."""
+        """Start answering peers; all handlers must be registered before."""
         self.server.start()
         self.membership.start()
         if self.zones_lost_at_once:
             self.reach.start()
 
     def stop(self) -> None:
-        """Leave without a word; peers find out."""
+        """Stop without notifying peers; their failure detection finds out."""
         self.server.stop()
         self.reach.stop()
         self.membership.stop()
@@ -90,23 +90,24 @@
 
     @property
     def process_name(self) -> str:
-        """Names this process; another after a restart."""
+        """Name of this process; it changes with each restart."""
         return process_name(self.membership.local())
 
     def storage_nodes(self) -> tuple[Member, ...]:
-        """Return the live storage nodes, none that is leaving."""
+        """Return the live storage nodes that are not draining."""
         return tuple(member for member in self.membership.live() if member.has_disk)
 
     def known_storage_nodes(self) -> tuple[Member, ...]:
-        """Return the storage nodes that may hold something, those that do not answer included."""
+        """Return the storage nodes that may hold data, including unresponsive ones."""
         return tuple(member for member in self.membership.members() if member.has_disk)
 
     def result_holders(self) -> tuple[Member, ...]:
         """Return the storage nodes that may be the only ones to hold a result.
 
-        Not those that have been dead for long: repair has made their copies elsewhere. Where a zone
-        may be lost there is one exception: if as many are silent as a result needs copies, they
-        may live on beyond a cut and take results there, so that all count.
+        Nodes that have been dead for long are left out, as repair has copied their data to others.
+        Exception, where a zone may be lost: if as many nodes are unresponsive as a result needs
+        copies, they may be alive in a zone that is cut off and store results there, so that all
+        known nodes are returned.
         """
         known = self.known_storage_nodes()
         recent = self.recent_storage_nodes()
@@ -115,7 +116,7 @@
         return known if may_be_cut_off else recent
 
     def recent_storage_nodes(self) -> tuple[Member, ...]:
-        """Return the storage nodes that live, or have been dead for a short time only."""
+        """Return the storage nodes that are alive or have been dead for a short time only."""
         return tuple(
             member
             for member in self.known_storage_nodes()
@@ -123,20 +124,20 @@
         )
 
     def gateways(self) -> tuple[Member, ...]:
-        """Return the live gateways, none that is leaving."""
+        """Return the live gateways that are not draining."""
         return tuple(member for member in self.membership.live() if not member.has_disk)
 
     def other_gateways(self) -> tuple[Member, ...]:
-        """Return the live gateways apart from this process."""
+        """Return the live gateways except this one."""
         name = self.membership.local().name
         return tuple(member for member in self.gateways() if member.name != name)
 
     def reached_gateways(self) -> tuple[Member, ...]:
-        """Return the live gateways apart from this process, in zones that can be reached."""
+        """Return the other live gateways in reachable zones; all of them if there are none."""
         return self.reach.reachable(self.other_gateways())
 
     def process(self, name: str) -> Member | None:
-        """Return the node on which a process of that name runs; ``None`` if it is gone."""
+        """Return the node that runs the process of that name; ``None`` if the process has ended."""
         node_name, _, _ = name.rpartition(COORDINATOR_SEPARATOR)
         for member in self.membership.members():
             if member.name == node_name and process_name(member) == name:
@@ -144,10 +145,10 @@
         return None
 
     def may_have_ended(self, name: str) -> bool:
-        """Return whether a process that is not heard may have ended.
+        """Return whether a process that does not respond may have ended.
 
-        With more zones out of reach than may be lost at once, it is the own zone that is cut off:
-        the processes of the others go on.
+        If more zones are unreachable than may be lost at once, the local zone is the one that is
+        cut off, and processes in the unreachable zones are assumed to be running.
         """
         if self.reach.unreachable_zones <= self.zones_lost_at_once:
             return True
@@ -157,7 +158,7 @@
         return not self.reach.is_unreachable(zone)
 
     def is_replaced(self, name: str) -> bool:
-        """Return whether the node of a process runs another process now, which is alive."""
+        """Return whether the process has been replaced by a live one on the same node."""
         node_name, _, _ = name.rpartition(COORDINATOR_SEPARATOR)
         for member in self.membership.live():
             if member.name == node_name:
@@ -166,5 +167,5 @@
 
 
 def process_name(member: Member) -> str:
-    """Return the name of the process that a member's record is of."""
+    """Return the name of the process that a member's record describes."""
     return f"{member.name}{COORDINATOR_SEPARATOR}{member.process_id}"
--- a/src/quaymill/process/process_context.py
+++ b/src/quaymill/process/process_context.py
@@ -1,4 +1,4 @@
-"""What a process has before its parts are built."""
+"""Objects of a process that exist before its parts are built."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 @attrs.frozen
 class ProcessContext:
-    """What is handed to the parts of a role.
+    """Objects that are passed to the parts of a process.
 
     Attributes
     ----------
     log_lines_dropped
-        Returns how many log lines were left out since the start.
+        Returns the number of log lines dropped since the start.
     callers_listener
-        Where callers' connections wait already; ``None`` if nobody listens yet.
+        Socket that already listens for callers; ``None`` if there is none.
     """
 
     log_lines_dropped: Callable[[], int] = lambda: 0
--- a/src/quaymill/process/serving_settings.py
+++ b/src/quaymill/process/serving_settings.py
@@ -1,6 +1,7 @@
-"""Settings of a process on a platform that describes the machine to it, checked as a whole.
+"""Settings of a gateway or storage node, checked as a whole.
 
-The file is TOML. Names and units are the product's own; the platform fills a template of ours.
+The file is TOML. The platform generates it from a template of this project, with names and units
+defined here.
 """
 
 from __future__ import annotations
@@ -17,36 +18,36 @@
 
 MS_PER_S = 1000.0
 READ_SHARE = 0.45
-"""Part of the time within which a change must be in force that may pass until it is read."""
+"""Share of the time limit for applying a change that may pass until the change is read."""
 
 
 MAY_BE_ZERO = frozenset({"quota_overrun_requests"})
-"""Bounds that are no times or parts, and may be 0."""
+"""Bounds that may be 0; times and shares must be positive."""
 
 
 class ServingRole(enum.StrEnum):
-    """What a process does."""
+    """Role of a process."""
 
     GATEWAY = "gateway"
     JOB_STORAGE = "job-storage"
 
 
 class Listeners(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """``IP:PORT`` of what is served to others than peers; empty where it is not served."""
+    """``IP:PORT`` of each interface for clients other than peers; empty if it is not served."""
 
     callers: str = ""
     readiness: str = ""
 
 
 class Machine(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What the process may use; 0 where it is not told.
+    """Resources that the process may use; 0 if unknown.
 
     Attributes
     ----------
     processor_share
-        Part of the machine's processor time.
+        Share of the machine's processor time.
     processor_speed
-        How many times as fast as one core of the reference kind the processor is.
+        Speed of the processor relative to one core of the reference kind.
     """
 
     memory_mb: float = 0.0
@@ -57,36 +58,35 @@
 
     @property
     def cores(self) -> float:
-        """Processor time in cores of the reference kind."""
+        """Processor time in reference cores."""
         return self.processor_share * self.processor_speed
 
 
 class Bounds(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What the operator relies on; times in milliseconds or seconds as their names say.
+    """Guarantees that the operator relies on; names give the unit of times.
 
     Attributes
     ----------
     contact_ms
-        How long a process must have been undisturbed before the other bounds hold for it.
+        How long a process must run without disturbance until the other bounds hold for it.
     configuration_ms
-        Time within which an accepted configuration is in force.
+        Time within which an accepted configuration must be in force.
     drain_ms
-        Time after which a leaving replica must get nothing more.
+        Time after which a draining replica must receive no new requests.
     grace_s
-        Time between the order to stop and the end of the process.
+        Time between the stop signal and the end of the process.
     job_retention_s
-        How long results of a job stay readable after it was sent.
+        How long results of a job stay readable after its submission.
     leave_s
-        Time after which a gateway that is not ready is brought no new connections.
+        Time after which a gateway that is not ready receives no new connections.
     quota_overrun_share
-        Part of a quota, of a batch route's tokens or a tenant's requests, by which it may be
-        overrun.
+        Share by which a quota of a batch route's tokens or a tenant's requests may be exceeded.
     quota_overrun_requests
-        Requests in a window by which a tenant's limit may be overrun beside that; may be 0.
+        Additional requests in a window by which a tenant's limit may be exceeded; may be 0.
     quota_window_s
-        Span in which a tenant's requests are counted, wherever it falls.
+        Length of the sliding window in which a tenant's requests are counted.
     settle_ms
-        Time after which a result that was read must be there for every reader.
+        Time after which a result that one reader has seen must be visible to every reader.
     """
 
     contact_ms: float = 3000.0
@@ -102,7 +102,7 @@
 
 
 class ServingSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Everything that a gateway or storage node learns before it starts.
+    """All settings of a gateway or storage node.
 
     Attributes
     ----------
@@ -111,19 +111,19 @@
     store
         ``IP:PORT`` of the platform's object store.
     store_writes_per_s
-        Writes that the store takes a second from all nodes together.
+        Writes per second that the store accepts from all nodes together.
     seeds
-        ``IP:PORT`` of nodes to join through, joined by commas; only their addresses count,
-        as every node listens to peers on the same port.
+        ``IP:PORT`` of nodes to join through, separated by commas; the ports are ignored, as all
+        nodes use the same port for peers.
     data_folder
-        Folder on a disk; empty on a machine that keeps nothing.
+        Folder on a disk; empty on a machine that stores no data.
     disks_lost_at_once
-        How many disks may be lost at once without losing anything acknowledged.
+        How many disks may fail at once without a loss of acknowledged data.
     zones_lost_at_once
-        How many zones may be cut off or lost at once; 0 where none may.
+        How many zones may be cut off or lost at once.
     contracts
-        Parts of the platform's rules in force, by its names, joined by commas; read by the
-        adapter alone.
+        Names of the platform's contracts in force, separated by commas; used by the adapter
+        only.
     """
 
     name: str
@@ -144,7 +144,7 @@
 
     @property
     def contract_names(self) -> frozenset[str]:
-        """The parts of the platform's rules in force."""
+        """Names of the platform's contracts in force."""
         return frozenset(name.strip() for name in self.contracts.split(","))
 
     @property
@@ -154,31 +154,31 @@
 
     @property
     def store_endpoint(self) -> Endpoint:
-        """Where the platform's store answers."""
+        """Endpoint of the platform's store."""
         return Endpoint.parse(self.store)
 
     @property
     def seed_endpoints(self) -> tuple[Endpoint, ...]:
-        """Where the seeds listen to peers."""
+        """Endpoints on which the seeds listen for peers."""
         seeds = [Endpoint.parse(text) for text in self.seeds.split(",") if text]
         return tuple(Endpoint(seed.host, self.peer_port) for seed in seeds)
 
     @property
     def read_interval_s(self) -> float:
-        """Time between two reads of the store, by which changes are found."""
+        """Time between two reads of the store that look for changes."""
         shortest_ms = min(self.bounds.configuration_ms, self.bounds.drain_ms)
         return READ_SHARE * shortest_ms / MS_PER_S
 
 
 def load_serving_settings(path: Path, role: ServingRole) -> ServingSettings | SettingsError:
-    """Read and check a settings file; a fault is returned, not raised."""
+    """Read and check a settings file; an error is returned, not raised."""
     file = str(path)
     try:
         document = tomllib.loads(path.read_text())
     except OSError as error:
         return SettingsError(file, "", f"cannot be read: {error.strerror}", "check the path")
     except tomllib.TOMLDecodeError as error:
-        return SettingsError(file, "", f"is not TOML: {error}", "mend the line named")
+        return SettingsError(file, "", f"is not TOML: {error}", "correct that line")
     try:
         settings = msgspec.convert(document, ServingSettings)
     except msgspec.ValidationError as error:
@@ -191,7 +191,7 @@
 
 
 def _faults(settings: ServingSettings, role: ServingRole) -> list[tuple[str, Any, str]]:
-    """Return the keys at fault, with their values and what to write instead."""
+    """Return the invalid keys with their values and remedies."""
     faults: list[tuple[str, Any, str]] = []
     for key in ("name", "zone", "region", "address"):
         if not getattr(settings, key):
--- a/src/quaymill/process/settings.py
+++ b/src/quaymill/process/settings.py
@@ -40,12 +40,12 @@
     threads
         Worker threads of the HTTP server.
     admission_limit
-        Requests in service at once; must stay below ``threads`` so that health checks and
-        refusals always find a free thread.
+        Most requests in service at once; must be less than ``threads``, so that health checks
+        and refusals always find a free thread.
     queue_limit
-        Requests of one service that may wait for a replica below its online limit.
+        Most requests of one service that wait for a replica below its online limit.
     max_body_bytes
-        Largest request body, file uploads apart.
+        Largest request body, except for file uploads.
     """
 
     threads: int = 256
@@ -60,8 +60,7 @@
     Attributes
     ----------
     join_period_s
-        How long after its start a node looks for the others many times a second; 0 for not
-        at all.
+        How long after its start a node looks for others many times a second; 0 disables this.
     """
 
     probe_interval_s: float = 1.0
@@ -77,8 +76,8 @@
     Attributes
     ----------
     kept_bytes
-        Applied entries that each replica keeps, so that a replica which was away catches up
-        from the log; one that was away for longer is sent the whole state.
+        Size of the applied entries that each replica keeps, so that a replica that was down can
+        catch up from the log; after a longer outage it receives the whole state.
     """
 
     groups: int = 1
@@ -93,13 +92,13 @@
     Attributes
     ----------
     lease_s
-        How long an item stays with this node without a renewal.
+        How long an item is assigned to this node without a renewal.
     poll_interval_s
-        Wait after the job store had no items.
+        Time until the next request to the job store after it returned no items.
     first_byte_timeout_s
         Longest wait for the first byte of an engine's answer.
     token_gap_timeout_s
-        Longest silence between two tokens of a stream.
+        Longest gap between two tokens of a stream.
     application_timeout_s
         Longest wait for an application's whole answer.
     """
@@ -112,7 +111,7 @@
 
 
 class NodeSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Everything a node learns before it starts.
+    """All settings of a node.
 
     Attributes
     ----------
@@ -125,9 +124,9 @@
     seeds
         ``host:port`` of peers to join through.
     data_folder
-        Folder on a disk; empty on a machine that keeps nothing.
+        Folder on a disk; empty on a machine that stores no data.
     cores
-        Processor time that the node may use, in cores; 0 where it is not told.
+        Processor time that the node may use, in cores; 0 if unknown.
     fault_switch
         Whether ``POST /debug/links`` may cut links; for tests only.
     """
@@ -162,13 +161,13 @@
 
 
 def load_settings(path: Path) -> NodeSettings | SettingsError:
-    """Read and check a settings file; a fault is returned, not raised."""
+    """Read and check a settings file; an error is returned, not raised."""
     try:
         document = tomllib.loads(path.read_text())
     except OSError as error:
         return SettingsError(str(path), "", f"cannot be read: {error.strerror}", "check the path")
     except tomllib.TOMLDecodeError as error:
-        return SettingsError(str(path), "", f"is not TOML: {error}", "mend the line named")
+        return SettingsError(str(path), "", f"is not TOML: {error}", "correct that line")
     try:
         settings = msgspec.convert(document, NodeSettings)
     except msgspec.ValidationError as error:
@@ -179,7 +178,7 @@
 
 
 def _check(file: str, settings: NodeSettings) -> NodeSettings | SettingsError:
-    """Check ranges and how the values fit together."""
+    """Check ranges and consistency of the values."""
     gateway = settings.gateway
     if gateway.threads < MIN_HTTP_THREADS:
         return SettingsError(
--- a/src/quaymill/process/stop_signal.py
+++ b/src/quaymill/process/stop_signal.py
@@ -1,4 +1,4 @@
-"""Waits for the request to stop, whichever thread the system hands the signal to."""
+"""Waits for a stop signal, whichever thread the system delivers it to."""
 
 from __future__ import annotations
 
@@ -9,11 +9,12 @@
 
 
 class StopSignal:
-    """Notes SIGTERM and SIGINT from its construction on; to be made on the main thread.
+    """Receives SIGTERM and SIGINT after its construction; must be created on the main thread.
 
-    A handler in Python runs on the main thread, and only once that thread wakes. The system
-    may deliver the signal to another thread, and then a main thread that waits for a lock
-    does not wake. So the main thread waits for a byte that the C handler of any thread sends.
+    A Python signal handler runs on the main thread only, and only when that thread is not
+    blocked. If the system delivers the signal to another thread, a main thread that waits for a
+    lock does not wake up. Therefore the main thread waits for a byte from a socket, which the
+    interpreter's C handler writes in whichever thread receives the signal.
     """
 
     def __init__(self) -> None:
@@ -24,7 +25,7 @@
             signal.signal(number, _ignore)
 
     def wait(self) -> None:
-        """Return when one of the signals has come."""
+        """Return when one of the signals has been received."""
         while True:
             numbers = self._receiver.recv(1)
             if signal.Signals(numbers[0]) in STOP_SIGNALS:
@@ -32,4 +33,4 @@
 
 
 def _ignore(_number: int, _frame: object) -> None:
-    """Do nothing: the byte sent beside the handler tells of the signal."""
+    """Do nothing: the byte written to the wake-up socket reports the signal."""
--- a/src/quaymill/process/storage_node.py
+++ b/src/quaymill/process/storage_node.py
@@ -1,4 +1,4 @@
-"""A storage node process: builds its parts, starts them, and stops them in order."""
+"""A storage node process: builds its parts, starts them and stops them in order."""
 
 from __future__ import annotations
 
@@ -23,21 +23,21 @@
 SWEEP_INTERVAL_S = 5.0
 RETENTION_MARGIN_S = 30.0
 WATCH_S = 5.0
-"""Longest time a watch waits, so that one that died silently is found."""
+"""Longest wait of a watch, so that a watch whose connection has failed is detected."""
 JOBS_FOLDER = "jobs"
 BYTES_PER_MB = 1024 * 1024
 
 
 @attrs.frozen
 class StorageProtocol:
-    """What an adapter brings for a storage node: statuses of a request to empty it."""
+    """What an adapter provides for a storage node: statuses of a retirement request."""
 
     retirement_active: object
     retirement_succeeded: object
 
 
 class StorageNode:
-    """All parts of one storage node."""
+    """A storage node with all its parts."""
 
     def __init__(
         self, settings: ServingSettings, store: ObjectStore, protocol: StorageProtocol
@@ -93,7 +93,7 @@
         self._registry = NodeRegistry(store, network.membership, self._lacks_peers)
 
     def start(self) -> None:
-        """Start the parts; each finds those it uses already running."""
+        """Start the parts, each after those that it uses."""
         self.network.start()
         self._repair.start()
         self._orphans.start()
@@ -109,7 +109,7 @@
         )
 
     def stop(self) -> None:
-        """Stop; what is on the disk stays there."""
+        """Stop; data on the disk is kept."""
         self._stopping.set()
         self.network.membership.announce_draining()
         self._requests.stop()
