--- a/src/quaymill/process/log_events.py
+++ b/src/quaymill/process/log_events.py
@@ -272,7 +272,8 @@
         ),
     ),
     "job:listing_unknown": LogEvent(
-        "a job's listing could not be written or read", (JOB, REASON, TOOK)
+        "a job's listing could not be written or read",
+        (JOB, REASON, "took_s: seconds until the failure"),
     ),
     "job:read_empty": LogEvent(
         "a caller got the answer that there is no result at a position yet",
