--- a/src/quaymill/process/front/access.py
+++ b/src/quaymill/process/front/access.py
@@ -48,7 +48,7 @@
     version: int = 0
 
     @property
-    def told_name(self) -> str | None:
+    def tenant_name(self) -> str | None:
         """Tenant name sent to replicas: ``None`` without tenants, empty for an unknown caller."""
         if not self.has_tenants:
             return None
@@ -68,7 +68,7 @@
         """
         if not self.has_tenants:
             return job_id
-        return quote(self.told_name, safe="").replace(JOB_NAME_SEPARATOR, "%7E") + (
+        return quote(self.tenant_name, safe="").replace(JOB_NAME_SEPARATOR, "%7E") + (
             JOB_NAME_SEPARATOR + job_id
         )
 
@@ -76,9 +76,9 @@
 class KeyState(enum.Enum):
     """Current state of the key with which a request was accepted."""
 
-    HELD = enum.auto()
-    GIVEN_TO_ANOTHER = enum.auto()
-    TAKEN_AWAY = enum.auto()
+    UNCHANGED = enum.auto()
+    REASSIGNED = enum.auto()
+    REVOKED = enum.auto()
 
 
 def identify(routes: RequestRoutes, key: bytes, *, key_needed: bool) -> Caller | None:
@@ -95,9 +95,9 @@
 def key_state(caller: Caller, routes: RequestRoutes) -> KeyState:
     """Return the state of an identified caller's key in the given configuration."""
     if caller.tenant is None or routes.version == caller.version:
-        return KeyState.HELD
+        return KeyState.UNCHANGED
     holder = routes.holder_of(caller.digest)
     if holder is None:
-        return KeyState.TAKEN_AWAY
+        return KeyState.REVOKED
     same = holder.name == caller.tenant.name
-    return KeyState.HELD if same else KeyState.GIVEN_TO_ANOTHER
+    return KeyState.UNCHANGED if same else KeyState.REASSIGNED
--- a/src/quaymill/process/front/caller_protocol.py
+++ b/src/quaymill/process/front/caller_protocol.py
@@ -20,7 +20,7 @@
     ----------
     id
         The caller's id of the request; empty if it sent none.
-    patience_s
+    remaining_s
         How long the caller waits for the response; ``None`` if it did not say.
     """
 
--- a/src/quaymill/process/front/front_service.py
+++ b/src/quaymill/process/front/front_service.py
@@ -56,11 +56,11 @@
 BYTES: Headers = (("Content-Type", "application/octet-stream"),)
 RETRY_AFTER = "Retry-After"
 STARTING_RETRY_AFTER_S = 0.5
-STARTING_PATIENCE_S = 1.0
+STARTING_TIMEOUT_S = 1.0
 """How long a request waits for the first configuration."""
-STARTING_CHECK_S = 0.02
+STARTING_CHECK_INTERVAL_S = 0.02
 """Time between two checks whether there is a configuration."""
-DEFAULT_PATIENCE_S = 60.0
+DEFAULT_TIMEOUT_S = 60.0
 MAX_UNREAD_BODY_BYTES = 64 * 1024
 """A body of a refused request up to this size is read, so that its connection can be reused."""
 
@@ -154,7 +154,7 @@
         else:
             self._forward_within_limits(request, route, caller, writer)
 
-    def _take_body(self, request: FrontRequest, writer: AnswerWriter) -> bytes | None:
+    def _read_body_or_refuse(self, request: FrontRequest, writer: AnswerWriter) -> bytes | None:
         """Return the whole body; ``None`` if the request was refused because of its body."""
         try:
             return request.read_body(self._routes().limits.max_body_bytes)
@@ -171,9 +171,9 @@
 
         Waiting is better than refusing, as a caller may retry only once.
         """
-        until = boot_clock.now() + STARTING_PATIENCE_S
+        until = boot_clock.now() + STARTING_TIMEOUT_S
         while not (routes := self._routes()).version and boot_clock.now() < until:
-            time.sleep(STARTING_CHECK_S)
+            time.sleep(STARTING_CHECK_INTERVAL_S)
         return routes
 
     # Opaque requests.
@@ -200,29 +200,29 @@
         self, request: FrontRequest, route: RequestRoute, caller: Caller, writer: AnswerWriter
     ) -> None:
         began = boot_clock.now()
-        read = self._protocol.read_request(request)
-        if isinstance(read, Malformed):
-            self._refuse(request, writer, malformed_refusal(read))
+        parsed = self._protocol.read_request(request)
+        if isinstance(parsed, Malformed):
+            self._refuse(request, writer, malformed_refusal(parsed))
             return
-        body = self._take_body(request, writer)
+        body = self._read_body_or_refuse(request, writer)
         if body is None:
             return
-        patience_s = read.patience_s if read.patience_s is not None else DEFAULT_PATIENCE_S
+        patience_s = parsed.patience_s if parsed.patience_s is not None else DEFAULT_TIMEOUT_S
         if route.timeout_s:
             patience_s = min(patience_s, route.timeout_s)
         forwarded = ForwardedRequest(
-            id=read.id,
+            id=parsed.id,
             method=request.method,
             target=request.target,
             headers=request.headers,
             body=body,
             deadline=Deadline.after(patience_s),
-            prompt=read.prompt,
-            last_event_id=read.last_event_id,
-            tenant=caller.told_name,
+            prompt=parsed.prompt,
+            last_event_id=parsed.last_event_id,
+            tenant=caller.tenant_name,
             priority=caller.rank(route.priority),
         )
-        writer.name_request(read.id)
+        writer.name_request(parsed.id)
         self._count_body(len(body))
         try:
             result = self._forwarder.forward(
@@ -231,7 +231,7 @@
         finally:
             self._count_body(-len(body))
         if isinstance(result, GivenUp | KeyChanged) and not writer.started:
-            self._refuse(request, writer, forwarding_refusal(result), read.id, caller)
+            self._refuse(request, writer, forwarding_refusal(result), parsed.id, caller)
         elif isinstance(result, GivenUp | CallerLeft):
             writer.abort()
         took_s = boot_clock.now() - began
@@ -240,9 +240,9 @@
         self._metrics.answer_s.labels(route.name).observe(took_s)
         log_message(
             "request:ended",
-            request_id=read.id,
+            request_id=parsed.id,
             route=route.name,
-            tenant=caller.told_name or "",
+            tenant=caller.tenant_name or "",
             configuration=self._routes().version,
             outcome=outcome,
             status=writer.status,
@@ -257,9 +257,9 @@
     def _key_change(self, caller: Caller) -> KeyChanged | None:
         """Return how a caller's key has changed; ``None`` if the caller still holds it."""
         state = key_state(caller, self._routes())
-        if state is KeyState.HELD:
+        if state is KeyState.UNCHANGED:
             return None
-        return KeyChanged(taken_away=state is KeyState.TAKEN_AWAY)
+        return KeyChanged(taken_away=state is KeyState.REVOKED)
 
     # Batch jobs.
 
@@ -267,22 +267,22 @@
         self, request: FrontRequest, route: RequestRoute, caller: Caller, writer: AnswerWriter
     ) -> None:
         began = boot_clock.now()
-        body = self._take_body(request, writer)
+        body = self._read_body_or_refuse(request, writer)
         if body is None:
             return
-        read = self._protocol.read_request(request)
+        parsed = self._protocol.read_request(request)
         document = self._protocol.read_job(body)
-        if isinstance(read, Malformed):
-            self._refuse(request, writer, malformed_refusal(read))
+        if isinstance(parsed, Malformed):
+            self._refuse(request, writer, malformed_refusal(parsed))
             return
         if isinstance(document, Malformed):
             self._refuse(request, writer, malformed_refusal(document))
             return
-        if not read.id:
+        if not parsed.id:
             self._refuse(request, writer, Refusal(400, "the job has no id"))
             return
-        name = caller.job_name(read.id)
-        job = Job(name, request.host, request.path, document, tenant=caller.told_name)
+        name = caller.job_name(parsed.id)
+        job = Job(name, request.host, request.path, document, tenant=caller.tenant_name)
         result = self._jobs.submit(job, route)
         outcome = type(result).__name__
         self._metrics.requests.labels(route.name, outcome).inc()
@@ -290,7 +290,7 @@
         if isinstance(result, Accepted):
             writer.answer(202, (), b"")
         elif isinstance(result, OverQuota):
-            self._refuse(request, writer, over_quota_refusal(result), read.id, caller)
+            self._refuse(request, writer, over_quota_refusal(result), parsed.id, caller)
         elif result.may_run:
             self._refuse(request, writer, Refusal(504, result.reason))
         else:
@@ -300,12 +300,12 @@
         self, call: JobCall, caller: Caller, request: FrontRequest, writer: AnswerWriter
     ) -> None:
         call = attrs.evolve(call, job_id=caller.job_name(call.job_id))
-        answer_of = {
+        handlers = {
             JobOperation.READ_RESULTS: self._read_results,
             JobOperation.READ_BODY: self._read_body,
             JobOperation.END: self._end_job,
         }
-        refusal = answer_of[call.operation](call, writer)
+        refusal = handlers[call.operation](call, writer)
         self._metrics.requests.labels(call.operation.name, str(writer.status or "refused")).inc()
         if refusal is not None:
             self._refuse(request, writer, refusal)
@@ -339,9 +339,9 @@
         self, request: FrontRequest, writer: AnswerWriter, refusal: Refusal, tenant: str = ""
     ) -> None:
         """Refuse a request before its body is read; a short body is read and dropped."""
-        read = self._protocol.read_request(request)
-        request_id = "" if isinstance(read, Malformed) else read.id
-        request.drop_body(MAX_UNREAD_BODY_BYTES)
+        parsed = self._protocol.read_request(request)
+        request_id = "" if isinstance(parsed, Malformed) else parsed.id
+        request.discard_body(MAX_UNREAD_BODY_BYTES)
         self._write_refusal(request, writer, refusal, request_id, tenant)
 
     def _refuse(
@@ -352,7 +352,7 @@
         request_id: str = "",
         caller: Caller | None = None,
     ) -> None:
-        tenant = (caller.told_name if caller else None) or ""
+        tenant = (caller.tenant_name if caller else None) or ""
         self._write_refusal(request, writer, refusal, request_id, tenant)
 
     def _write_refusal(
--- a/src/quaymill/process/front/head_watch.py
+++ b/src/quaymill/process/front/head_watch.py
@@ -39,20 +39,20 @@
 
 
 @attrs.define
-class _Waiting:
+class _WaitingConnection:
     """A connection whose head is incomplete.
 
     Attributes
     ----------
-    began
+    head_began
         Whether a part of the head has arrived.
-    until
+    close_at
         Monotonic time at which it is closed.
     """
 
     connection: Connection
-    began: bool
-    until: float
+    head_began: bool
+    close_at: float
 
 
 class HeadWatch:
@@ -60,7 +60,7 @@
 
     Parameters
     ----------
-    hand_on
+    pass_on
         Called with a connection whose head is complete or too long, or whose peer has closed it.
     header_timeout_s, idle_timeout_s
         Return the time limits for a head after its first byte, and for the first byte.
@@ -68,23 +68,23 @@
 
     def __init__(
         self,
-        hand_on: Callable[[Connection], None],
+        pass_on: Callable[[Connection], None],
         header_timeout_s: Callable[[], float],
         idle_timeout_s: Callable[[], float],
     ) -> None:
-        self._hand_on = hand_on
+        self._pass_on = pass_on
         self._header_timeout_s = header_timeout_s
         self._idle_timeout_s = idle_timeout_s
         self._lock = threading.Lock()
         self._poll = select.epoll()
-        self._waiting: dict[int, _Waiting] = {}
+        self._waiting: dict[int, _WaitingConnection] = {}
         self._stopping = False
 
     @property
     def busy(self) -> bool:
         """Whether a head has arrived in part."""
         with self._lock:
-            return any(one.began for one in self._waiting.values())
+            return any(one.head_began for one in self._waiting.values())
 
     def start(self) -> None:
         """Start the watching thread."""
@@ -94,50 +94,50 @@
         """Close the connections without any data; heads that have begun may be completed."""
         self._stopping = True
         with self._lock:
-            idle = [fd for fd, one in self._waiting.items() if not one.began]
+            idle = [fd for fd, one in self._waiting.items() if not one.head_began]
             closing = [self._forget(fd) for fd in idle]
         for connection in closing:
             connection.close()
 
-    def take(self, connection: Connection) -> None:
+    def add(self, connection: Connection) -> None:
         """Pass a connection on now, or when its head is complete."""
-        if _head_is_whole(connection.socket):
-            self._hand_on(connection)
+        if _head_is_complete(connection.socket):
+            self._pass_on(connection)
             return
         descriptor = connection.socket.fileno()
-        waiting = _Waiting(connection, False, boot_clock.now() + self._idle_timeout_s())
+        waiting = _WaitingConnection(connection, False, boot_clock.now() + self._idle_timeout_s())
         with self._lock:
             self._waiting[descriptor] = waiting
             # Data that arrived since the check above is reported immediately.
             self._poll.register(descriptor, _EVENTS)
 
     def _watch(self) -> None:
-        next_look = 0.0
+        next_check = 0.0
         while self._waiting or not self._stopping:
             timeout_s = POLL_TIMEOUT_S if self._waiting else EMPTY_POLL_TIMEOUT_S
             for descriptor, _ in self._poll.poll(timeout_s):
-                self._look_at(descriptor)
+                self._check(descriptor)
             now = boot_clock.now()
-            if now >= next_look:
-                next_look = now + POLL_TIMEOUT_S
+            if now >= next_check:
+                next_check = now + POLL_TIMEOUT_S
                 self._close_late(now)
 
-    def _look_at(self, descriptor: int) -> None:
+    def _check(self, descriptor: int) -> None:
         with self._lock:
             waiting = self._waiting.get(descriptor)
             if waiting is None:
                 return
-            if not _head_is_whole(waiting.connection.socket):
-                if not waiting.began:
-                    waiting.began = True
-                    waiting.until = boot_clock.now() + self._header_timeout_s()
+            if not _head_is_complete(waiting.connection.socket):
+                if not waiting.head_began:
+                    waiting.head_began = True
+                    waiting.close_at = boot_clock.now() + self._header_timeout_s()
                 return
             connection = self._forget(descriptor)
-        self._hand_on(connection)
+        self._pass_on(connection)
 
     def _close_late(self, now: float) -> None:
         with self._lock:
-            late = [fd for fd, one in self._waiting.items() if one.until <= now]
+            late = [fd for fd, one in self._waiting.items() if one.close_at <= now]
             closing = [self._forget(fd) for fd in late]
         for connection in closing:
             connection.close()
@@ -150,7 +150,7 @@
         return self._waiting.pop(descriptor).connection
 
 
-def _head_is_whole(connection: socket.socket) -> bool:
+def _head_is_complete(connection: socket.socket) -> bool:
     """Return whether a worker can read the head, or find it invalid, without waiting."""
     if not is_readable(connection, 0.0):
         return False
--- a/src/quaymill/process/front/http_server.py
+++ b/src/quaymill/process/front/http_server.py
@@ -136,8 +136,8 @@
         self.path, _, self.query = self.target.partition("?")
         self.headers = request.header_pairs()
         self._by_name = {name.lower(): value for name, value in self.headers}
-        announced = self._by_name.get("content-length", "0")
-        self.body_was_read = announced == "0" and not request.chunked_read
+        content_length = self._by_name.get("content-length", "0")
+        self.body_was_read = content_length == "0" and not request.chunked_read
 
     def header(self, name: str) -> str | None:
         """Return a header; the last one if it is repeated."""
@@ -161,8 +161,8 @@
         BrokenBodyError, BodyTooLargeError
             It is incomplete or longer than the limit; the connection must be closed.
         """
-        announced = self.header("Content-Length")
-        if announced is not None and int(announced) > limit_bytes:
+        content_length = self.header("Content-Length")
+        if content_length is not None and int(content_length) > limit_bytes:
             raise BodyTooLargeError
         blocks: list[bytes] = []
         total_bytes = 0
@@ -177,12 +177,12 @@
                 list(self._request.rfile.read_trailer_lines())
         except (OSError, ValueError, errors.MaxSizeExceeded) as error:
             raise BrokenBodyError(str(error)) from error
-        if announced is not None and total_bytes != int(announced):
-            raise BrokenBodyError(f"received {total_bytes} of {announced} bytes")
+        if content_length is not None and total_bytes != int(content_length):
+            raise BrokenBodyError(f"received {total_bytes} of {content_length} bytes")
         self.body_was_read = True
         return b"".join(blocks)
 
-    def drop_body(self, limit_bytes: int) -> None:
+    def discard_body(self, limit_bytes: int) -> None:
         """Read and discard a body up to ``limit_bytes``; a longer one is left unread."""
         if self.body_was_read:
             return
@@ -202,13 +202,13 @@
 
     Parameters
     ----------
-    held
+    buffered
         Buffers data for a slow caller; ``None`` where writing waits for the caller.
     """
 
-    def __init__(self, request: _HttpRequest, held: BufferedAnswer | None = None) -> None:
+    def __init__(self, request: _HttpRequest, buffered: BufferedAnswer | None = None) -> None:
         self._request = request
-        self._held = held
+        self._buffered = buffered
         self.started = False
         self.status = 0
 
@@ -216,7 +216,7 @@
         """Send the head; without ``length`` the body is sent in chunked encoding."""
         self.started = True
         self.status = status
-        text = reason or _reason_of(status)
+        text = reason or _default_reason(status)
         self._request.status = f"{status} {text}".encode("latin-1")
         pairs = [(name.encode("latin-1"), value.encode("latin-1")) for name, value in headers]
         if length is not None:
@@ -228,36 +228,36 @@
         """Send a part of the body; raises ``OSError`` when the caller has disconnected."""
         if not block:
             return
-        if self._held is None:
+        if self._buffered is None:
             self._request.write(block)
         elif self._request.chunked_write:
-            self._held.send(b"%x\r\n%b\r\n" % (len(block), block))
+            self._buffered.send(b"%x\r\n%b\r\n" % (len(block), block))
         else:
-            self._held.send(block)
+            self._buffered.send(block)
 
     def name_request(self, request_id: str) -> None:
         """Tell how the request is called in log lines."""
-        if self._held is not None:
-            self._held.request_id = request_id
+        if self._buffered is not None:
+            self._buffered.request_id = request_id
 
     @property
     def pending(self) -> bool:
         """Whether there is buffered data that the caller has not read yet."""
-        return self._held is not None and self._held.pending
+        return self._buffered is not None and self._buffered.pending
 
     def send_held(self, timeout_s: float, beside: int = -1) -> bool:
         """Send buffered data; return early once the descriptor ``beside`` has data to read."""
-        return self._held.send_held(timeout_s, beside)
+        return self._buffered.send_held(timeout_s, beside)
 
     def finish(self) -> None:
         """Wait until the caller has read everything; raises ``OSError`` if it does not."""
-        if self._held is not None:
-            self._held.finish()
+        if self._buffered is not None:
+            self._buffered.finish()
 
-    def drop_held(self) -> None:
+    def discard_buffered(self) -> None:
         """Discard the buffered data that the caller has not read."""
-        if self._held is not None:
-            self._held.drop()
+        if self._buffered is not None:
+            self._buffered.drop()
 
     def answer(self, status: int, headers: Headers, body: bytes, reason: str = "") -> None:
         """Send a complete answer."""
@@ -333,7 +333,7 @@
     ) -> None:
         super().__init__(
             (endpoint.host, endpoint.port),
-            _gateway(handler, watch, unwatch, held_answers),
+            _gateway_class(handler, watch, unwatch, held_answers),
             server_name=SERVER_NAME,
         )
         self.requests = _ElasticThreadPool(self, min=min(idle_threads, threads), max=threads)
@@ -389,7 +389,7 @@
         if conn.rfile.has_data():
             super().process_conn(conn)
         else:
-            self._heads.take(conn)
+            self._heads.add(conn)
 
     def _end_idle_workers(self) -> None:
         while self.ready:
@@ -425,7 +425,7 @@
         log_message("front:http_error", message=msg, level=logging.getLevelName(level))
 
 
-def _gateway(
+def _gateway_class(
     handler: Handler, watch, unwatch, held_answers: BufferedAnswers | None
 ) -> type[server.Gateway]:
     """Return the gateway class through which cheroot calls ``handler``."""
@@ -434,8 +434,8 @@
         def respond(self) -> None:
             connection = self.req.conn.socket
             presence = watch(connection)
-            held = held_answers and BufferedAnswer(held_answers, connection)
-            writer = AnswerWriter(self.req, held)
+            buffered = held_answers and BufferedAnswer(held_answers, connection)
+            writer = AnswerWriter(self.req, buffered)
             try:
                 handler(FrontRequest(self.req, presence), writer)
                 writer.finish()
@@ -445,13 +445,13 @@
                 log_message("front:handler_error", error=repr(error))
                 writer.abort()
             finally:
-                writer.drop_held()
+                writer.discard_buffered()
                 unwatch(connection)
 
     return FrontGateway
 
 
-def _reason_of(status: int) -> str:
+def _default_reason(status: int) -> str:
     try:
         return HTTPStatus(status).phrase
     except ValueError:
--- a/src/quaymill/process/front/metrics.py
+++ b/src/quaymill/process/front/metrics.py
@@ -46,5 +46,5 @@
         """Count a refusal; tenants after the first ``MAX_TENANTS_SHOWN`` share one counter."""
         if len(self._tenants_shown) < MAX_TENANTS_SHOWN:
             self._tenants_shown.add(tenant)
-        shown = tenant if tenant in self._tenants_shown else OTHER_TENANTS
-        self._over_limit.labels(shown).inc()
+        label = tenant if tenant in self._tenants_shown else OTHER_TENANTS
+        self._over_limit.labels(label).inc()
--- a/src/quaymill/process/front/refusals.py
+++ b/src/quaymill/process/front/refusals.py
@@ -39,7 +39,7 @@
 UNKNOWN_KEY = Refusal(
     401, "the request needs a valid tenant key as its bearer token", headers=AUTHENTICATE
 )
-KEY_MOVED = Refusal(503, "the key now belongs to another tenant; send the request again", 0.0)
+KEY_REASSIGNED = Refusal(503, "the key now belongs to another tenant; send the request again", 0.0)
 
 
 def malformed_refusal(malformed: Malformed) -> Refusal:
@@ -50,7 +50,7 @@
 def forwarding_refusal(result: GivenUp | KeyChanged) -> Refusal:
     """Return the refusal of a request for which no replica's answer was sent."""
     if isinstance(result, KeyChanged):
-        return UNKNOWN_KEY if result.taken_away else KEY_MOVED
+        return UNKNOWN_KEY if result.taken_away else KEY_REASSIGNED
     return given_up_refusal(result)
 
 
--- a/src/quaymill/process/gateway_gauges.py
+++ b/src/quaymill/process/gateway_gauges.py
@@ -13,7 +13,7 @@
 from quaymill.process.replica_set.table import ReplicaTable
 
 PREFIX = "quaymill_"
-MEANINGS = {
+HELP_TEXTS = {
     "configuration_version": "Version of the configuration in force.",
     "control_age_seconds": "Seconds since the configuration and replicas were last confirmed.",
     "requests_in_service": "Requests of callers in service.",
@@ -46,29 +46,29 @@
 def add_gauges(registry: CollectorRegistry, readings: Mapping[str, Callable[[], float]]) -> None:
     """Add a gauge for each reading, with its help text from ``HELP_TEXTS``."""
     for name, read in readings.items():
-        Gauge(f"{PREFIX}{name}", MEANINGS[name], registry=registry).set_function(read)
+        Gauge(f"{PREFIX}{name}", HELP_TEXTS[name], registry=registry).set_function(read)
 
 
 @attrs.frozen
-class _LineCollector:
+class _QueueCollector:
     """Reads the lines kept here whenever metrics are read."""
 
     lengths: Callable[[], Mapping[EnginePool, int]]
 
     def collect(self) -> Iterator[GaugeMetricFamily]:
         """Return a gauge family with one sample for each pool."""
-        meaning = "Requests of all gateways in this gateway's pool queues, by pool."
-        family = GaugeMetricFamily(f"{PREFIX}line_requests", meaning, labels=("service", "pool"))
+        help_text = "Requests of all gateways in this gateway's pool queues, by pool."
+        family = GaugeMetricFamily(f"{PREFIX}line_requests", help_text, labels=("service", "pool"))
         for pool, length in self.lengths().items():
             family.add_metric((pool.service, str(pool.index)), length)
         yield family
 
 
-def add_line_gauge(
+def add_queue_gauge(
     registry: CollectorRegistry, lengths: Callable[[], Mapping[EnginePool, int]]
 ) -> None:
     """Add the number of queued requests by pool."""
-    registry.register(_LineCollector(lengths))
+    registry.register(_QueueCollector(lengths))
 
 
 def add_replica_gauge(registry: CollectorRegistry, table: ReplicaTable) -> None:
--- a/src/quaymill/process/gateway_node.py
+++ b/src/quaymill/process/gateway_node.py
@@ -21,9 +21,9 @@
 from quaymill.process.front.front_service import FrontService
 from quaymill.process.front.http_server import HttpServer
 from quaymill.process.front.metrics import FrontMetrics
-from quaymill.process.front.plain_pages import MetricsServer, ReadinessServer
+from quaymill.process.front.monitoring_servers import MetricsServer, ReadinessServer
 from quaymill.process.gateway.caller_watch import CallerWatch
-from quaymill.process.gateway_gauges import add_gauges, add_line_gauge, add_replica_gauge
+from quaymill.process.gateway_gauges import add_gauges, add_queue_gauge, add_replica_gauge
 from quaymill.process.gateway_parts import build_circuit_store, build_limiter
 from quaymill.process.jobs.allocator_calls import AllocatorCalls
 from quaymill.process.jobs.batch_quota import BatchQuota
@@ -75,7 +75,7 @@
 STOP_MARGIN_S = 0.7
 IDLE_BEFORE_EXIT_S = 0.4
 IDLE_CHECK_INTERVAL_S = 0.05
-JOIN_PATIENCE_S = 3.0
+JOIN_TIMEOUT_S = 3.0
 
 
 @attrs.frozen
@@ -378,7 +378,7 @@
         }
         add_gauges(self._metrics.registry, gauges)
         add_replica_gauge(self._metrics.registry, self._table)
-        add_line_gauge(self._metrics.registry, self._keeper.turns.lengths)
+        add_queue_gauge(self._metrics.registry, self._keeper.turns.lengths)
 
     def start(self) -> None:
         """Start the parts, each after those that it uses."""
@@ -420,7 +420,7 @@
         handing_over.join(max(0.0, deadline - boot_clock.now()))
         self.quota.stop()
         log_message("node:stopped", idle=idle, took_s=round(boot_clock.now() - began, 2))
-        self._stop_talking()
+        self._stop_background_parts()
 
     def _wait_until_idle(self, deadline: float) -> bool:
         """Wait until the gateway has been idle for a while; return ``False`` at the deadline.
@@ -450,18 +450,18 @@
         """
         if self._can_store():
             return True
-        return boot_clock.now() - self._started_at > JOIN_PATIENCE_S
+        return boot_clock.now() - self._started_at > JOIN_TIMEOUT_S
 
     def kill(self) -> None:
         """Stop as a crashing process does, without notifying peers and callers."""
-        self._stop_talking()
+        self._stop_background_parts()
         self.coordinator.stop()
         self.quota.stop()
         self._watch.stop()
         self._server.stop()
         self._readiness.stop()
 
-    def _stop_talking(self) -> None:
+    def _stop_background_parts(self) -> None:
         """Stop the parts that contact peers, the store or replicas in the background."""
         self.control.stop()
         self._registry.stop()
--- a/src/quaymill/process/log_events.py
+++ b/src/quaymill/process/log_events.py
@@ -14,11 +14,11 @@
 REQUEST = "request_id: the caller's id; of batch items, the item's id"
 JOB = "job: the batch job's id"
 CONTENT = "content: digest of host, method, target and body; the same for each retry"
-CLOSED = "connection_closed: whether the replica closed the connection prematurely"
+CONNECTION_CLOSED = "connection_closed: whether the replica closed the connection prematurely"
 TENANT = "tenant: its name; empty if unknown"
 REPLICA = "replica: the replica's incarnation"
 REASON = "reason: human-readable cause"
-TOOK = "took_s: duration in seconds"
+DURATION = "took_s: duration in seconds"
 
 
 @attrs.frozen
@@ -50,10 +50,10 @@
             "service: the service chosen by the route's weights",
             "load, load_age_s: the load used for the choice, and the age of its report",
             "slowness: expected duration of work there relative to the usual one",
-            TOOK,
+            DURATION,
             "outcome: Delivered, CallerLeft, Refused (not run), Broken (may have run)",
             REASON,
-            CLOSED,
+            CONNECTION_CLOSED,
         ),
         ordinary_outcome="Delivered",
     ),
@@ -106,7 +106,7 @@
             "configuration: version of the configuration in force",
             "outcome: delivered, caller-left, not-run, unknown, key-changed",
             "status: status code sent",
-            TOOK,
+            DURATION,
             REASON,
         ),
         ordinary_outcome="delivered",
@@ -342,7 +342,7 @@
             "outcome: Admitted, OverQuota (429), QuotaUnknown (503)",
             "by: allowance, ledger, accepted-before",
             REASON,
-            TOOK,
+            DURATION,
         ),
     ),
     "quota:not_entered": LogEvent(
@@ -362,11 +362,11 @@
             CONTENT,
             REPLICA,
             "events_until: number of the last complete event received",
-            TOOK,
+            DURATION,
             "outcome: ItemDone, ItemImpossible, ItemFailed, ItemCut, ItemBarred",
             REASON,
             "giving_way: whether it was preempted by online requests",
-            CLOSED,
+            CONNECTION_CLOSED,
         ),
         ordinary_outcome="ItemDone",
     ),
--- a/src/quaymill/process/logs.py
+++ b/src/quaymill/process/logs.py
@@ -21,7 +21,7 @@
 from quaymill.process.log_events import is_ordinary
 
 WRITE_INTERVAL_S = 0.1
-MAX_WAITING_MESSAGES = 5_000
+MAX_QUEUED_MESSAGES = 5_000
 STOP_TIMEOUT_S = 0.5
 LINES_PER_S = 400.0
 BURST_LINES = 2000.0
@@ -36,21 +36,21 @@
     def __init__(self, lines_per_s: float = LINES_PER_S, burst: float = BURST_LINES) -> None:
         self._lines_per_s = lines_per_s
         self._burst = burst
-        self._left = burst
-        self._filled_at = boot_clock.now()
+        self._available = burst
+        self._refilled_at = boot_clock.now()
         self._lock = threading.Lock()
 
-    def take(self, ordinary: bool) -> bool:
+    def consume(self, ordinary: bool) -> bool:
         """Consume one line of the budget; return whether one was available."""
         with self._lock:
             now = boot_clock.now()
-            added = (now - self._filled_at) * self._lines_per_s
-            self._filled_at = now
-            self._left = min(self._burst, self._left + added)
-            kept_back = self._burst * (1 - ORDINARY_SHARE) if ordinary else 0.0
-            if self._left < kept_back + 1.0:
+            added = (now - self._refilled_at) * self._lines_per_s
+            self._refilled_at = now
+            self._available = min(self._burst, self._available + added)
+            reserved = self._burst * (1 - ORDINARY_SHARE) if ordinary else 0.0
+            if self._available < reserved + 1.0:
                 return False
-            self._left -= 1.0
+            self._available -= 1.0
             return True
 
 
@@ -73,12 +73,12 @@
     def __init__(self, stream: BinaryIO, budget: LineBudget | None = None) -> None:
         self._stream = stream
         self._budget = budget
-        self._waiting: deque[dict[str, Any]] = deque()
+        self._queue: deque[dict[str, Any]] = deque()
         self._encoder = msgspec.json.Encoder(enc_hook=repr)
         self._stopping = threading.Event()
         self.dropped_ordinary = 0
         self.dropped_other = 0
-        self._told = 0
+        self._reported_dropped = 0
         self._thread = threading.Thread(target=self._run, name="log-writer", daemon=True)
         self._thread.start()
 
@@ -90,14 +90,14 @@
     def __call__(self, message: dict[str, Any]) -> None:
         """Queue or drop one message of eliot."""
         ordinary = is_ordinary(message)
-        full = len(self._waiting) >= MAX_WAITING_MESSAGES
-        if full or (self._budget is not None and not self._budget.take(ordinary)):
+        full = len(self._queue) >= MAX_QUEUED_MESSAGES
+        if full or (self._budget is not None and not self._budget.consume(ordinary)):
             if ordinary:
                 self.dropped_ordinary += 1
             else:
                 self.dropped_other += 1
             return
-        self._waiting.append(message)
+        self._queue.append(message)
 
     def stop(self) -> None:
         """Write the queued messages, then end the thread."""
@@ -106,16 +106,16 @@
 
     def _run(self) -> None:
         while not self._stopping.wait(WRITE_INTERVAL_S):
-            self._write_waiting()
-        self._write_waiting()
+            self._write_queued()
+        self._write_queued()
 
-    def _write_waiting(self) -> None:
+    def _write_queued(self) -> None:
         lines = []
-        while self._waiting:
-            lines.append(self._encode(self._waiting.popleft()))
+        while self._queue:
+            lines.append(self._encode(self._queue.popleft()))
         dropped = self.dropped
-        if dropped != self._told:
-            self._told = dropped
+        if dropped != self._reported_dropped:
+            self._reported_dropped = dropped
             lines.append(self._encode(self._dropped_message()))
         if lines:
             self._stream.write(b"".join(lines))
--- a/src/quaymill/process/machine_list_changes.py
+++ b/src/quaymill/process/machine_list_changes.py
@@ -13,13 +13,13 @@
 
 def find_machine_changes(base: MachineList, target: MachineList) -> MachineListChanges:
     """Return the changes that turn ``base`` into ``target``."""
-    held = {machine.name: machine for machine in base.machines}
+    base_by_name = {machine.name: machine for machine in base.machines}
     names = {machine.name for machine in target.machines}
     return MachineListChanges(
         base.version,
         target.version,
-        tuple(machine for machine in target.machines if held.get(machine.name) != machine),
-        tuple(name for name in held if name not in names),
+        tuple(machine for machine in target.machines if base_by_name.get(machine.name) != machine),
+        tuple(name for name in base_by_name if name not in names),
     )
 
 
@@ -41,19 +41,19 @@
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._last = MachineList()
-        self._kept: deque[MachineListChanges] = deque(maxlen=MAX_KEPT_CHANGES)
+        self._newest = MachineList()
+        self._changes: deque[MachineListChanges] = deque(maxlen=MAX_KEPT_CHANGES)
 
     def add(self, machine_list: MachineList) -> None:
         """Record the changes from the previous list to this one."""
         with self._lock:
-            self._kept.append(find_machine_changes(self._last, machine_list))
-            self._last = machine_list
+            self._changes.append(find_machine_changes(self._newest, machine_list))
+            self._newest = machine_list
 
     def since(self, version: int, current: MachineList) -> MachineListChanges:
         """Return the changes since a version, or the whole list if they are not kept."""
         with self._lock:
-            later = [kept for kept in self._kept if kept.base_version >= version]
+            later = [kept for kept in self._changes if kept.base_version >= version]
         if not version or not later or later[0].base_version != version:
             return find_machine_changes(MachineList(), current)
         changed: dict = {}
--- a/src/quaymill/process/node_registry.py
+++ b/src/quaymill/process/node_registry.py
@@ -24,7 +24,7 @@
 from quaymill.process.membership.ranking import rank_nodes
 
 REGISTERED_NODES = 5
-FIRST_LOOK_S = 1.5
+FIRST_RUN_DELAY_S = 1.5
 INTERVAL_S = 2.0
 
 
@@ -61,11 +61,11 @@
         self._stopping.set()
 
     def _run(self) -> None:
-        self._stopping.wait(FIRST_LOOK_S)
+        self._stopping.wait(FIRST_RUN_DELAY_S)
         while not self._stopping.is_set():
             isolated = self._lacks_peers()
             if isolated:
-                self._look()
+                self._find_peers()
             if not self._registered and (isolated or self._ranks_first()):
                 self._registered = self._register()
             self._stopping.wait(INTERVAL_S)
@@ -79,13 +79,13 @@
         spec = msgspec.to_builtins(_Entry(local.peer, local.zone, local.has_disk))
         written = self._store.create(ObjectKind.NODES, local.name, spec)
         if isinstance(written, RevisionConflict) and written.object is not None:
-            held = written.object
-            if held.spec == spec:
+            existing = written.object
+            if existing.spec == spec:
                 return True
-            written = self._store.replace(ObjectKind.NODES, local.name, spec, held.revision)
+            written = self._store.replace(ObjectKind.NODES, local.name, spec, existing.revision)
         return isinstance(written, StoredObject)
 
-    def _look(self) -> None:
+    def _find_peers(self) -> None:
         listing = self._store.list(ObjectKind.NODES)
         if not isinstance(listing, Listing):
             return
--- a/src/quaymill/process/peer_network.py
+++ b/src/quaymill/process/peer_network.py
@@ -21,8 +21,8 @@
     rejoin_interval_s=0.7,
     join_period_s=4.0,
 )
-COORDINATOR_SEPARATOR = "#"
-MADE_UP_FOR_AFTER_S = 10.0
+PROCESS_NAME_SEPARATOR = "#"
+REPAIRED_AFTER_S = 10.0
 """Time after which other nodes have copies of everything that a dead storage node held; includes a
 margin for repairs."""
 
@@ -111,8 +111,8 @@
         """
         known = self.known_storage_nodes()
         recent = self.recent_storage_nodes()
-        silent = [one for one in known if one not in recent and not one.draining]
-        may_be_cut_off = self.rules.zones > 1 and len(silent) >= self.rules.needed
+        unresponsive = [one for one in known if one not in recent and not one.draining]
+        may_be_cut_off = self.rules.zones > 1 and len(unresponsive) >= self.rules.needed
         return known if may_be_cut_off else recent
 
     def recent_storage_nodes(self) -> tuple[Member, ...]:
@@ -120,7 +120,7 @@
         return tuple(
             member
             for member in self.known_storage_nodes()
-            if self.membership.dead_for_s(member.name) < MADE_UP_FOR_AFTER_S
+            if self.membership.dead_for_s(member.name) < REPAIRED_AFTER_S
         )
 
     def gateways(self) -> tuple[Member, ...]:
@@ -138,7 +138,7 @@
 
     def process(self, name: str) -> Member | None:
         """Return the node that runs the process of that name; ``None`` if the process has ended."""
-        node_name, _, _ = name.rpartition(COORDINATOR_SEPARATOR)
+        node_name, _, _ = name.rpartition(PROCESS_NAME_SEPARATOR)
         for member in self.membership.members():
             if member.name == node_name and process_name(member) == name:
                 return None if member.state is MemberState.DEAD else member
@@ -152,14 +152,14 @@
         """
         if self.reach.unreachable_zones <= self.zones_lost_at_once:
             return True
-        node_name, _, _ = name.rpartition(COORDINATOR_SEPARATOR)
+        node_name, _, _ = name.rpartition(PROCESS_NAME_SEPARATOR)
         members = self.membership.members()
         zone = next((member.zone for member in members if member.name == node_name), "")
         return not self.reach.is_unreachable(zone)
 
     def is_replaced(self, name: str) -> bool:
         """Return whether the process has been replaced by a live one on the same node."""
-        node_name, _, _ = name.rpartition(COORDINATOR_SEPARATOR)
+        node_name, _, _ = name.rpartition(PROCESS_NAME_SEPARATOR)
         for member in self.membership.live():
             if member.name == node_name:
                 return process_name(member) != name
@@ -168,4 +168,4 @@
 
 def process_name(member: Member) -> str:
     """Return the name of the process that a member's record describes."""
-    return f"{member.name}{COORDINATOR_SEPARATOR}{member.process_id}"
+    return f"{member.name}{PROCESS_NAME_SEPARATOR}{member.process_id}"
--- a/src/quaymill/process/serving_settings.py
+++ b/src/quaymill/process/serving_settings.py
@@ -17,7 +17,7 @@
 from quaymill.process.settings import SettingsError
 
 MS_PER_S = 1000.0
-READ_SHARE = 0.45
+READ_INTERVAL_SHARE = 0.45
 """Share of the time limit for applying a change that may pass until the change is read."""
 
 
@@ -167,7 +167,7 @@
     def read_interval_s(self) -> float:
         """Time between two reads of the store that look for changes."""
         shortest_ms = min(self.bounds.configuration_ms, self.bounds.drain_ms)
-        return READ_SHARE * shortest_ms / MS_PER_S
+        return READ_INTERVAL_SHARE * shortest_ms / MS_PER_S
 
 
 def load_serving_settings(path: Path, role: ServingRole) -> ServingSettings | SettingsError:
--- a/src/quaymill/process/stop_signal.py
+++ b/src/quaymill/process/stop_signal.py
@@ -21,8 +21,8 @@
         self._receiver, self._sender = socket.socketpair()
         self._sender.setblocking(False)
         signal.set_wakeup_fd(self._sender.fileno())
-        for number in STOP_SIGNALS:
-            signal.signal(number, _ignore)
+        for signal_number in STOP_SIGNALS:
+            signal.signal(signal_number, _ignore_signal)
 
     def wait(self) -> None:
         """Return when one of the signals has been received."""
@@ -32,5 +32,5 @@
                 return
 
 
-def _ignore(_number: int, _frame: object) -> None:
+def _ignore_signal(_number: int, _frame: object) -> None:
     """Do nothing: the byte written to the wake-up socket reports the signal."""
--- a/tests/test_fleet_metrics.py
+++ b/tests/test_fleet_metrics.py
@@ -12,7 +12,7 @@
 from fleet_rig import FleetRig
 from quaymill.connection.endpoint import Endpoint
 from quaymill.process.front.metrics import FrontMetrics
-from quaymill.process.front.plain_pages import THREADS, MetricsServer
+from quaymill.process.front.monitoring_servers import THREADS, MetricsServer
 from quaymill_bench.ports import free_port
 
 
--- a/tests/test_tenant_keys.py
+++ b/tests/test_tenant_keys.py
@@ -133,23 +133,23 @@
 
     def test_without_tenants_nobody_is_asked_for_a_key(self) -> None:
         caller = identify(NO_ROUTES, b"", key_needed=True)
-        self.assertIsNone(caller.told_name)
+        self.assertIsNone(caller.tenant_name)
         self.assertEqual("job", caller.job_name("job"))
 
     def test_names_of_jobs_do_not_meet(self) -> None:
         names = {
-            Caller(holder(tenant_name), True).job_name(job_id)
-            for tenant_name in ("a", "a~b", "a%7Eb", "a/b", "")
+            Caller(holder(name_of_tenant), True).job_name(job_id)
+            for name_of_tenant in ("a", "a~b", "a%7Eb", "a/b", "")
             for job_id in ("x", "b~x", "~x")
         }
         self.assertEqual(15, len(names))
 
     @params(
-        ("unchanged version", (holder("office", KEY),), 1, KeyState.HELD),
-        ("held still", (holder("office", KEY),), 2, KeyState.HELD),
-        ("taken away", (holder("office", SECOND_KEY),), 2, KeyState.TAKEN_AWAY),
-        ("tenant gone", (), 2, KeyState.TAKEN_AWAY),
-        ("passed on", (holder("office"), holder("kiosk", KEY)), 2, KeyState.GIVEN_TO_ANOTHER),
+        ("unchanged version", (holder("office", KEY),), 1, KeyState.UNCHANGED),
+        ("held still", (holder("office", KEY),), 2, KeyState.UNCHANGED),
+        ("taken away", (holder("office", SECOND_KEY),), 2, KeyState.REVOKED),
+        ("tenant gone", (), 2, KeyState.REVOKED),
+        ("passed on", (holder("office"), holder("kiosk", KEY)), 2, KeyState.REASSIGNED),
     )
     def test_what_becomes_of_a_key(self, _, tenants, version, expected) -> None:
         caller = identify(routes_with(holder("office", KEY)), KEY.encode(), key_needed=True)
