--- a/tests/fleet_case.py
+++ b/tests/fleet_case.py
@@ -1,4 +1,4 @@
-"""Cases on one calm fleet that a class of tests shares."""
+"""Base class of tests that share one running fleet."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class FleetCase(unittest.TestCase):
-    """Starts the fleet once; replicas forget what they ran before each test.
+    """Starts the fleet once per class; the replicas are reset before each test.
 
     Attributes
     ----------
-    world
-        What the fleet's first configuration holds beside the defaults.
+    configuration_fields
+        Fields of the first configuration that differ from the defaults.
     features
-        What is switched on at its gateways.
+        Optional parts of the gateways that are enabled.
     """
 
     world: ClassVar[dict[str, Any]] = {}
@@ -38,6 +38,6 @@
             replica.runs.clear()
 
     def runs(self, request_id: str = "") -> list[ReplicaRun]:
-        """Return what replicas ran of a request, or of all."""
+        """Return the runs of a request on all replicas; of all requests without an id."""
         found = [run for replica in self.rig.replicas.values() for run in replica.runs]
         return [run for run in found if not request_id or run.request_id == request_id]
--- a/tests/fleet_rig.py
+++ b/tests/fleet_rig.py
@@ -1,7 +1,7 @@
-"""A small fleet on the users' platform: gateways and storage nodes of this code, in process.
+"""A small fleet for tests: gateways and storage nodes in the process of the test.
 
-The platform's store and the replicas are stand-ins. Every node has a loopback address of its
-own, as every node of the platform listens on the same port.
+The platform's store and the replicas are stand-ins. Each node has its own loopback address, as
+all nodes use the same port for peers.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 
 def wait_until(condition: Callable[[], Any], what: str, timeout_s: float = WAIT_TIMEOUT_S) -> Any:
-    """Poll until ``condition`` returns something true, and return that."""
+    """Poll until ``condition`` returns a true value, and return it."""
     deadline = time.monotonic() + timeout_s
     while True:
         found = condition()
@@ -48,14 +48,14 @@
 
 
 class FleetRig:
-    """Builds, disturbs and stops a fleet.
+    """Builds a fleet, injects faults and stops it.
 
     Parameters
     ----------
     zones
-        Processes and engines are put into them in turn.
+        Zones over which processes and engines are distributed round-robin.
     features
-        What is switched on at the gateways.
+        Optional parts of the gateways that are enabled.
     settings
         Fields of each process's settings that differ from the defaults.
     """
@@ -84,12 +84,12 @@
         self._pool = urllib3.PoolManager(retries=False, num_pools=50, maxsize=20, block=False)
 
     def start(self, version: int = 1, **fields: Any) -> FleetRig:
-        """Start everything, and wait until the gateways are ready and know each other.
+        """Start everything, and wait until the gateways are ready and know all other nodes.
 
         Parameters
         ----------
         fields
-            Of the first configuration, beside its version.
+            Fields of the first configuration in addition to its version.
         """
         gateways, storage, engines = self._planned
         self.store.start()
@@ -109,19 +109,19 @@
         return self._zones[index % len(self._zones)]
 
     def stop(self) -> None:
-        """Stop everything at once."""
+        """Stop everything without draining."""
         stops = [gateway.kill for gateway in self.gateways.values()]
         stops += [node.stop for node in self.storage.values()]
         stops += [replica.stop for replica in self.replicas.values()]
         stops.append(self.store.stop)
-        # Each waits for threads of its own that look up a few times a second.
+        # In parallel, as each waits for its own threads, which check for the stop periodically.
         with ThreadPoolExecutor(len(stops)) as executor:
             for stopped in [executor.submit(stop) for stop in stops]:
                 stopped.result()
         self._pool.clear()
         shutil.rmtree(self.folder, ignore_errors=True)
 
-    # Parts.
+    # Nodes and replicas.
 
     def add_replica(self, service: str, zone: str, slots: int = 4) -> FleetReplica:
         """Start a replica and list it in the store."""
@@ -136,7 +136,7 @@
         return [replica for replica in self.replicas.values() if replica.service == service]
 
     def start_gateway(self, name: str, zone: str) -> GatewayNode:
-        """Start a gateway; one of the same name takes the address of the former."""
+        """Start a gateway; a second one with the same name reuses the address of the first."""
         settings = self._settings_of(name, zone)
         gateway = GatewayNode(
             settings,
@@ -150,7 +150,7 @@
         return gateway
 
     def start_storage(self, name: str, zone: str) -> StorageNode:
-        """Start a storage node on the folder of its name."""
+        """Start a storage node with a data folder named after it."""
         settings = self._settings_of(name, zone, str(self.folder / name))
         node = StorageNode(settings, PlatformObjectStore(settings.store_endpoint), STORAGE_PROTOCOL)
         node.start()
@@ -158,7 +158,7 @@
         return node
 
     def wipe(self, name: str) -> None:
-        """Remove what a stopped storage node has on its disk."""
+        """Delete the data of a stopped storage node."""
         shutil.rmtree(self.folder / name)
 
     def wait_ready(self) -> None:
@@ -207,7 +207,7 @@
         return settings
 
     def cut_zone(self, zone: str) -> None:
-        """Cut all links between the processes of a zone and those elsewhere; nobody else's."""
+        """Block all links between the processes of a zone and those of other zones."""
         nodes = [*self.gateways.values(), *self.storage.values()]
         members = [node.network.membership.local() for node in nodes]
         for node, own in zip(nodes, members, strict=True):
@@ -215,7 +215,7 @@
             node.network.client._link_filter.set_blocked(frozenset(blocked))
 
     def heal(self) -> None:
-        """Undo all cuts."""
+        """Unblock all links."""
         for node in [*self.gateways.values(), *self.storage.values()]:
             node.network.client._link_filter.set_blocked(frozenset())
 
@@ -227,7 +227,7 @@
             f"configuration {version} is in force",
         )
 
-    # Callers.
+    # Calls to gateways.
 
     def call(
         self,
@@ -266,7 +266,7 @@
         deadline_ms: int = 8000,
         **fields: Any,
     ) -> urllib3.BaseHTTPResponse:
-        """Send an opaque request; ``tokens`` asks for a stream."""
+        """Send an opaque request; ``tokens`` requests a stream."""
         headers = {"Request-Id": request_id, "Deadline-Ms": str(deadline_ms)}
         if tokens:
             headers["Token-Count"] = "100,10"
--- a/tests/test_boot_clock.py
+++ b/tests/test_boot_clock.py
@@ -1,4 +1,4 @@
-"""A machine is suspended: its steady clock stands still, and the others go on without it."""
+"""Time limits must include time in which the machine is suspended."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Suspension:
-    """Moves the clock that counts suspended time; the steady clock goes on as it does."""
+    """Advances ``CLOCK_BOOTTIME`` only, as the suspension of a machine does."""
 
     def __init__(self, case: unittest.TestCase) -> None:
         self._suspended_s = 0.0
@@ -35,7 +35,7 @@
         case.addCleanup(patch.stop)
 
     def suspend(self, seconds: float = SUSPENDED_S) -> None:
-        """Be away for a while."""
+        """Simulate a suspension of this length."""
         self._suspended_s += seconds
 
     def _read(self, clock_id: int) -> float:
@@ -44,7 +44,7 @@
 
 
 class SourceTest(unittest.TestCase):
-    """One module owns the clock."""
+    """Only ``boot_clock`` reads a clock that stops during a suspension."""
 
     def test_nothing_else_reads_the_steady_clock(self) -> None:
         others = [path for path in SOURCES.rglob("*.py") if path.name != "boot_clock.py"]
@@ -54,7 +54,7 @@
 
 
 class ClockTest(unittest.TestCase):
-    """What has run out when a process is back."""
+    """Time limits that expire during a suspension."""
 
     def setUp(self) -> None:
         self.suspension = Suspension(self)
@@ -90,7 +90,7 @@
             self.suspension.suspend()
             wait_until(
                 lambda: [call for call in told.call_args_list if call.args == ("node:suspended",)],
-                "the suspension is told",
+                "the suspension is logged",
             )
         lines = [call for call in told.call_args_list if call.args == ("node:suspended",)]
         self.assertAlmostEqual(SUSPENDED_S, lines[0].kwargs["for_s"], delta=0.1)
@@ -99,7 +99,7 @@
 
 
 class FleetTest(unittest.TestCase):
-    """All processes of a fleet are suspended, and their store and replicas are not."""
+    """All processes of a fleet are suspended; the store and the replicas keep running."""
 
     def setUp(self) -> None:
         self.rig = FleetRig(gateways=2, storage=3, engines=2).start()
--- a/tests/test_early_listener.py
+++ b/tests/test_early_listener.py
@@ -1,4 +1,4 @@
-"""Callers' connections stand while a gateway is still loading."""
+"""Callers can connect while a gateway is still loading."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class EarlyListenerTest(unittest.TestCase):
-    """The listener by itself, and handed to a server."""
+    """The early listener alone and when it is passed to a server."""
 
     def settings(self, text: str) -> Path:
         folder = Path(tempfile.mkdtemp(prefix="quaymill-listener-"))
--- a/tests/test_fleet_metrics.py
+++ b/tests/test_fleet_metrics.py
@@ -1,4 +1,4 @@
-"""The metrics page of a gateway: what it shows, and that a slow scraper does no harm."""
+"""The metrics of a gateway, and slow scrapers that must not block others."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class MetricsPageTest(unittest.TestCase):
-    """A page of its own, without a gateway."""
+    """The metrics server without a gateway."""
 
     def setUp(self) -> None:
         registry = CollectorRegistry()
@@ -53,7 +53,7 @@
 
 
 class GatewayMetricsTest(unittest.TestCase):
-    """What a running gateway shows of itself."""
+    """Gauges of a running gateway."""
 
     def test_gauges_follow_the_gateway(self) -> None:
         rig = FleetRig(gateways=1, storage=2, engines=1).start()
--- a/tests/test_fleet_path.py
+++ b/tests/test_fleet_path.py
@@ -1,4 +1,4 @@
-"""The whole path on the users' platform: requests, streams, jobs, configuration, stops."""
+"""End-to-end tests of requests, streams and batch jobs on a small fleet."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class RequestTest(FleetCase):
-    """Opaque requests."""
+    """Opaque requests and their responses pass unchanged and within their time limits."""
 
     def test_request_reaches_a_replica_unchanged(self) -> None:
         answer = self.rig.ask(
@@ -63,13 +63,13 @@
 
 
 class HeldAnswersTest(RequestTest):
-    """The same where answers are held for callers that read slowly."""
+    """The same tests with buffered answers for callers that read slowly."""
 
     features = GatewayFeatures(callers_may_read_slowly=True)
 
 
 class MalformedTest(FleetCase):
-    """What callers send wrongly."""
+    """Malformed requests get a 4xx response with a reason."""
 
     def test_bad_input_is_refused_with_a_reason(self) -> None:
         cases = (
@@ -93,7 +93,7 @@
 
 
 class JobTest(FleetCase):
-    """Batch jobs."""
+    """Batch jobs give the same results at every gateway, and each item runs once."""
 
     def test_results_are_alike_at_every_gateway(self) -> None:
         self.assertEqual(202, self.rig.submit("gateway-0", "job-a", 5).status)
@@ -166,7 +166,7 @@
 
 
 class BatchRoomTest(FleetCase):
-    """Batch work beside online requests."""
+    """Batch items leave capacity to online requests."""
 
     def test_batch_leaves_a_slot_for_online_requests(self) -> None:
         for replica in self.rig.of_service("engine"):
@@ -199,7 +199,7 @@
         wait_until(lambda: sum(one.running for one in engines) >= full, "engines full of items")
         for replica in engines:
             replica.behaviour = ReplicaBehaviour(event_s=0.1, events=20)
-        # The stand-in takes more than its slots at once; what is above them is to give way.
+        # The stand-in accepts more requests than it has slots; the excess must be preempted.
         threads = [
             threading.Thread(
                 target=self.rig.ask,
@@ -212,7 +212,7 @@
             thread.start()
         wait_until(
             lambda: any(run.cancelled for one in engines for run in one.runs),
-            "an item gives way",
+            "an item is preempted",
         )
         self.rig.call("gateway-0", "DELETE", "/v1/lots/job-h")
         for thread in threads:
@@ -231,7 +231,7 @@
             replica.behaviour = ReplicaBehaviour(event_s=0.3, events=20, waiting=6)
         wait_until(
             lambda: any(run.cancelled for r in self.rig.of_service("engine") for run in r.runs),
-            "an item gives way",
+            "an item is preempted",
         )
         for replica in self.rig.of_service("engine"):
             replica.behaviour = ReplicaBehaviour(event_s=0.01, events=20)
--- a/tests/test_log_events.py
+++ b/tests/test_log_events.py
@@ -1,4 +1,4 @@
-"""Log lines: each kind is documented, their number is bounded, and nobody waits for a reader."""
+"""Log lines: every kind is documented, their rate is limited, and writing never blocks."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class EventsTest(unittest.TestCase):
-    """The table of kinds against the code."""
+    """The table of log kinds matches the code."""
 
     def test_every_kind_that_is_written_is_documented(self) -> None:
         written = set()
@@ -61,7 +61,7 @@
 
 
 class BudgetTest(unittest.TestCase):
-    """What is left out when there are too many lines."""
+    """Lines are dropped, ordinary ones first, when there are too many."""
 
     def test_served_requests_give_way_first_and_are_counted(self) -> None:
         stream = io.BytesIO()
@@ -88,7 +88,7 @@
             writer(dict(message))
         self.assertLess(time.monotonic() - began, 10.0)
         self.assertGreater(writer.dropped, 30_000)
-        # The queue is bounded, so memory is; the reader's return lets the thread go on.
+        # Reading the pipe unblocks the writer's thread.
         draining = threading.Thread(target=_drain, args=(reader,))
         draining.start()
         writer.stop()
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Contract of the log writer: every message becomes one line, whatever it holds."""
+"""The log writer writes every message as one line, whatever it contains."""
 
 import io
 import json
@@ -12,7 +12,7 @@
 
 
 class LogWriterTest(unittest.TestCase):
-    """A writer into memory."""
+    """A log writer with an in-memory stream."""
 
     def setUp(self):
         self.stream = io.BytesIO()
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Contract of the settings file: what is refused, with which key and remedy."""
+"""Invalid settings files are refused with the key and a remedy."""
 
 import tempfile
 import unittest
@@ -50,7 +50,7 @@
 
 
 class SettingsTest(unittest.TestCase):
-    """Every fault is returned with its key and a remedy."""
+    """Errors in a node's settings file."""
 
     def test_valid_file_is_read(self):
         settings = _load(VALID)
@@ -84,7 +84,7 @@
 
 
 class ServingSettingsTest(unittest.TestCase):
-    """The file that the platform fills."""
+    """The settings file of a gateway or storage node."""
 
     @params(
         ("left out", "", 0),
--- a/tests/test_stop_signal.py
+++ b/tests/test_stop_signal.py
@@ -1,4 +1,4 @@
-"""A node stops on SIGTERM, whichever of its threads receives it."""
+"""A process stops on SIGTERM, whichever of its threads receives the signal."""
 
 import ctypes
 import platform
@@ -24,7 +24,7 @@
 
 
 class StopSignalTest(unittest.TestCase):
-    """Contract of ``StopSignal``, in a process of its own."""
+    """``StopSignal`` in a separate process."""
 
     def setUp(self):
         self.process = subprocess.Popen(
@@ -50,10 +50,10 @@
 
 
 class EarlySignalTest(unittest.TestCase):
-    """A signal that says "the settings have changed" may come while a process is loading."""
+    """A SIGHUP, which requests a reload of the settings, must not end a loading process."""
 
     def test_early_hang_up_does_not_end_the_process(self):
-        # In the place of the role stands one that gets the signal before it has a handler.
+        # A replacement for the role sends the signal before a handler is installed.
         program = (
             "import os, signal, sys, types\n"
             "roles = types.ModuleType('quaymill.platform.roles')\n"
--- a/tests/test_tenant_keys.py
+++ b/tests/test_tenant_keys.py
@@ -1,4 +1,4 @@
-"""Keys of tenants on the users' platform: who is let in, as whom, and what replicas are told."""
+"""Tenant keys: which requests are accepted, for which tenant, and what replicas receive."""
 
 from __future__ import annotations
 
@@ -88,7 +88,7 @@
 
 
 def routes_with(*tenants: RequestTenant, version: int = 1) -> RequestRoutes:
-    """Return routes that these tenants may use."""
+    """Return routes for these tenants."""
     return RequestRoutes(version, tenants={one.name: one for one in tenants})
 
 
@@ -98,7 +98,7 @@
 
 
 class DecodeTest(unittest.TestCase):
-    """The operator's tenants, as the adapter reads them."""
+    """Tenants of a configuration as decoded by the adapter."""
 
     def test_keys_are_kept_as_digests_and_limits_by_name(self) -> None:
         spec = configuration(3, tenants=(tenant("office", KEY, rate_per_s=100, burst=50),))
@@ -129,7 +129,7 @@
 
 
 class IdentifyTest(unittest.TestCase):
-    """Who holds a key, by which version."""
+    """The holder of a key in a given configuration version."""
 
     def test_without_tenants_nobody_is_asked_for_a_key(self) -> None:
         caller = identify(NO_ROUTES, b"", key_needed=True)
@@ -146,10 +146,10 @@
 
     @params(
         ("unchanged version", (holder("office", KEY),), 1, KeyState.UNCHANGED),
-        ("held still", (holder("office", KEY),), 2, KeyState.UNCHANGED),
-        ("taken away", (holder("office", SECOND_KEY),), 2, KeyState.REVOKED),
-        ("tenant gone", (), 2, KeyState.REVOKED),
-        ("passed on", (holder("office"), holder("kiosk", KEY)), 2, KeyState.REASSIGNED),
+        ("unchanged key", (holder("office", KEY),), 2, KeyState.UNCHANGED),
+        ("revoked", (holder("office", SECOND_KEY),), 2, KeyState.REVOKED),
+        ("tenant removed", (), 2, KeyState.REVOKED),
+        ("reassigned", (holder("office"), holder("kiosk", KEY)), 2, KeyState.REASSIGNED),
     )
     def test_what_becomes_of_a_key(self, _, tenants, version, expected) -> None:
         caller = identify(routes_with(holder("office", KEY)), KEY.encode(), key_needed=True)
@@ -172,7 +172,7 @@
 
 
 class KeyCase(FleetCase):
-    """A calm fleet whose requests need keys."""
+    """A running fleet whose requests need keys."""
 
     world: ClassVar[dict[str, Any]] = {"routes": WITH_PUBLIC, "tenants": (OFFICE, KIOSK)}
     version = 1
@@ -182,7 +182,7 @@
         self.rig.configure(self.version, routes=routes, tenants=tenants)
 
     def send_raw(self, headers: list[tuple[str, str]], gateway: str = "gateway-0") -> int:
-        """Send a request with headers just as they are; return the answer's status."""
+        """Send a request with raw headers; return the response status, 0 without a response."""
         port = self.rig.ports(gateway)[0]
         lines = ["POST /read/x HTTP/1.1", f"Host: {HOST}", "Content-Length: 0"]
         lines += [f"{name}: {value}" for name, value in headers]
@@ -193,14 +193,14 @@
 
 
 class HeaderTest(KeyCase):
-    """What callers show, and what replicas are shown."""
+    """Headers from callers, and the headers that replicas receive."""
 
     def test_forms_that_are_no_key(self) -> None:
         for number, form in enumerate(REFUSED_FORMS):
             with self.subTest(form=str(form)[:60]):
                 headers = [("Request-Id", f"bad-{number}")]
                 status = self.send_raw(headers + [("Authorization", value) for value in form])
-                # A head that is no HTTP is refused as such.
+                # A NUL byte makes the request malformed HTTP, which gets a 400.
                 self.assertIn(status, (400, 401) if "\x00" in "".join(form) else (401,))
         self.assertEqual([], self.runs())
 
@@ -288,7 +288,7 @@
             runs = self.runs(request_id)
             return runs if len(runs) == 2 else []
 
-        runs = wait_until(resumed, "a stream met the replica that cuts it")
+        runs = wait_until(resumed, "a stream ran on the replica that aborts it")
         for run in runs:
             self.assertEqual("office", run.headers["tenant"])
             self.assertNotIn("authorization", run.headers)
@@ -311,7 +311,7 @@
 
 
 class SecrecyTest(KeyCase):
-    """A key stands in no line, no answer and no metric."""
+    """No log line, response or metric contains a key."""
 
     def test_nothing_that_is_told_holds_a_key(self) -> None:
         lines: list[dict] = []
@@ -335,7 +335,7 @@
 
 
 class ChangeTest(KeyCase):
-    """Keys that change hands."""
+    """Keys that are revoked or reassigned to another tenant."""
 
     def test_a_key_is_taken_away_from_a_connected_caller(self) -> None:
         headers = key_header(KEY)
@@ -374,15 +374,15 @@
 
     def test_a_request_that_waits_runs_only_while_its_key_is_held(self) -> None:
         for taken, tenants, status in (
-            ("away", (tenant("office", SECOND_KEY), KIOSK), 401),
-            ("by another", (tenant("office", SECOND_KEY), tenant("kiosk", OTHER_KEY, KEY)), 503),
+            ("revoked", (tenant("office", SECOND_KEY), KIOSK), 401),
+            ("reassigned", (tenant("office", SECOND_KEY), tenant("kiosk", OTHER_KEY, KEY)), 503),
         ):
             with self.subTest(taken):
                 self.configure(OFFICE, KIOSK)
                 self.assertEqual(status, self._ask_while_the_key_goes(tenants))
 
     def _ask_while_the_key_goes(self, tenants: tuple[dict, ...]) -> int:
-        """Send a request whose body comes only after its key has gone."""
+        """Send a request with a delayed body and change the keys before it; return the status."""
         port = self.rig.ports("gateway-0")[0]
         address = self.rig.settings["gateway-0"].address
         with socket.create_connection((address, port), 5.0) as sent:
@@ -401,7 +401,7 @@
 
 
 class StartTest(unittest.TestCase):
-    """A gateway that knows no configuration cannot tell a key."""
+    """A gateway without a configuration cannot check keys, so it is not ready."""
 
     def test_it_answers_503_and_is_not_ready(self) -> None:
         rig = FleetRig(gateways=1, storage=1, engines=1)
@@ -415,7 +415,7 @@
 
 
 class JobTest(KeyCase):
-    """Batch jobs of tenants."""
+    """Batch jobs are visible to their tenant only."""
 
     def test_only_its_tenant_sees_a_job(self) -> None:
         for gateway in self.rig.gateways.values():
@@ -461,7 +461,7 @@
 
 
 class MovedJobTest(KeyCase):
-    """A batch job whose key is taken away and whose coordinator leaves."""
+    """A batch job whose key is revoked and whose coordinator stops."""
 
     def test_it_goes_on_as_its_tenants(self) -> None:
         for replica in self.rig.of_service("engine"):
