--- a/tests/fleet_rig.py
+++ b/tests/fleet_rig.py
@@ -78,9 +78,9 @@
         self.storage: dict[str, StorageNode] = {}
         self.settings: dict[str, ServingSettings] = {}
         self._beating = threading.Event()
-        self._planned = (gateways, storage, engines)
+        self._counts = (gateways, storage, engines)
         self._zones = zones
-        self._changed_settings = settings
+        self._settings_overrides = settings
         self._pool = urllib3.PoolManager(retries=False, num_pools=50, maxsize=20, block=False)
 
     def start(self, version: int = 1, **fields: Any) -> FleetRig:
@@ -91,7 +91,7 @@
         fields
             Fields of the first configuration in addition to its version.
         """
-        gateways, storage, engines = self._planned
+        gateways, storage, engines = self._counts
         self.store.start()
         self.store.put("config", "main", configuration(version, **fields))
         for index in range(engines):
@@ -165,11 +165,11 @@
         """Wait until every gateway is ready and knows all storage nodes and gateways."""
         for name, gateway in self.gateways.items():
             wait_until(
-                lambda name=name, gateway=gateway: self._is_settled(name, gateway),
+                lambda name=name, gateway=gateway: self._is_ready(name, gateway),
                 f"{name} is ready and knows the others",
             )
 
-    def _is_settled(self, name: str, gateway: GatewayNode) -> bool:
+    def _is_ready(self, name: str, gateway: GatewayNode) -> bool:
         network = gateway.network
         return (
             self.get(name, "/v1/ready", port=self.ports(name)[1]).status == 200
@@ -183,9 +183,9 @@
         return int(listen.callers.split(":")[1]), int(listen.readiness.split(":")[1])
 
     def _settings_of(self, name: str, zone: str, data_folder: str = "") -> ServingSettings:
-        held = self.settings.get(name)
-        if held is not None:
-            return held
+        existing = self.settings.get(name)
+        if existing is not None:
+            return existing
         address = loopback_address()
         others = [one.address for one in self.settings.values()][:3]
         listen = Listeners(f"{address}:{free_port()}", f"{address}:{free_port()}")
@@ -202,7 +202,7 @@
             listen=Listeners() if data_folder else listen,
             bounds=Bounds(leave_s=0.3, grace_s=6.0),
         )
-        settings = msgspec.structs.replace(settings, **self._changed_settings)
+        settings = msgspec.structs.replace(settings, **self._settings_overrides)
         self.settings[name] = settings
         return settings
 
@@ -210,8 +210,10 @@
         """Block all links between the processes of a zone and those of other zones."""
         nodes = [*self.gateways.values(), *self.storage.values()]
         members = [node.network.membership.local() for node in nodes]
-        for node, own in zip(nodes, members, strict=True):
-            blocked = [one.peer for one in members if (one.zone == zone) != (own.zone == zone)]
+        for node, local_member in zip(nodes, members, strict=True):
+            blocked = [
+                one.peer for one in members if (one.zone == zone) != (local_member.zone == zone)
+            ]
             node.network.client._link_filter.set_blocked(frozenset(blocked))
 
     def heal(self) -> None:
--- a/tests/test_boot_clock.py
+++ b/tests/test_boot_clock.py
@@ -20,7 +20,7 @@
 from quaymill_standins.fleet_replica import ReplicaBehaviour
 
 SOURCES = Path(__file__).parent.parent / "src" / "quaymill"
-STEADY_CLOCK = re.compile(r"time\.(monotonic|perf_counter)|CLOCK_MONOTONIC")
+MONOTONIC_CLOCK = re.compile(r"time\.(monotonic|perf_counter)|CLOCK_MONOTONIC")
 SUSPENDED_S = 10.0
 
 
@@ -46,10 +46,10 @@
 class SourceTest(unittest.TestCase):
     """Only ``boot_clock`` reads a clock that stops during a suspension."""
 
-    def test_nothing_else_reads_the_steady_clock(self) -> None:
+    def test_no_other_module_reads_the_monotonic_clock(self) -> None:
         others = [path for path in SOURCES.rglob("*.py") if path.name != "boot_clock.py"]
         self.assertGreater(len(others), 200)
-        readers = [path.name for path in others if STEADY_CLOCK.search(path.read_text())]
+        readers = [path.name for path in others if MONOTONIC_CLOCK.search(path.read_text())]
         self.assertEqual([], readers)
 
 
@@ -59,19 +59,19 @@
     def setUp(self) -> None:
         self.suspension = Suspension(self)
 
-    def test_it_counts_suspended_time(self) -> None:
-        before, steady_before = boot_clock.now(), time.monotonic()
+    def test_clock_counts_suspended_time(self) -> None:
+        before, monotonic_before = boot_clock.now(), time.monotonic()
         self.suspension.suspend()
         self.assertGreaterEqual(boot_clock.now() - before, SUSPENDED_S)
-        self.assertLess(time.monotonic() - steady_before, SUSPENDED_S)
+        self.assertLess(time.monotonic() - monotonic_before, SUSPENDED_S)
 
-    def test_a_callers_deadline(self) -> None:
+    def test_a_callers_deadline_expires(self) -> None:
         deadline = Deadline.after(SUSPENDED_S / 2)
         self.suspension.suspend()
         self.assertTrue(deadline.passed())
         self.assertEqual(0.0, deadline.remaining_s())
 
-    def test_a_lease_at_a_storage_node(self) -> None:
+    def test_a_lease_at_a_storage_node_expires(self) -> None:
         leases = Leases()
         leases.renew(["job"], "gateway")
         self.assertGreater(leases.left_s("job"), 0)
@@ -79,20 +79,22 @@
         self.assertEqual(0.0, leases.left_s("job"))
         self.assertEqual([], leases.renew(["job"], "another"))
 
-    def test_a_member_that_was_away_buries_nobody_and_says_for_how_long(self) -> None:
+    def test_a_suspended_member_declares_nobody_dead_and_logs_the_suspension(self) -> None:
         first = Membership(settings_for("first", "a", 1))
         second = Membership(settings_for("second", "a", 1, (first.local().peer,)))
         for membership in (first, second):
             self.addCleanup(membership.stop)
             membership.start()
         wait_until(lambda: len(first.live()) == len(second.live()) == 2, "they know each other")
-        with mock.patch("quaymill.process.membership.membership.log_message") as told:
+        with mock.patch("quaymill.process.membership.membership.log_message") as logged:
             self.suspension.suspend()
             wait_until(
-                lambda: [call for call in told.call_args_list if call.args == ("node:suspended",)],
+                lambda: [
+                    call for call in logged.call_args_list if call.args == ("node:suspended",)
+                ],
                 "the suspension is logged",
             )
-        lines = [call for call in told.call_args_list if call.args == ("node:suspended",)]
+        lines = [call for call in logged.call_args_list if call.args == ("node:suspended",)]
         self.assertAlmostEqual(SUSPENDED_S, lines[0].kwargs["for_s"], delta=0.1)
         states = {member.state for member in (*first.members(), *second.members())}
         self.assertNotIn(MemberState.DEAD, states)
@@ -106,7 +108,7 @@
         self.addCleanup(self.rig.stop)
         self.suspension = Suspension(self)
 
-    def test_a_caller_whose_time_has_passed_meanwhile_is_answered(self) -> None:
+    def test_a_request_past_its_deadline_gets_504(self) -> None:
         for replica in self.rig.of_service("application"):
             replica.behaviour = ReplicaBehaviour(answer_s=60.0)
         with ThreadPoolExecutor(1) as executor:
@@ -120,7 +122,7 @@
             self.assertEqual(504, asked.result().status)
         self.assertLess(time.monotonic() - began, 4.0)
 
-    def test_jobs_are_done_and_their_results_stay(self) -> None:
+    def test_jobs_complete_and_their_results_stay(self) -> None:
         for replica in self.rig.of_service("engine"):
             replica.behaviour = ReplicaBehaviour(event_s=0.2)
         self.assertEqual(202, self.rig.submit("gateway-0", "job", 6).status)
--- a/tests/test_early_listener.py
+++ b/tests/test_early_listener.py
@@ -15,13 +15,13 @@
 from quaymill.process.front.http_server import HttpServer
 from quaymill_bench.ports import free_port
 
-PATIENCE_S = 10.0
+TIMEOUT_S = 10.0
 
 
 class EarlyListenerTest(unittest.TestCase):
     """The early listener alone and when it is passed to a server."""
 
-    def settings(self, text: str) -> Path:
+    def write_settings(self, text: str) -> Path:
         folder = Path(tempfile.mkdtemp(prefix="quaymill-listener-"))
         file = folder / "node.toml"
         file.write_text(text)
@@ -29,8 +29,8 @@
 
     def test_a_request_sent_while_loading_is_served_once_the_server_runs(self) -> None:
         port = free_port()
-        listener = open_listener(self.settings(f'[listen]\ncallers = "127.0.0.1:{port}"\n'))
-        with socket.create_connection(("127.0.0.1", port), PATIENCE_S) as caller:
+        listener = open_listener(self.write_settings(f'[listen]\ncallers = "127.0.0.1:{port}"\n'))
+        with socket.create_connection(("127.0.0.1", port), TIMEOUT_S) as caller:
             caller.sendall(b"GET /early HTTP/1.1\r\nHost: h\r\n\r\n")
             paths: list[str] = []
 
@@ -49,32 +49,32 @@
 
     def test_answers_in_two_parts_do_not_wait_for_the_callers_acknowledgement(self) -> None:
         port = free_port()
-        listener = open_listener(self.settings(f'[listen]\ncallers = "127.0.0.1:{port}"\n'))
+        listener = open_listener(self.write_settings(f'[listen]\ncallers = "127.0.0.1:{port}"\n'))
         self.addCleanup(listener.close)
-        with socket.create_connection(("127.0.0.1", port), PATIENCE_S):
+        with socket.create_connection(("127.0.0.1", port), TIMEOUT_S):
             accepted, _ = listener.accept()
             with accepted:
                 self.assertTrue(accepted.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
 
-    def test_it_does_not_hold_up_the_sender(self) -> None:
+    def test_connecting_does_not_block(self) -> None:
         port = free_port()
-        listener = open_listener(self.settings(f'[listen]\ncallers = "127.0.0.1:{port}"\n'))
+        listener = open_listener(self.write_settings(f'[listen]\ncallers = "127.0.0.1:{port}"\n'))
         self.addCleanup(listener.close)
         connected = threading.Event()
 
         def connect() -> None:
-            with socket.create_connection(("127.0.0.1", port), PATIENCE_S):
+            with socket.create_connection(("127.0.0.1", port), TIMEOUT_S):
                 connected.set()
 
         threading.Thread(target=connect, daemon=True).start()
-        self.assertTrue(connected.wait(PATIENCE_S))
+        self.assertTrue(connected.wait(TIMEOUT_S))
 
     @params("", "[listen]\n", '[listen]\ncallers = ""\n', "no toml", '[listen]\ncallers = "x:y"\n')
-    def test_what_cannot_be_listened_at_is_left_to_the_role(self, text) -> None:
-        self.assertIsNone(open_listener(self.settings(text)))
+    def test_invalid_settings_give_no_listener(self, text) -> None:
+        self.assertIsNone(open_listener(self.write_settings(text)))
 
-    def test_an_address_in_use_is_left_to_the_role(self) -> None:
+    def test_an_address_in_use_gives_no_listener(self) -> None:
         with socket.create_server(("127.0.0.1", 0)) as used:
             port = used.getsockname()[1]
-            file = self.settings(f'[listen]\ncallers = "127.0.0.1:{port}"\n')
+            file = self.write_settings(f'[listen]\ncallers = "127.0.0.1:{port}"\n')
             self.assertIsNone(open_listener(file))
--- a/tests/test_fleet_metrics.py
+++ b/tests/test_fleet_metrics.py
@@ -44,7 +44,7 @@
         self.assertEqual(1.0, shown[key])
         self.assertEqual(1.0, shown["quaymill_front_answer_seconds_count[('route', 'route')]"])
 
-    def test_scrapers_that_read_nothing_hold_nobody_up(self) -> None:
+    def test_incomplete_scrapes_do_not_block_others(self) -> None:
         for _ in range(THREADS - 1):
             slow = socket.create_connection(("127.0.0.1", self.port))
             self.addCleanup(slow.close)
--- a/tests/test_fleet_path.py
+++ b/tests/test_fleet_path.py
@@ -41,7 +41,7 @@
         self.assertNotIn("x-hop", run.headers)
         self.assertLessEqual(int(run.headers["deadline-ms"]), 8000)
 
-    def test_events_pass_on_in_order(self) -> None:
+    def test_events_are_relayed_in_order(self) -> None:
         answer = self.rig.ask("gateway-1", "/stream/x", "r-2", tokens=True)
         self.assertEqual(b"".join(event_bytes("r-2", n) for n in (1, 2, 3)), answer.data)
 
@@ -50,7 +50,7 @@
             with self.subTest(path):
                 self.assertEqual(status, self.rig.ask("gateway-0", path, "r-3").status)
 
-    def test_whole_time_is_bounded_by_the_route(self) -> None:
+    def test_route_timeout_limits_the_total_time(self) -> None:
         short = route("short", "/short/", "idempotent", service="application", timeout_ms=300)
         self.rig.store.put("config", "main", configuration(50, (*ROUTES, short)))
         wait_until(
@@ -62,7 +62,7 @@
         wait_until(lambda: all(run.cancelled for run in self.runs("r-5")), "the run is cancelled")
 
 
-class HeldAnswersTest(RequestTest):
+class BufferedAnswersTest(RequestTest):
     """The same tests with buffered answers for callers that read slowly."""
 
     features = GatewayFeatures(callers_may_read_slowly=True)
@@ -95,7 +95,7 @@
 class JobTest(FleetCase):
     """Batch jobs give the same results at every gateway, and each item runs once."""
 
-    def test_results_are_alike_at_every_gateway(self) -> None:
+    def test_results_are_identical_at_every_gateway(self) -> None:
         self.assertEqual(202, self.rig.submit("gateway-0", "job-a", 5).status)
         first = self.rig.wait_results("gateway-0", "job-a", 5)
         self.assertEqual(first, self.rig.wait_results("gateway-1", "job-a", 5))
@@ -108,7 +108,7 @@
         self.assertEqual((5, 5), (page["total"], page["next_token"]))
         self.assertEqual(first[3:], page["results"])
 
-    def test_same_job_sent_again_is_taken_once(self) -> None:
+    def test_same_job_submitted_again_runs_once(self) -> None:
         for gateway in ("gateway-0", "gateway-1", "gateway-0"):
             self.assertEqual(202, self.rig.submit(gateway, "job-b", 2).status)
         self.rig.wait_results("gateway-1", "job-b", 2)
@@ -134,7 +134,7 @@
                 self.assertEqual("dead_letter", result["state"])
                 self.assertEqual(runs, len(self.runs(result["id"])))
 
-    def test_ended_job_starts_nothing_more(self) -> None:
+    def test_ended_job_starts_no_more_items(self) -> None:
         for replica in self.rig.of_service("engine"):
             replica.behaviour = ReplicaBehaviour(event_s=0.3)
         self.rig.submit("gateway-0", "job-d", 30)
@@ -157,7 +157,7 @@
         self.assertEqual(404, self.rig.read_results("gateway-0", "none").status)
         self.assertEqual(404, self.rig.call("gateway-0", "DELETE", "/v1/lots/none").status)
 
-    def test_held_read_returns_with_the_first_result(self) -> None:
+    def test_waiting_read_returns_with_the_first_result(self) -> None:
         for replica in self.rig.of_service("engine"):
             replica.behaviour = ReplicaBehaviour(event_s=0.15)
         self.rig.submit("gateway-0", "job-e", 1)
@@ -165,7 +165,7 @@
         self.assertEqual(1, len(json.loads(answer.data)["results"]))
 
 
-class BatchRoomTest(FleetCase):
+class BatchCapacityTest(FleetCase):
     """Batch items leave capacity to online requests."""
 
     def test_batch_leaves_a_slot_for_online_requests(self) -> None:
@@ -190,7 +190,7 @@
         self.assertGreater(most, 0)
         self.assertLessEqual(most, replica.slots - 1)
 
-    def test_items_give_way_to_online_requests_above_the_slots(self) -> None:
+    def test_items_are_preempted_for_online_requests_above_the_slots(self) -> None:
         engines = self.rig.of_service("engine")
         for replica in engines:
             replica.behaviour = ReplicaBehaviour(event_s=0.3, events=60)
@@ -218,7 +218,7 @@
         for thread in threads:
             thread.join()
 
-    def test_items_give_way_when_requests_wait(self) -> None:
+    def test_items_are_preempted_when_requests_wait(self) -> None:
         for replica in self.rig.of_service("engine"):
             replica.behaviour = ReplicaBehaviour(event_s=0.3, events=20)
         self.rig.submit("gateway-0", "job-g", 4)
--- a/tests/test_log_events.py
+++ b/tests/test_log_events.py
@@ -52,7 +52,7 @@
         self.assertGreater(len(written), 30)
         self.assertEqual(set(), written - EVENTS.keys())
 
-    def test_only_what_was_served_or_beyond_a_limit_is_ordinary(self) -> None:
+    def test_only_served_and_over_limit_requests_are_ordinary(self) -> None:
         self.assertTrue(is_ordinary(SERVED))
         self.assertTrue(is_ordinary(OVER_LIMIT))
         self.assertFalse(is_ordinary(OVER_LIMIT | {"outcome": "refused"}))
@@ -63,7 +63,7 @@
 class BudgetTest(unittest.TestCase):
     """Lines are dropped, ordinary ones first, when there are too many."""
 
-    def test_served_requests_give_way_first_and_are_counted(self) -> None:
+    def test_ordinary_lines_are_dropped_first_and_counted(self) -> None:
         stream = io.BytesIO()
         writer = LogWriter(stream, LineBudget(lines_per_s=0.001, burst=100))
         for _ in range(200):
@@ -78,7 +78,7 @@
         (dropped,) = [line for line in lines if line["message_type"] == "log:dropped"][-1:]
         self.assertEqual((150, 10), (dropped["ordinary"], dropped["other"]))
 
-    def test_stream_that_nobody_reads_holds_nobody_up(self) -> None:
+    def test_unread_stream_does_not_block_logging(self) -> None:
         reader, writer_end = os.pipe()
         stream = os.fdopen(writer_end, "wb")
         writer = LogWriter(stream, LineBudget(lines_per_s=1e9, burst=1e9))
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -38,11 +38,11 @@
             numbers = [line["number"] for line in lines if line["thread"] == name]
             self.assertEqual(numbers, list(range(MESSAGES_EACH)))
 
-    def test_value_that_is_no_json_does_not_end_the_log(self):
+    def test_value_that_cannot_be_encoded_does_not_end_the_log(self):
         self.writer({"value": object()})
-        endless: dict = {}
-        endless["again"] = endless
-        self.writer(endless)
+        recursive: dict = {}
+        recursive["again"] = recursive
+        self.writer(recursive)
         self.writer({"after": True})
         lines = self._lines()
         self.assertIn("object", lines[0]["value"])
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -97,7 +97,7 @@
     @params(
         ("zones_lost_at_once", "-1"), ("zones_lost_at_once", '"1"'), ("disks_lost_at_once", "-1")
     )
-    def test_number_that_is_none_is_refused(self, key, value):
+    def test_invalid_number_is_refused(self, key, value):
         fault = _load_serving(f"{SERVING}{key} = {value}\n")
         self.assertIsInstance(fault, SettingsError)
         self.assertEqual(key, fault.key)
--- a/tests/test_stop_signal.py
+++ b/tests/test_stop_signal.py
@@ -36,11 +36,11 @@
         self.other_thread = int(self.process.stdout.readline())
 
     @params(signal.SIGTERM, signal.SIGINT)
-    def test_a_signal_to_the_process_is_noted(self, number):
+    def test_a_signal_to_the_process_stops_it(self, number):
         self.process.send_signal(number)
         self.assertEqual(self.process.wait(STOP_TIMEOUT_S), 0)
 
-    def test_a_signal_that_another_thread_receives_is_noted(self):
+    def test_a_signal_received_by_another_thread_stops_the_process(self):
         tgkill = TGKILL_NUMBERS[platform.machine()]
         result = ctypes.CDLL(None).syscall(
             tgkill, self.process.pid, self.other_thread, int(signal.SIGTERM)
--- a/tests/test_tenant_keys.py
+++ b/tests/test_tenant_keys.py
@@ -114,7 +114,7 @@
         ("none", {}, None),
         ("empty", {"tenants": []}, {}),
     )
-    def test_no_tenants_and_none_yet_are_told_apart(self, _, fields, expected) -> None:
+    def test_missing_and_empty_tenants_are_distinguished(self, _, fields, expected) -> None:
         self.assertEqual(expected, decode_configuration(configuration(1) | fields).tenants)
 
     @params(
@@ -124,19 +124,19 @@
         {"name": "a", "rate_per_s": -1},
         {"name": "a", "rate_per_s": "many"},
     )
-    def test_an_unreadable_tenant_leaves_the_version_unread(self, bad) -> None:
+    def test_an_invalid_tenant_invalidates_the_configuration(self, bad) -> None:
         self.assertTrue(decode_configuration(configuration(1) | {"tenants": [bad]}).reason)
 
 
 class IdentifyTest(unittest.TestCase):
     """The holder of a key in a given configuration version."""
 
-    def test_without_tenants_nobody_is_asked_for_a_key(self) -> None:
+    def test_no_key_is_needed_without_tenants(self) -> None:
         caller = identify(NO_ROUTES, b"", key_needed=True)
         self.assertIsNone(caller.tenant_name)
         self.assertEqual("job", caller.job_name("job"))
 
-    def test_names_of_jobs_do_not_meet(self) -> None:
+    def test_job_names_of_tenants_are_distinct(self) -> None:
         names = {
             Caller(holder(name_of_tenant), True).job_name(job_id)
             for name_of_tenant in ("a", "a~b", "a%7Eb", "a/b", "")
@@ -151,21 +151,21 @@
         ("tenant removed", (), 2, KeyState.REVOKED),
         ("reassigned", (holder("office"), holder("kiosk", KEY)), 2, KeyState.REASSIGNED),
     )
-    def test_what_becomes_of_a_key(self, _, tenants, version, expected) -> None:
+    def test_key_state_after_a_change(self, _, tenants, version, expected) -> None:
         caller = identify(routes_with(holder("office", KEY)), KEY.encode(), key_needed=True)
         self.assertIs(expected, key_state(caller, routes_with(*tenants, version=version)))
 
-    def test_a_tenants_rank_goes_before_its_routes(self) -> None:
+    def test_tenant_priority_overrides_route_priority(self) -> None:
         ranked = RequestTenant("a", priority=0)
         self.assertEqual(0, Caller(ranked, True).rank(2))
         self.assertEqual(2, Caller(RequestTenant("a"), True).rank(2))
         self.assertEqual(2, Caller(None, True).rank(2))
 
-    def test_fuzzed_headers_hold_no_key_but_the_one_written(self) -> None:
-        draw = random.Random(FUZZ_SEED)
+    def test_fuzzed_headers_give_only_exact_keys(self) -> None:
+        rng = random.Random(FUZZ_SEED)
         letters = "Bearer \tk-office12=,:;\"'\x00\x7f\xff"
         for _ in range(20_000):
-            text = "".join(draw.choice(letters) for _ in range(draw.randrange(24)))
+            text = "".join(rng.choice(letters) for _ in range(rng.randrange(24)))
             key = bearer_key([text])
             if key:
                 self.assertEqual(["bearer", key], [text.split()[0].lower(), *text.split()[1:]])
@@ -195,7 +195,7 @@
 class HeaderTest(KeyCase):
     """Headers from callers, and the headers that replicas receive."""
 
-    def test_forms_that_are_no_key(self) -> None:
+    def test_invalid_forms_of_a_key_are_refused(self) -> None:
         for number, form in enumerate(REFUSED_FORMS):
             with self.subTest(form=str(form)[:60]):
                 headers = [("Request-Id", f"bad-{number}")]
@@ -204,7 +204,7 @@
                 self.assertIn(status, (400, 401) if "\x00" in "".join(form) else (401,))
         self.assertEqual([], self.runs())
 
-    def test_forms_of_a_key(self) -> None:
+    def test_valid_forms_of_a_key_are_accepted(self) -> None:
         for number, form in enumerate(ACCEPTED_FORMS):
             with self.subTest(form):
                 headers = [("Request-Id", f"good-{number}"), ("Authorization", form)]
@@ -213,7 +213,7 @@
                 self.assertEqual("office", run.headers["tenant"])
 
     def test_fuzzed_forms_reach_a_replica_only_as_the_keys_tenant(self) -> None:
-        draw = random.Random(FUZZ_SEED)
+        rng = random.Random(FUZZ_SEED)
         parts = [
             "Bearer",
             "bearer",
@@ -229,7 +229,7 @@
             "\xe9",
         ]
         for number in range(FUZZ_CASES):
-            form = "".join(draw.choice(parts) for _ in range(draw.randrange(1, 5)))
+            form = "".join(rng.choice(parts) for _ in range(rng.randrange(1, 5)))
             request_id = f"fuzz-{number}"
             with self.subTest(form):
                 self.send_raw([("Request-Id", request_id), ("Authorization", form)])
@@ -238,7 +238,7 @@
                     key = KEY if run.headers["tenant"] == "office" else OTHER_KEY
                     self.assertEqual(["bearer", key], [form.split()[0].lower(), *form.split()[1:]])
 
-    def test_a_refusal_tells_what_is_needed(self) -> None:
+    def test_a_refusal_names_the_authentication_scheme(self) -> None:
         answer = self.rig.ask("gateway-0", "/read/x", "r-0")
         self.assertEqual(401, answer.status)
         self.assertEqual("Bearer", answer.headers["WWW-Authenticate"])
@@ -259,7 +259,7 @@
             self.assertIs(kept, connection.sock)
 
     @params("Tenant", "tenant", "TENANT")
-    def test_replicas_are_told_who_it_is_by_us_alone(self, name) -> None:
+    def test_tenant_header_of_a_caller_is_replaced(self, name) -> None:
         request_id = f"r-{name}"
         headers = [
             ("Request-Id", request_id),
@@ -273,12 +273,12 @@
         self.assertNotIn("authorization", run.headers)
 
     @params("Tenant ", "Authorization\t")
-    def test_a_name_with_a_space_is_no_header(self, name) -> None:
+    def test_a_header_name_with_a_space_is_refused(self, name) -> None:
         headers = [("Request-Id", "r-space"), ("Authorization", f"Bearer {KEY}"), (name, "root")]
         self.assertEqual(400, self.send_raw(headers))
         self.assertEqual([], self.runs("r-space"))
 
-    def test_streams_that_go_on_elsewhere_keep_the_key_from_both(self) -> None:
+    def test_no_replica_of_a_resumed_stream_receives_the_key(self) -> None:
         self.rig.of_service("engine")[0].behaviour = ReplicaBehaviour(cut_at_event=2)
 
         def resumed() -> list:
@@ -301,7 +301,7 @@
             self.assertNotIn("tenant", run.headers)
             self.assertNotIn("authorization", run.headers)
 
-    def test_a_known_key_counts_on_a_public_route_too(self) -> None:
+    def test_a_known_key_identifies_its_tenant_on_a_public_route(self) -> None:
         self.rig.ask("gateway-0", "/public/x", "r-known", headers=key_header(KEY))
         self.assertEqual("office", self.runs("r-known")[0].headers["tenant"])
 
@@ -313,31 +313,31 @@
 class SecrecyTest(KeyCase):
     """No log line, response or metric contains a key."""
 
-    def test_nothing_that_is_told_holds_a_key(self) -> None:
+    def test_no_output_contains_a_key(self) -> None:
         lines: list[dict] = []
         eliot.add_destinations(lines.append)
         self.addCleanup(eliot.remove_destination, lines.append)
-        shown = []
+        responses = []
         for number, key in enumerate((KEY, OTHER_KEY, "k-unknown")):
             for path, tokens in (("/read/x", False), ("/stream/x", True), ("/no/x", False)):
                 answer = self.rig.ask(
                     "gateway-0", path, f"r-{number}", tokens=tokens, headers=key_header(key)
                 )
-                shown += [answer.data, str(answer.headers).encode()]
+                responses += [answer.data, str(answer.headers).encode()]
             self.rig.submit("gateway-0", f"job-{number}", 1, headers=key_header(key))
         self.configure(tenant("office", SECOND_KEY), KIOSK)
         registry = self.rig.gateways["gateway-0"]._metrics.registry
-        shown.append(generate_latest(registry))
-        told = json.dumps(lines, default=str).encode() + b"".join(shown)
-        self.assertIn(b"request:refused", told)
+        responses.append(generate_latest(registry))
+        output = json.dumps(lines, default=str).encode() + b"".join(responses)
+        self.assertIn(b"request:refused", output)
         for key in (KEY, SECOND_KEY, OTHER_KEY, "k-unknown"):
-            self.assertNotIn(key.encode(), told)
+            self.assertNotIn(key.encode(), output)
 
 
 class ChangeTest(KeyCase):
     """Keys that are revoked or reassigned to another tenant."""
 
-    def test_a_key_is_taken_away_from_a_connected_caller(self) -> None:
+    def test_a_revoked_key_is_refused(self) -> None:
         headers = key_header(KEY)
         self.assertEqual(200, self.rig.ask("gateway-0", "/read/x", "r-1", headers=headers).status)
         self.configure(tenant("office", SECOND_KEY), KIOSK)
@@ -347,14 +347,14 @@
             self.assertEqual(200, kept.status)
         self.assertEqual([], self.runs("r-2"))
 
-    def test_a_key_is_passed_on(self) -> None:
+    def test_a_reassigned_key_identifies_its_new_tenant(self) -> None:
         self.configure(OFFICE, KIOSK)
         self.configure(tenant("office", SECOND_KEY), tenant("kiosk", OTHER_KEY, KEY))
         for gateway in self.rig.gateways:
             self.rig.ask(gateway, "/read/x", f"r-{gateway}", headers=key_header(KEY))
             self.assertEqual("kiosk", self.runs(f"r-{gateway}")[0].headers["tenant"])
 
-    def test_a_running_stream_goes_on_without_its_key(self) -> None:
+    def test_a_running_stream_continues_after_its_key_is_revoked(self) -> None:
         self.configure(OFFICE, KIOSK)
         for replica in self.rig.of_service("engine"):
             replica.behaviour = ReplicaBehaviour(events=30, event_s=0.1)
@@ -372,16 +372,16 @@
         asking.join()
         self.assertIn(b"r-run-30", answers[0].data)
 
-    def test_a_request_that_waits_runs_only_while_its_key_is_held(self) -> None:
-        for taken, tenants, status in (
+    def test_a_request_does_not_start_if_its_key_changed_before(self) -> None:
+        for change, tenants, status in (
             ("revoked", (tenant("office", SECOND_KEY), KIOSK), 401),
             ("reassigned", (tenant("office", SECOND_KEY), tenant("kiosk", OTHER_KEY, KEY)), 503),
         ):
-            with self.subTest(taken):
+            with self.subTest(change):
                 self.configure(OFFICE, KIOSK)
-                self.assertEqual(status, self._ask_while_the_key_goes(tenants))
+                self.assertEqual(status, self._send_during_key_change(tenants))
 
-    def _ask_while_the_key_goes(self, tenants: tuple[dict, ...]) -> int:
+    def _send_during_key_change(self, tenants: tuple[dict, ...]) -> int:
         """Send a request with a delayed body and change the keys before it; return the status."""
         port = self.rig.ports("gateway-0")[0]
         address = self.rig.settings["gateway-0"].address
@@ -446,7 +446,7 @@
             answer = self.rig.read_results("gateway-1", "job-b", headers=key_header(key))
             self.assertEqual(count, json.loads(answer.data)["total"])
 
-    def test_items_are_told_their_tenant_and_carry_no_key(self) -> None:
+    def test_items_carry_their_tenant_but_no_key(self) -> None:
         document = json.loads(job_body("job-c", 2))
         for item in document["items"]:
             item["headers"] |= {"Authorization": f"Bearer {KEY}", "tenant": "root"}
@@ -460,10 +460,10 @@
                 self.assertNotIn("authorization", run.headers)
 
 
-class MovedJobTest(KeyCase):
+class HandedOverJobTest(KeyCase):
     """A batch job whose key is revoked and whose coordinator stops."""
 
-    def test_it_goes_on_as_its_tenants(self) -> None:
+    def test_job_continues_for_its_tenant(self) -> None:
         for replica in self.rig.of_service("engine"):
             replica.behaviour = ReplicaBehaviour(events=20, event_s=0.1)
         self.rig.submit("gateway-0", "job-d", 6, headers=key_header(KEY))
