--- a/src/quaymill/process/front/access.py
+++ b/src/quaymill/process/front/access.py
@@ -2,15 +2,15 @@
 
 Which configuration version is used at which point:
 
-======================  ===========================================================
-head of a request read  the version in force then: 401, or the tenant is identified
-request is queued       the key is checked again before the first attempt: a request with
-                        a key revoked meanwhile is refused; one with a key reassigned to
-                        another tenant gets a 503, so that its caller sends it again
-after the first attempt none: the request continues, on another replica if necessary
-call about a job        the version in force then; a job stays with its tenant even if
-                        the key with which it was submitted is revoked or reassigned
-======================  ===========================================================
+=======================  =====================================================================
+head of a request read   the version in force then: 401, or the tenant is identified
+before the first run     the version in force then: if the key has been revoked, the request is
+                         refused with 401; if it belongs to another tenant now, with 503, so that
+                         the caller sends it again
+after the first run      none: the request continues, on another replica if necessary
+call about a job         the version in force then; a job stays with its tenant even if the key
+                         with which it was submitted is revoked or reassigned
+=======================  =====================================================================
 """
 
 from __future__ import annotations
--- a/src/quaymill/process/log_events.py
+++ b/src/quaymill/process/log_events.py
@@ -65,11 +65,11 @@
             "held_s: time in the queue",
             "late: whether its latency target had passed when it left the queue",
             "waiting: other requests in the queue at that time",
-            "service_s: recent time that the service took for a request",
+            "service_s: usual duration of a request to the service",
             "decided_by: line (granted by the slot allocator), own (by this gateway's view), last"
             " call (dispatch deadline) or nobody (the caller disconnected)",
             "rank: 0 is dispatched first",
-            "age_s: estimated time of its earlier attempts, from the caller's remaining time",
+            "age_s: estimated time since the caller's first attempt, from its remaining time",
         ),
     ),
     "line:turn_error": LogEvent(
@@ -223,7 +223,7 @@
         "a peer sent a line longer than the limit; its connection is closed", ("received_bytes",)
     ),
     "peer:kept_connection_failed": LogEvent(
-        "a kept connection to a peer failed; all idle connections to it are closed",
+        "a kept connection to a peer did not respond; all idle connections to it are closed",
         ("peer: its address", "kind: of the message", REASON),
     ),
     "registry:looked": LogEvent("peers were looked up in the store", ("found: entries",)),
@@ -338,7 +338,7 @@
             JOB,
             "route: name of the route",
             "tokens, quota: of the job, and of the route",
-            "held, allowances, revision: of this gateway's copy of the ledger, in tokens",
+            "held, allowances, revision: tokens and revision of this gateway's copy of the ledger",
             "outcome: Admitted, OverQuota (429), QuotaUnknown (503)",
             "by: allowance, ledger, accepted-before",
             REASON,
@@ -381,7 +381,11 @@
     ),
     "request:crashes_told": LogEvent(
         "crashes seen by this gateway were reported to others",
-        ("records: number of contents", "gateways: recipients", "answered: how many of them did"),
+        (
+            "records: number of contents",
+            "gateways: number of recipients",
+            "answered: how many of them answered",
+        ),
     ),
     "request:crashes_learned": LogEvent(
         "crashes unknown to this gateway were received from others or read from the store",
