--- a/src/quaymill/process/front/http_server.py
+++ b/src/quaymill/process/front/http_server.py
@@ -30,7 +30,7 @@
 STOP_TIMEOUT_S = 0.5
 MIN_THREADS = 4
 IDLE_WORKERS_INTERVAL_S = 10.0
-MAX_KEPT_CONNECTIONS = 2000
+MAX_KEEP_ALIVE_CONNECTIONS = 2000
 IDLE_CHECK_MARGIN_S = 10.0
 """Added to the idle timeout, as cheroot measures it with the wall clock, which may jump."""
 READ_BLOCK_BYTES = 256 * 1024
@@ -339,7 +339,7 @@
         self.requests = _ElasticThreadPool(self, min=min(idle_threads, threads), max=threads)
         self.request_queue_size = LISTEN_BACKLOG
         self.shutdown_timeout = STOP_TIMEOUT_S
-        self.keep_alive_conn_limit = MAX_KEPT_CONNECTIONS
+        self.keep_alive_conn_limit = MAX_KEEP_ALIVE_CONNECTIONS
         self.max_request_header_size = 64 * 1024
         self.idle_timeout_s = 15.0
         self.header_timeout_s = DEFAULT_HEADER_TIMEOUT_S
