--- a/src/quaymill/process/front/http_server.py
+++ b/src/quaymill/process/front/http_server.py
@@ -246,7 +246,7 @@
         return self._buffered is not None and self._buffered.pending
 
     def send_held(self, timeout_s: float, beside: int = -1) -> bool:
-        """Send buffered data; return early once the descriptor ``beside`` has data to read."""
+        """Send buffered data; return early once the descriptor ``readable`` has data to read."""
         return self._buffered.send_held(timeout_s, beside)
 
     def finish(self) -> None:
@@ -314,7 +314,7 @@
         Begins to watch a connection and returns its caller's presence; ``unwatch`` ends that.
     listener
         A socket that listens already; without it the server opens its own.
-    held_answers
+    buffered_answers
         Buffers answers for callers that read slowly; without it writing waits for them.
     """
 
