--- a/src/quaymill/process/front/head_watch.py
+++ b/src/quaymill/process/front/head_watch.py
@@ -47,7 +47,7 @@
     head_began
         Whether a part of the head has arrived.
     close_at
-        Monotonic time at which it is closed.
+        Time by ``boot_clock`` at which the connection is closed.
     """
 
     connection: Connection
