--- a/src/quaymill/platform/caller_calls.py
+++ b/src/quaymill/platform/caller_calls.py
@@ -63,16 +63,16 @@
     request_id = request.header(names.REQUEST_ID) or ""
     if len(request_id) > MAX_REQUEST_ID_LENGTH:
         return Malformed("the request's id is too long", "send a shorter id")
-    patience_s = None
+    remaining_s = None
     text = request.header(names.DEADLINE_MS)
     if text is not None:
         try:
-            patience_s = float(text) / MS_PER_S
+            remaining_s = float(text) / MS_PER_S
         except ValueError:
             return Malformed(f"{names.DEADLINE_MS} is {text!r}", "send milliseconds")
     return CallerRequest(
         id=request_id,
-        patience_s=patience_s,
+        remaining_s=remaining_s,
         prompt=read_prompt(
             request.header(names.MODEL),
             request.header(names.TOKEN_COUNT),
--- a/src/quaymill/process/front/front_service.py
+++ b/src/quaymill/process/front/front_service.py
@@ -56,13 +56,13 @@
 BYTES: Headers = (("Content-Type", "application/octet-stream"),)
 RETRY_AFTER = "Retry-After"
 STARTING_RETRY_AFTER_S = 0.5
-STARTING_PATIENCE_S = 1.0
-"""How long a request waits for the first configuration: a read of the store takes a tenth of it."""
-STARTING_CHECK_S = 0.02
-"""Time between two looks for it."""
-DEFAULT_PATIENCE_S = 60.0
+STARTING_TIMEOUT_S = 1.0
+"""How long a request waits for the first configuration."""
+STARTING_CHECK_INTERVAL_S = 0.02
+"""Time between two checks whether there is a configuration."""
+DEFAULT_TIMEOUT_S = 60.0
 MAX_UNREAD_BODY_BYTES = 64 * 1024
-"""A shorter body of a refused request is read, so that its connection can be used on."""
+"""A body of a refused request up to this size is read, so that its connection can be reused."""
 
 
 class FrontService:
@@ -71,11 +71,11 @@
     Parameters
     ----------
     routes
-        Returns the routes in force; version 0 while none is known.
+        Returns the routes in force; their version is 0 until a configuration is known.
     limiter
-        Keeps tenants within their limits.
+        Enforces the limits of tenants.
     admission_limit
-        Requests in service at once; below the server's threads.
+        Most requests in service at once; lower than the server's number of threads.
     """
 
     def __init__(
@@ -116,11 +116,13 @@
                 writer.close_after()
             if full:
                 self._refuse(
-                    request, writer, Refusal(503, "this node is full", SHORT_RETRY_AFTER_S)
+                    request,
+                    writer,
+                    Refusal(503, "this gateway is at capacity", SHORT_RETRY_AFTER_S),
                 )
             else:
                 self._answer(request, writer)
-            # A caller that is slow to read is in service until it has its answer.
+            # A request stays in service until its caller has read the whole answer.
             writer.finish()
         finally:
             with self._lock:
@@ -129,7 +131,7 @@
     def _answer(self, request: FrontRequest, writer: AnswerWriter) -> None:
         routes = self._wait_for_routes()
         if not routes.version:
-            refusal = Refusal(503, "no configuration is known yet", STARTING_RETRY_AFTER_S)
+            refusal = Refusal(503, "this gateway has no configuration yet", STARTING_RETRY_AFTER_S)
             self._refuse(request, writer, refusal)
             return
         call = self._protocol.find_job_call(request)
@@ -138,7 +140,7 @@
             return
         route = routes.find(request.host, request.path)
         if call is None and route is None:
-            self._refuse(request, writer, Refusal(404, "no route leads to this path"))
+            self._refuse(request, writer, Refusal(404, "no route matches this host and path"))
             return
         is_public = route.public if route else routes.has_public_jobs(request.host)
         key = self._protocol.read_key(request)
@@ -152,26 +154,26 @@
         else:
             self._forward_within_limits(request, route, caller, writer)
 
-    def _take_body(self, request: FrontRequest, writer: AnswerWriter) -> bytes | None:
-        """Return the whole body; ``None`` if the request was refused for it."""
+    def _read_body_or_refuse(self, request: FrontRequest, writer: AnswerWriter) -> bytes | None:
+        """Return the whole body; ``None`` if the request was refused because of its body."""
         try:
             return request.read_body(self._routes().limits.max_body_bytes)
         except BodyTooLargeError:
             refusal = Refusal(413, "the body is longer than the limit")
         except BrokenBodyError as error:
-            refusal = Refusal(400, f"the body is not whole: {error}")
+            refusal = Refusal(400, f"the body is incomplete or malformed: {error}")
         writer.close_after()
         self._refuse(request, writer, refusal)
         return None
 
     def _wait_for_routes(self) -> RequestRoutes:
-        """Return the routes in force; a gateway that has just started knows them in a moment.
+        """Return the routes in force; wait a short time for them after a start.
 
-        To wait is better than to refuse: a caller who is told to come back may do so once only.
+        Waiting is better than refusing, as a caller may retry only once.
         """
-        until = boot_clock.now() + STARTING_PATIENCE_S
+        until = boot_clock.now() + STARTING_TIMEOUT_S
         while not (routes := self._routes()).version and boot_clock.now() < until:
-            time.sleep(STARTING_CHECK_S)
+            time.sleep(STARTING_CHECK_INTERVAL_S)
         return routes
 
     # Opaque requests.
@@ -179,7 +181,7 @@
     def _forward_within_limits(
         self, request: FrontRequest, route: RequestRoute, caller: Caller, writer: AnswerWriter
     ) -> None:
-        """Refuse at once what is beyond the tenant's limits; forward the rest."""
+        """Refuse a request over its tenant's limits immediately; forward any other."""
         tenant = caller.tenant
         if tenant is None or not tenant.limits.any_set:
             self._forward(request, route, caller, writer)
@@ -198,29 +200,29 @@
         self, request: FrontRequest, route: RequestRoute, caller: Caller, writer: AnswerWriter
     ) -> None:
         began = boot_clock.now()
-        read = self._protocol.read_request(request)
-        if isinstance(read, Malformed):
-            self._refuse(request, writer, malformed_refusal(read))
+        parsed = self._protocol.read_request(request)
+        if isinstance(parsed, Malformed):
+            self._refuse(request, writer, malformed_refusal(parsed))
             return
-        body = self._take_body(request, writer)
+        body = self._read_body_or_refuse(request, writer)
         if body is None:
             return
-        patience_s = read.patience_s if read.patience_s is not None else DEFAULT_PATIENCE_S
+        remaining_s = parsed.remaining_s if parsed.remaining_s is not None else DEFAULT_TIMEOUT_S
         if route.timeout_s:
-            patience_s = min(patience_s, route.timeout_s)
+            remaining_s = min(remaining_s, route.timeout_s)
         forwarded = ForwardedRequest(
-            id=read.id,
+            id=parsed.id,
             method=request.method,
             target=request.target,
             headers=request.headers,
             body=body,
-            deadline=Deadline.after(patience_s),
-            prompt=read.prompt,
-            last_event_id=read.last_event_id,
-            tenant=caller.told_name,
+            deadline=Deadline.after(remaining_s),
+            prompt=parsed.prompt,
+            last_event_id=parsed.last_event_id,
+            tenant=caller.tenant_name,
             priority=caller.rank(route.priority),
         )
-        writer.name_request(read.id)
+        writer.name_request(parsed.id)
         self._count_body(len(body))
         try:
             result = self._forwarder.forward(
@@ -229,7 +231,7 @@
         finally:
             self._count_body(-len(body))
         if isinstance(result, GivenUp | KeyChanged) and not writer.started:
-            self._refuse(request, writer, forwarding_refusal(result), read.id, caller)
+            self._refuse(request, writer, forwarding_refusal(result), parsed.id, caller)
         elif isinstance(result, GivenUp | CallerLeft):
             writer.abort()
         took_s = boot_clock.now() - began
@@ -238,9 +240,9 @@
         self._metrics.answer_s.labels(route.name).observe(took_s)
         log_message(
             "request:ended",
-            request_id=read.id,
+            request_id=parsed.id,
             route=route.name,
-            tenant=caller.told_name or "",
+            tenant=caller.tenant_name or "",
             configuration=self._routes().version,
             outcome=outcome,
             status=writer.status,
@@ -253,11 +255,11 @@
             self.body_bytes += size
 
     def _key_change(self, caller: Caller) -> KeyChanged | None:
-        """Return what has become of a caller's key, unless it holds it still."""
+        """Return how a caller's key has changed; ``None`` if the caller still holds it."""
         state = key_state(caller, self._routes())
-        if state is KeyState.HELD:
+        if state is KeyState.UNCHANGED:
             return None
-        return KeyChanged(revoked=state is KeyState.TAKEN_AWAY)
+        return KeyChanged(revoked=state is KeyState.REVOKED)
 
     # Batch jobs.
 
@@ -265,22 +267,22 @@
         self, request: FrontRequest, route: RequestRoute, caller: Caller, writer: AnswerWriter
     ) -> None:
         began = boot_clock.now()
-        body = self._take_body(request, writer)
+        body = self._read_body_or_refuse(request, writer)
         if body is None:
             return
-        read = self._protocol.read_request(request)
+        parsed = self._protocol.read_request(request)
         document = self._protocol.read_job(body)
-        if isinstance(read, Malformed):
-            self._refuse(request, writer, malformed_refusal(read))
+        if isinstance(parsed, Malformed):
+            self._refuse(request, writer, malformed_refusal(parsed))
             return
         if isinstance(document, Malformed):
             self._refuse(request, writer, malformed_refusal(document))
             return
-        if not read.id:
+        if not parsed.id:
             self._refuse(request, writer, Refusal(400, "the job has no id"))
             return
-        name = caller.job_name(read.id)
-        job = Job(name, request.host, request.path, document, tenant=caller.told_name)
+        name = caller.job_name(parsed.id)
+        job = Job(name, request.host, request.path, document, tenant=caller.tenant_name)
         result = self._jobs.submit(job, route)
         outcome = type(result).__name__
         self._metrics.requests.labels(route.name, outcome).inc()
@@ -288,7 +290,7 @@
         if isinstance(result, Accepted):
             writer.answer(202, (), b"")
         elif isinstance(result, OverQuota):
-            self._refuse(request, writer, over_quota_refusal(result), read.id, caller)
+            self._refuse(request, writer, over_quota_refusal(result), parsed.id, caller)
         elif result.may_run:
             self._refuse(request, writer, Refusal(504, result.reason))
         else:
@@ -298,12 +300,12 @@
         self, call: JobCall, caller: Caller, request: FrontRequest, writer: AnswerWriter
     ) -> None:
         call = attrs.evolve(call, job_id=caller.job_name(call.job_id))
-        answer_of = {
+        handlers = {
             JobOperation.READ_RESULTS: self._read_results,
             JobOperation.READ_BODY: self._read_body,
             JobOperation.END: self._end_job,
         }
-        refusal = answer_of[call.operation](call, writer)
+        refusal = handlers[call.operation](call, writer)
         self._metrics.requests.labels(call.operation.name, str(writer.status or "refused")).inc()
         if refusal is not None:
             self._refuse(request, writer, refusal)
@@ -336,10 +338,10 @@
     def _refuse_early(
         self, request: FrontRequest, writer: AnswerWriter, refusal: Refusal, tenant: str = ""
     ) -> None:
-        """Refuse a request whose body was not asked for; a short one is read and dropped."""
-        read = self._protocol.read_request(request)
-        request_id = "" if isinstance(read, Malformed) else read.id
-        request.drop_body(MAX_UNREAD_BODY_BYTES)
+        """Refuse a request before its body is read; a short body is read and dropped."""
+        parsed = self._protocol.read_request(request)
+        request_id = "" if isinstance(parsed, Malformed) else parsed.id
+        request.discard_body(MAX_UNREAD_BODY_BYTES)
         self._write_refusal(request, writer, refusal, request_id, tenant)
 
     def _refuse(
@@ -350,7 +352,7 @@
         request_id: str = "",
         caller: Caller | None = None,
     ) -> None:
-        tenant = (caller.told_name if caller else None) or ""
+        tenant = (caller.tenant_name if caller else None) or ""
         self._write_refusal(request, writer, refusal, request_id, tenant)
 
     def _write_refusal(
--- a/src/quaymill/process/logs.py
+++ b/src/quaymill/process/logs.py
@@ -1,9 +1,9 @@
-"""Structured logs: one JSON object a line, by eliot, to a file or a stream.
+"""Structured logs: one JSON object per line, written by eliot to a file or a stream.
 
-A thread of its own encodes and writes, so that no request waits for the log's disk or for who
-reads the stream. What was logged within the last ``WRITE_INTERVAL_S`` is lost when the process
-is killed. The queue is bounded, and so are the lines a second where a budget is given; lines of
-what was served give way first. What was left out is counted in a line of its own.
+A separate thread encodes and writes the lines, so that no request waits for a disk or for the
+reader of the stream. Messages of the last ``WRITE_INTERVAL_S`` are lost if the process is killed.
+The queue is bounded, and so is the rate of lines if a budget is given; ordinary lines are dropped
+first. A line of its own reports the number of dropped lines.
 """
 
 from __future__ import annotations
@@ -21,101 +21,101 @@
 from quaymill.process.log_events import is_ordinary
 
 WRITE_INTERVAL_S = 0.1
-MAX_WAITING_MESSAGES = 5_000
+MAX_QUEUED_MESSAGES = 5_000
 STOP_TIMEOUT_S = 0.5
 LINES_PER_S = 400.0
 BURST_LINES = 2000.0
 ORDINARY_SHARE = 0.5
-"""Part of the budget that ordinary lines may use up; the rest is kept for the others."""
+"""Share of the budget that ordinary lines may use; the rest is reserved for other lines."""
 DROPPED_TYPE = "log:dropped"
 
 
 class LineBudget:
-    """Bounds the lines a second; a burst is let through."""
+    """A token bucket that limits the lines per second and allows a burst."""
 
     def __init__(self, lines_per_s: float = LINES_PER_S, burst: float = BURST_LINES) -> None:
         self._lines_per_s = lines_per_s
         self._burst = burst
-        self._left = burst
-        self._filled_at = boot_clock.now()
+        self._available = burst
+        self._refilled_at = boot_clock.now()
         self._lock = threading.Lock()
 
-    def take(self, ordinary: bool) -> bool:
-        """Take one line from the budget; return whether there was one."""
+    def consume(self, ordinary: bool) -> bool:
+        """Consume one line of the budget; return whether one was available."""
         with self._lock:
             now = boot_clock.now()
-            added = (now - self._filled_at) * self._lines_per_s
-            self._filled_at = now
-            self._left = min(self._burst, self._left + added)
-            kept_back = self._burst * (1 - ORDINARY_SHARE) if ordinary else 0.0
-            if self._left < kept_back + 1.0:
+            added = (now - self._refilled_at) * self._lines_per_s
+            self._refilled_at = now
+            self._available = min(self._burst, self._available + added)
+            reserved = self._burst * (1 - ORDINARY_SHARE) if ordinary else 0.0
+            if self._available < reserved + 1.0:
                 return False
-            self._left -= 1.0
+            self._available -= 1.0
             return True
 
 
 class LogWriter:
-    """An eliot destination that writes in the background.
+    """An eliot destination that writes on a background thread.
 
     Parameters
     ----------
     stream
-        Where the lines go; left open by ``stop``.
+        Stream for the lines; ``stop`` does not close it.
     budget
-        Bounds the lines a second; ``None`` for no bound.
+        Limits the lines per second; ``None`` for no limit.
 
     Attributes
     ----------
     dropped_ordinary, dropped_other
-        Lines left out since the start.
+        Lines dropped since the start.
     """
 
     def __init__(self, stream: BinaryIO, budget: LineBudget | None = None) -> None:
         self._stream = stream
         self._budget = budget
-        self._waiting: deque[dict[str, Any]] = deque()
+        self._queue: deque[dict[str, Any]] = deque()
         self._encoder = msgspec.json.Encoder(enc_hook=repr)
         self._stopping = threading.Event()
         self.dropped_ordinary = 0
         self.dropped_other = 0
-        self._told = 0
+        self._reported_dropped = 0
         self._thread = threading.Thread(target=self._run, name="log-writer", daemon=True)
         self._thread.start()
 
     @property
     def dropped(self) -> int:
-        """Lines left out since the start."""
+        """Number of lines dropped since the start."""
         return self.dropped_ordinary + self.dropped_other
 
     def __call__(self, message: dict[str, Any]) -> None:
-        """Take one message of eliot."""
+        """Queue or drop one message of eliot."""
         ordinary = is_ordinary(message)
-        full = len(self._waiting) >= MAX_WAITING_MESSAGES
-        if full or (self._budget is not None and not self._budget.take(ordinary)):
+        full = len(self._queue) >= MAX_QUEUED_MESSAGES
+        if full or (self._budget is not None and not self._budget.consume(ordinary)):
             if ordinary:
                 self.dropped_ordinary += 1
             else:
                 self.dropped_other += 1
             return
-        self._waiting.append(message)
+        self._queue.append(message)
 
     def stop(self) -> None:
-        """Write what waits, then end the thread."""
+        """Write the queued messages, then end the thread."""
         self._stopping.set()
         self._thread.join(STOP_TIMEOUT_S)
 
     def _run(self) -> None:
         while not self._stopping.wait(WRITE_INTERVAL_S):
-            self._write_waiting()
-        self._write_waiting()
+            self._write_queued()
+        self._write_queued()
 
-    def _write_waiting(self) -> None:
+    def _write_queued(self) -> None:
         lines = []
-        while self._waiting:
-            lines.append(self._encode(self._waiting.popleft()))
+        while self._queue:
+            lines.append(self._encode(self._queue.popleft()))
         dropped = self.dropped
-        if dropped != self._told:
-            self._told = dropped
+        if dropped != self._reported_dropped:
+            self._reported_dropped = dropped
             lines.append(self._encode(self._dropped_message()))
         if lines:
             self._stream.write(b"".join(lines))
@@ -131,7 +131,7 @@
 
     def _encode(self, message: dict[str, Any]) -> bytes:
         if message.get("task_level") == [1] and "action_status" not in message:
-            # A message outside of any action: its task tells nothing.
+            # A message outside any action: the task's fields contain no information.
             message = {
                 name: value
                 for name, value in message.items()
@@ -144,18 +144,18 @@
 
 
 class Logs:
-    """The logs of this process from ``start_logs`` on."""
+    """The running logs of this process; returned by ``start_logs``."""
 
     def __init__(self, writer: LogWriter) -> None:
         self._writer = writer
 
     @property
     def dropped(self) -> int:
-        """Lines left out since the start."""
+        """Number of lines dropped since the start."""
         return self._writer.dropped
 
     def stop(self) -> None:
-        """Write what waits; later messages go nowhere."""
+        """Write the queued messages; later messages are discarded."""
         remove_destination(self._writer)
         self._writer.stop()
 
@@ -171,11 +171,11 @@
     Parameters
     ----------
     node_name
-        Written into each message, so that logs of many nodes can be read together.
+        Added to each message, so that logs of several nodes can be merged.
     log_file
-        Where the lines go; to ``stream`` if empty, and to standard error without that.
+        Path of the log file; if empty, lines go to ``stream``, or to standard error without one.
     budget
-        Bounds the lines a second; ``None`` for no bound.
+        Limits the lines per second; ``None`` for no limit.
     """
     add_global_fields(node=node_name)
     if log_file:
--- a/src/quaymill/process/node_registry.py
+++ b/src/quaymill/process/node_registry.py
@@ -1,7 +1,7 @@
-"""The nodes' own entries in the platform's store: how nodes find each other without seeds.
+"""Entries of nodes in the platform's store, through which nodes find each other without seeds.
 
-A few nodes, those that rank first, write an entry; a node that knows too few others reads
-them and joins through any that answers.
+The few nodes that rank first write an entry each; a node that knows too few others reads the
+entries and joins through any node that answers.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from quaymill.process.membership.ranking import rank_nodes
 
 REGISTERED_NODES = 5
-FIRST_LOOK_S = 1.5
+FIRST_RUN_DELAY_S = 1.5
 INTERVAL_S = 2.0
 
 
@@ -35,7 +35,7 @@
 
 
 class NodeRegistry:
-    """Writes this node's entry, and finds peers when the seeds did not help.
+    """Writes this node's entry, and finds peers when the seeds do not lead to them.
 
     Parameters
     ----------
@@ -53,19 +53,19 @@
         self._stopping = threading.Event()
 
     def start(self) -> None:
-        """Begin to look for peers while some are lacking, and to register."""
+        """Start the thread that looks for missing peers and registers this node."""
         threading.Thread(target=self._run, name="node-registry", daemon=True).start()
 
     def stop(self) -> None:
-        """Look no more."""
+        """Stop looking for peers and registering."""
         self._stopping.set()
 
     def _run(self) -> None:
-        self._stopping.wait(FIRST_LOOK_S)
+        self._stopping.wait(FIRST_RUN_DELAY_S)
         while not self._stopping.is_set():
             isolated = self._lacks_peers()
             if isolated:
-                self._look()
+                self._find_peers()
             if not self._registered and (isolated or self._ranks_first()):
                 self._registered = self._register()
             self._stopping.wait(INTERVAL_S)
@@ -79,13 +79,13 @@
         spec = msgspec.to_builtins(_Entry(local.peer, local.zone, local.has_disk))
         written = self._store.create(ObjectKind.NODES, local.name, spec)
         if isinstance(written, RevisionConflict) and written.object is not None:
-            held = written.object
-            if held.spec == spec:
+            existing = written.object
+            if existing.spec == spec:
                 return True
-            written = self._store.replace(ObjectKind.NODES, local.name, spec, held.revision)
+            written = self._store.replace(ObjectKind.NODES, local.name, spec, existing.revision)
         return isinstance(written, StoredObject)
 
-    def _look(self) -> None:
+    def _find_peers(self) -> None:
         listing = self._store.list(ObjectKind.NODES)
         if not isinstance(listing, Listing):
             return
--- a/src/quaymill/process/storage_node.py
+++ b/src/quaymill/process/storage_node.py
@@ -1,4 +1,4 @@
-"""A storage node process: builds its parts, starts them, and stops them in order."""
+"""A storage node process: builds its parts, starts them and stops them in order."""
 
 from __future__ import annotations
 
@@ -22,22 +22,22 @@
 
 SWEEP_INTERVAL_S = 5.0
 RETENTION_MARGIN_S = 30.0
-WATCH_S = 5.0
-"""Longest time a watch waits, so that one that died silently is found."""
+WATCH_TIMEOUT_S = 5.0
+"""Longest wait of a watch, so that a watch whose connection has failed is detected."""
 JOBS_FOLDER = "jobs"
 BYTES_PER_MB = 1024 * 1024
 
 
 @attrs.frozen
 class StorageProtocol:
-    """What an adapter brings for a storage node: statuses of a request to empty it."""
+    """What an adapter provides for a storage node: statuses of a retirement request."""
 
     retirement_active: object
     retirement_succeeded: object
 
 
 class StorageNode:
-    """All parts of one storage node."""
+    """A storage node with all its parts."""
 
     def __init__(
         self, settings: ServingSettings, store: ObjectStore, protocol: StorageProtocol
@@ -83,21 +83,21 @@
             protocol.retirement_active,
             protocol.retirement_succeeded,
         )
-        self._requests = Follower(
+        self._request_follower = Follower(
             store,
             ObjectKind.RETIREMENTS,
-            WATCH_S,
-            self._take_requests,
-            self._take_request_changes,
+            WATCH_TIMEOUT_S,
+            self._handle_requests,
+            self._handle_request_changes,
         )
         self._registry = NodeRegistry(store, network.membership, self._lacks_peers)
 
     def start(self) -> None:
-        """Start the parts; each finds those it uses already running."""
+        """Start the parts, each after those that it uses."""
         self.network.start()
         self._repair.start()
         self._orphans.start()
-        self._requests.start()
+        self._request_follower.start()
         self._registry.start()
         threading.Thread(target=self._sweep, name="retention", daemon=True).start()
         log_message(
@@ -109,10 +109,10 @@
         )
 
     def stop(self) -> None:
-        """Stop; what is on the disk stays there."""
+        """Stop; data on the disk is kept."""
         self._stopping.set()
         self.network.membership.announce_draining()
-        self._requests.stop()
+        self._request_follower.stop()
         self._registry.stop()
         self._retirement.stop()
         self._orphans.stop()
@@ -125,11 +125,11 @@
         while not self._stopping.wait(SWEEP_INTERVAL_S):
             self._retention.sweep()
 
-    def _take_requests(self, listing: Listing) -> None:
+    def _handle_requests(self, listing: Listing) -> None:
         if any(stored.name == self._settings.name for stored in listing.objects):
             self._retirement.begin()
 
-    def _take_request_changes(self, changes: Changes) -> None:
+    def _handle_request_changes(self, changes: Changes) -> None:
         for change in changes.changes:
             if change.object.name == self._settings.name and not change.deleted:
                 self._retirement.begin()
--- a/tests/test_fleet_metrics.py
+++ b/tests/test_fleet_metrics.py
@@ -1,4 +1,4 @@
-"""The metrics page of a gateway: what it shows, and that a slow scraper does no harm."""
+"""The metrics of a gateway, and slow scrapers that must not block others."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from fleet_rig import FleetRig
 from quaymill.connection.endpoint import Endpoint
 from quaymill.process.front.metrics import FrontMetrics
-from quaymill.process.front.plain_pages import THREADS, MetricsServer
+from quaymill.process.front.monitoring_servers import THREADS, MetricsServer
 from quaymill_bench.ports import free_port
 
 
 class MetricsPageTest(unittest.TestCase):
-    """A page of its own, without a gateway."""
+    """The metrics server without a gateway."""
 
     def setUp(self) -> None:
         registry = CollectorRegistry()
@@ -44,7 +44,7 @@
         self.assertEqual(1.0, shown[key])
         self.assertEqual(1.0, shown["quaymill_front_answer_seconds_count[('route', 'route')]"])
 
-    def test_scrapers_that_read_nothing_hold_nobody_up(self) -> None:
+    def test_incomplete_scrapes_do_not_block_others(self) -> None:
         for _ in range(THREADS - 1):
             slow = socket.create_connection(("127.0.0.1", self.port))
             self.addCleanup(slow.close)
@@ -53,7 +53,7 @@
 
 
 class GatewayMetricsTest(unittest.TestCase):
-    """What a running gateway shows of itself."""
+    """Gauges of a running gateway."""
 
     def test_gauges_follow_the_gateway(self) -> None:
         rig = FleetRig(gateways=1, storage=2, engines=1).start()
--- a/tests/test_fleet_path.py
+++ b/tests/test_fleet_path.py
@@ -1,4 +1,4 @@
-"""The whole path on the users' platform: requests, streams, jobs, configuration, stops."""
+"""End-to-end tests of requests, streams and batch jobs on a small fleet."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class RequestTest(FleetCase):
-    """Opaque requests."""
+    """Opaque requests and their responses pass unchanged and within their time limits."""
 
     def test_request_reaches_a_replica_unchanged(self) -> None:
         answer = self.rig.ask(
@@ -41,7 +41,7 @@
         self.assertNotIn("x-hop", run.headers)
         self.assertLessEqual(int(run.headers["deadline-ms"]), 8000)
 
-    def test_events_pass_on_in_order(self) -> None:
+    def test_events_are_relayed_in_order(self) -> None:
         answer = self.rig.ask("gateway-1", "/stream/x", "r-2", tokens=True)
         self.assertEqual(b"".join(event_bytes("r-2", n) for n in (1, 2, 3)), answer.data)
 
@@ -50,7 +50,7 @@
             with self.subTest(path):
                 self.assertEqual(status, self.rig.ask("gateway-0", path, "r-3").status)
 
-    def test_whole_time_is_bounded_by_the_route(self) -> None:
+    def test_route_timeout_limits_the_total_time(self) -> None:
         short = route("short", "/short/", "idempotent", service="application", timeout_ms=300)
         self.rig.store.put("config", "main", configuration(50, (*ROUTES, short)))
         wait_until(
@@ -62,14 +62,14 @@
         wait_until(lambda: all(run.cancelled for run in self.runs("r-5")), "the run is cancelled")
 
 
-class HeldAnswersTest(RequestTest):
-    """The same where answers are held for callers that read slowly."""
+class BufferedAnswersTest(RequestTest):
+    """The same tests with buffered answers for callers that read slowly."""
 
     features = GatewayFeatures(callers_may_read_slowly=True)
 
 
 class MalformedTest(FleetCase):
-    """What callers send wrongly."""
+    """Malformed requests get a 4xx response with a reason."""
 
     def test_bad_input_is_refused_with_a_reason(self) -> None:
         cases = (
@@ -93,9 +93,9 @@
 
 
 class JobTest(FleetCase):
-    """Batch jobs."""
+    """Batch jobs give the same results at every gateway, and each item runs once."""
 
-    def test_results_are_alike_at_every_gateway(self) -> None:
+    def test_results_are_identical_at_every_gateway(self) -> None:
         self.assertEqual(202, self.rig.submit("gateway-0", "job-a", 5).status)
         first = self.rig.wait_results("gateway-0", "job-a", 5)
         self.assertEqual(first, self.rig.wait_results("gateway-1", "job-a", 5))
@@ -108,7 +108,7 @@
         self.assertEqual((5, 5), (page["total"], page["next_token"]))
         self.assertEqual(first[3:], page["results"])
 
-    def test_same_job_sent_again_is_taken_once(self) -> None:
+    def test_same_job_submitted_again_runs_once(self) -> None:
         for gateway in ("gateway-0", "gateway-1", "gateway-0"):
             self.assertEqual(202, self.rig.submit(gateway, "job-b", 2).status)
         self.rig.wait_results("gateway-1", "job-b", 2)
@@ -134,7 +134,7 @@
                 self.assertEqual("dead_letter", result["state"])
                 self.assertEqual(runs, len(self.runs(result["id"])))
 
-    def test_ended_job_starts_nothing_more(self) -> None:
+    def test_ended_job_starts_no_more_items(self) -> None:
         for replica in self.rig.of_service("engine"):
             replica.behaviour = ReplicaBehaviour(event_s=0.3)
         self.rig.submit("gateway-0", "job-d", 30)
@@ -157,7 +157,7 @@
         self.assertEqual(404, self.rig.read_results("gateway-0", "none").status)
         self.assertEqual(404, self.rig.call("gateway-0", "DELETE", "/v1/lots/none").status)
 
-    def test_held_read_returns_with_the_first_result(self) -> None:
+    def test_waiting_read_returns_with_the_first_result(self) -> None:
         for replica in self.rig.of_service("engine"):
             replica.behaviour = ReplicaBehaviour(event_s=0.15)
         self.rig.submit("gateway-0", "job-e", 1)
@@ -165,8 +165,8 @@
         self.assertEqual(1, len(json.loads(answer.data)["results"]))
 
 
-class BatchRoomTest(FleetCase):
-    """Batch work beside online requests."""
+class BatchCapacityTest(FleetCase):
+    """Batch items leave capacity to online requests."""
 
     def test_batch_leaves_a_slot_for_online_requests(self) -> None:
         for replica in self.rig.of_service("engine"):
@@ -190,7 +190,7 @@
         self.assertGreater(most, 0)
         self.assertLessEqual(most, replica.slots - 1)
 
-    def test_items_give_way_to_online_requests_above_the_slots(self) -> None:
+    def test_items_are_preempted_for_online_requests_above_the_slots(self) -> None:
         engines = self.rig.of_service("engine")
         for replica in engines:
             replica.behaviour = ReplicaBehaviour(event_s=0.3, events=60)
@@ -199,7 +199,7 @@
         wait_until(lambda: sum(one.running for one in engines) >= full, "engines full of items")
         for replica in engines:
             replica.behaviour = ReplicaBehaviour(event_s=0.1, events=20)
-        # The stand-in takes more than its slots at once; what is above them is to give way.
+        # The stand-in accepts more requests than it has slots; the excess must be preempted.
         threads = [
             threading.Thread(
                 target=self.rig.ask,
@@ -212,13 +212,13 @@
             thread.start()
         wait_until(
             lambda: any(run.cancelled for one in engines for run in one.runs),
-            "an item gives way",
+            "an item is preempted",
         )
         self.rig.call("gateway-0", "DELETE", "/v1/lots/job-h")
         for thread in threads:
             thread.join()
 
-    def test_items_give_way_when_requests_wait(self) -> None:
+    def test_items_are_preempted_when_requests_wait(self) -> None:
         for replica in self.rig.of_service("engine"):
             replica.behaviour = ReplicaBehaviour(event_s=0.3, events=20)
         self.rig.submit("gateway-0", "job-g", 4)
@@ -231,7 +231,7 @@
             replica.behaviour = ReplicaBehaviour(event_s=0.3, events=20, waiting=6)
         wait_until(
             lambda: any(run.cancelled for r in self.rig.of_service("engine") for run in r.runs),
-            "an item gives way",
+            "an item is preempted",
         )
         for replica in self.rig.of_service("engine"):
             replica.behaviour = ReplicaBehaviour(event_s=0.01, events=20)
--- a/tests/test_stop_signal.py
+++ b/tests/test_stop_signal.py
@@ -1,4 +1,4 @@
-"""A node stops on SIGTERM, whichever of its threads receives it."""
+"""A process stops on SIGTERM, whichever of its threads receives the signal."""
 
 import ctypes
 import platform
@@ -24,7 +24,7 @@
 
 
 class StopSignalTest(unittest.TestCase):
-    """Contract of ``StopSignal``, in a process of its own."""
+    """``StopSignal`` in a separate process."""
 
     def setUp(self):
         self.process = subprocess.Popen(
@@ -36,11 +36,11 @@
         self.other_thread = int(self.process.stdout.readline())
 
     @params(signal.SIGTERM, signal.SIGINT)
-    def test_a_signal_to_the_process_is_noted(self, number):
+    def test_a_signal_to_the_process_stops_it(self, number):
         self.process.send_signal(number)
         self.assertEqual(self.process.wait(STOP_TIMEOUT_S), 0)
 
-    def test_a_signal_that_another_thread_receives_is_noted(self):
+    def test_a_signal_received_by_another_thread_stops_the_process(self):
         tgkill = TGKILL_NUMBERS[platform.machine()]
         result = ctypes.CDLL(None).syscall(
             tgkill, self.process.pid, self.other_thread, int(signal.SIGTERM)
@@ -50,10 +50,10 @@
 
 
 class EarlySignalTest(unittest.TestCase):
-    """A signal that says "the settings have changed" may come while a process is loading."""
+    """A SIGHUP, which requests a reload of the settings, must not end a loading process."""
 
     def test_early_hang_up_does_not_end_the_process(self):
-        # In the place of the role stands one that gets the signal before it has a handler.
+        # A replacement for the role sends the signal before a handler is installed.
         program = (
             "import os, signal, sys, types\n"
             "roles = types.ModuleType('quaymill.platform.roles')\n"
--- a/tests/test_tenant_keys.py
+++ b/tests/test_tenant_keys.py
@@ -1,4 +1,4 @@
-"""Keys of tenants on the users' platform: who is let in, as whom, and what replicas are told."""
+"""Tenant keys: which requests are accepted, for which tenant, and what replicas receive."""
 
 from __future__ import annotations
 
@@ -88,7 +88,7 @@
 
 
 def routes_with(*tenants: RequestTenant, version: int = 1) -> RequestRoutes:
-    """Return routes that these tenants may use."""
+    """Return routes for these tenants."""
     return RequestRoutes(version, tenants={one.name: one for one in tenants})
 
 
@@ -98,7 +98,7 @@
 
 
 class DecodeTest(unittest.TestCase):
-    """The operator's tenants, as the adapter reads them."""
+    """Tenants of a configuration as decoded by the adapter."""
 
     def test_keys_are_kept_as_digests_and_limits_by_name(self) -> None:
         spec = configuration(3, tenants=(tenant("office", KEY, rate_per_s=100, burst=50),))
@@ -114,7 +114,7 @@
         ("none", {}, None),
         ("empty", {"tenants": []}, {}),
     )
-    def test_no_tenants_and_none_yet_are_told_apart(self, _, fields, expected) -> None:
+    def test_missing_and_empty_tenants_are_distinguished(self, _, fields, expected) -> None:
         self.assertEqual(expected, decode_configuration(configuration(1) | fields).tenants)
 
     @params(
@@ -124,57 +124,60 @@
         {"name": "a", "rate_per_s": -1},
         {"name": "a", "rate_per_s": "many"},
     )
-    def test_an_unreadable_tenant_leaves_the_version_unread(self, bad) -> None:
+    def test_an_invalid_tenant_invalidates_the_configuration(self, bad) -> None:
         self.assertTrue(decode_configuration(configuration(1) | {"tenants": [bad]}).reason)
 
 
 class IdentifyTest(unittest.TestCase):
-    """Who holds a key, by which version."""
+    """The holder of a key in a given configuration version."""
 
-    def test_without_tenants_nobody_is_asked_for_a_key(self) -> None:
+    def test_no_key_is_needed_without_tenants(self) -> None:
         caller = identify(NO_ROUTES, b"", key_needed=True)
-        self.assertIsNone(caller.told_name)
+        self.assertIsNone(caller.tenant_name)
         self.assertEqual("job", caller.job_name("job"))
 
-    def test_names_of_jobs_do_not_meet(self) -> None:
+    def test_job_names_of_tenants_are_distinct(self) -> None:
         names = {
-            Caller(holder(tenant_name), True).job_name(job_id)
-            for tenant_name in ("a", "a~b", "a%7Eb", "a/b", "")
+            Caller(holder(name_of_tenant), True).job_name(job_id)
+            for name_of_tenant in ("a", "a~b", "a%7Eb", "a/b", "")
             for job_id in ("x", "b~x", "~x")
         }
         self.assertEqual(15, len(names))
 
     @params(
-        ("unchanged version", (holder("office", KEY),), 1, KeyState.HELD),
-        ("held still", (holder("office", KEY),), 2, KeyState.HELD),
-        ("taken away", (holder("office", SECOND_KEY),), 2, KeyState.TAKEN_AWAY),
-        ("tenant gone", (), 2, KeyState.TAKEN_AWAY),
-        ("passed on", (holder("office"), holder("kiosk", KEY)), 2, KeyState.GIVEN_TO_ANOTHER),
+        ("unchanged version", (holder("office", KEY),), 1, KeyState.UNCHANGED),
+        ("unchanged key", (holder("office", KEY),), 2, KeyState.UNCHANGED),
+        ("revoked", (holder("office", SECOND_KEY),), 2, KeyState.REVOKED),
+        ("tenant removed", (), 2, KeyState.REVOKED),
+        ("reassigned", (holder("office"), holder("kiosk", KEY)), 2, KeyState.REASSIGNED),
     )
-    def test_what_becomes_of_a_key(self, _, tenants, version, expected) -> None:
+    def test_key_state_after_a_change(self, _, tenants, version, expected) -> None:
         caller = identify(routes_with(holder("office", KEY)), KEY.encode(), key_needed=True)
         self.assertIs(expected, key_state(caller, routes_with(*tenants, version=version)))
 
-    def test_a_tenants_rank_goes_before_its_routes(self) -> None:
+    def test_tenant_priority_overrides_route_priority(self) -> None:
         ranked = RequestTenant("a", priority=0)
         self.assertEqual(0, Caller(ranked, True).rank(2))
         self.assertEqual(2, Caller(RequestTenant("a"), True).rank(2))
         self.assertEqual(2, Caller(None, True).rank(2))
 
-    def test_fuzzed_headers_hold_no_key_but_the_one_written(self) -> None:
-        draw = random.Random(FUZZ_SEED)
+    def test_fuzzed_headers_give_only_exact_keys(self) -> None:
+        rng = random.Random(FUZZ_SEED)
         letters = "Bearer \tk-office12=,:;\"'\x00\x7f\xff"
         for _ in range(20_000):
-            text = "".join(draw.choice(letters) for _ in range(draw.randrange(24)))
+            text = "".join(rng.choice(letters) for _ in range(rng.randrange(24)))
             key = bearer_key([text])
             if key:
                 self.assertEqual(["bearer", key], [text.split()[0].lower(), *text.split()[1:]])
 
 
 class KeyCase(FleetCase):
-    """A calm fleet whose requests need keys."""
+    """A running fleet whose requests need keys."""
 
-    world: ClassVar[dict[str, Any]] = {"routes": WITH_PUBLIC, "tenants": (OFFICE, KIOSK)}
+    configuration_fields: ClassVar[dict[str, Any]] = {
+        "routes": WITH_PUBLIC,
+        "tenants": (OFFICE, KIOSK),
+    }
     version = 1
 
     def configure(self, *tenants: dict, routes=WITH_PUBLIC) -> None:
@@ -182,7 +185,7 @@
         self.rig.configure(self.version, routes=routes, tenants=tenants)
 
     def send_raw(self, headers: list[tuple[str, str]], gateway: str = "gateway-0") -> int:
-        """Send a request with headers just as they are; return the answer's status."""
+        """Send a request with raw headers; return the response status, 0 without a response."""
         port = self.rig.ports(gateway)[0]
         lines = ["POST /read/x HTTP/1.1", f"Host: {HOST}", "Content-Length: 0"]
         lines += [f"{name}: {value}" for name, value in headers]
@@ -193,18 +196,18 @@
 
 
 class HeaderTest(KeyCase):
-    """What callers show, and what replicas are shown."""
+    """Headers from callers, and the headers that replicas receive."""
 
-    def test_forms_that_are_no_key(self) -> None:
+    def test_invalid_forms_of_a_key_are_refused(self) -> None:
         for number, form in enumerate(REFUSED_FORMS):
             with self.subTest(form=str(form)[:60]):
                 headers = [("Request-Id", f"bad-{number}")]
                 status = self.send_raw(headers + [("Authorization", value) for value in form])
-                # A head that is no HTTP is refused as such.
+                # A NUL byte makes the request malformed HTTP, which gets a 400.
                 self.assertIn(status, (400, 401) if "\x00" in "".join(form) else (401,))
         self.assertEqual([], self.runs())
 
-    def test_forms_of_a_key(self) -> None:
+    def test_valid_forms_of_a_key_are_accepted(self) -> None:
         for number, form in enumerate(ACCEPTED_FORMS):
             with self.subTest(form):
                 headers = [("Request-Id", f"good-{number}"), ("Authorization", form)]
@@ -213,7 +216,7 @@
                 self.assertEqual("office", run.headers["tenant"])
 
     def test_fuzzed_forms_reach_a_replica_only_as_the_keys_tenant(self) -> None:
-        draw = random.Random(FUZZ_SEED)
+        rng = random.Random(FUZZ_SEED)
         parts = [
             "Bearer",
             "bearer",
@@ -229,7 +232,7 @@
             "\xe9",
         ]
         for number in range(FUZZ_CASES):
-            form = "".join(draw.choice(parts) for _ in range(draw.randrange(1, 5)))
+            form = "".join(rng.choice(parts) for _ in range(rng.randrange(1, 5)))
             request_id = f"fuzz-{number}"
             with self.subTest(form):
                 self.send_raw([("Request-Id", request_id), ("Authorization", form)])
@@ -238,7 +241,7 @@
                     key = KEY if run.headers["tenant"] == "office" else OTHER_KEY
                     self.assertEqual(["bearer", key], [form.split()[0].lower(), *form.split()[1:]])
 
-    def test_a_refusal_tells_what_is_needed(self) -> None:
+    def test_a_refusal_names_the_authentication_scheme(self) -> None:
         answer = self.rig.ask("gateway-0", "/read/x", "r-0")
         self.assertEqual(401, answer.status)
         self.assertEqual("Bearer", answer.headers["WWW-Authenticate"])
@@ -259,7 +262,7 @@
             self.assertIs(kept, connection.sock)
 
     @params("Tenant", "tenant", "TENANT")
-    def test_replicas_are_told_who_it_is_by_us_alone(self, name) -> None:
+    def test_tenant_header_of_a_caller_is_replaced(self, name) -> None:
         request_id = f"r-{name}"
         headers = [
             ("Request-Id", request_id),
@@ -273,12 +276,12 @@
         self.assertNotIn("authorization", run.headers)
 
     @params("Tenant ", "Authorization\t")
-    def test_a_name_with_a_space_is_no_header(self, name) -> None:
+    def test_a_header_name_with_a_space_is_refused(self, name) -> None:
         headers = [("Request-Id", "r-space"), ("Authorization", f"Bearer {KEY}"), (name, "root")]
         self.assertEqual(400, self.send_raw(headers))
         self.assertEqual([], self.runs("r-space"))
 
-    def test_streams_that_go_on_elsewhere_keep_the_key_from_both(self) -> None:
+    def test_no_replica_of_a_resumed_stream_receives_the_key(self) -> None:
         self.rig.of_service("engine")[0].behaviour = ReplicaBehaviour(cut_at_event=2)
 
         def resumed() -> list:
@@ -288,7 +291,7 @@
             runs = self.runs(request_id)
             return runs if len(runs) == 2 else []
 
-        runs = wait_until(resumed, "a stream met the replica that cuts it")
+        runs = wait_until(resumed, "a stream ran on the replica that aborts it")
         for run in runs:
             self.assertEqual("office", run.headers["tenant"])
             self.assertNotIn("authorization", run.headers)
@@ -301,7 +304,7 @@
             self.assertNotIn("tenant", run.headers)
             self.assertNotIn("authorization", run.headers)
 
-    def test_a_known_key_counts_on_a_public_route_too(self) -> None:
+    def test_a_known_key_identifies_its_tenant_on_a_public_route(self) -> None:
         self.rig.ask("gateway-0", "/public/x", "r-known", headers=key_header(KEY))
         self.assertEqual("office", self.runs("r-known")[0].headers["tenant"])
 
@@ -311,33 +314,33 @@
 
 
 class SecrecyTest(KeyCase):
-    """A key stands in no line, no answer and no metric."""
+    """No log line, response or metric contains a key."""
 
-    def test_nothing_that_is_told_holds_a_key(self) -> None:
+    def test_no_output_contains_a_key(self) -> None:
         lines: list[dict] = []
         eliot.add_destinations(lines.append)
         self.addCleanup(eliot.remove_destination, lines.append)
-        shown = []
+        responses = []
         for number, key in enumerate((KEY, OTHER_KEY, "k-unknown")):
             for path, tokens in (("/read/x", False), ("/stream/x", True), ("/no/x", False)):
                 answer = self.rig.ask(
                     "gateway-0", path, f"r-{number}", tokens=tokens, headers=key_header(key)
                 )
-                shown += [answer.data, str(answer.headers).encode()]
+                responses += [answer.data, str(answer.headers).encode()]
             self.rig.submit("gateway-0", f"job-{number}", 1, headers=key_header(key))
         self.configure(tenant("office", SECOND_KEY), KIOSK)
         registry = self.rig.gateways["gateway-0"]._metrics.registry
-        shown.append(generate_latest(registry))
-        told = json.dumps(lines, default=str).encode() + b"".join(shown)
-        self.assertIn(b"request:refused", told)
+        responses.append(generate_latest(registry))
+        output = json.dumps(lines, default=str).encode() + b"".join(responses)
+        self.assertIn(b"request:refused", output)
         for key in (KEY, SECOND_KEY, OTHER_KEY, "k-unknown"):
-            self.assertNotIn(key.encode(), told)
+            self.assertNotIn(key.encode(), output)
 
 
 class ChangeTest(KeyCase):
-    """Keys that change hands."""
+    """Keys that are revoked or reassigned to another tenant."""
 
-    def test_a_key_is_taken_away_from_a_connected_caller(self) -> None:
+    def test_a_revoked_key_is_refused(self) -> None:
         headers = key_header(KEY)
         self.assertEqual(200, self.rig.ask("gateway-0", "/read/x", "r-1", headers=headers).status)
         self.configure(tenant("office", SECOND_KEY), KIOSK)
@@ -347,14 +350,14 @@
             self.assertEqual(200, kept.status)
         self.assertEqual([], self.runs("r-2"))
 
-    def test_a_key_is_passed_on(self) -> None:
+    def test_a_reassigned_key_identifies_its_new_tenant(self) -> None:
         self.configure(OFFICE, KIOSK)
         self.configure(tenant("office", SECOND_KEY), tenant("kiosk", OTHER_KEY, KEY))
         for gateway in self.rig.gateways:
             self.rig.ask(gateway, "/read/x", f"r-{gateway}", headers=key_header(KEY))
             self.assertEqual("kiosk", self.runs(f"r-{gateway}")[0].headers["tenant"])
 
-    def test_a_running_stream_goes_on_without_its_key(self) -> None:
+    def test_a_running_stream_continues_after_its_key_is_revoked(self) -> None:
         self.configure(OFFICE, KIOSK)
         for replica in self.rig.of_service("engine"):
             replica.behaviour = ReplicaBehaviour(events=30, event_s=0.1)
@@ -372,17 +375,17 @@
         asking.join()
         self.assertIn(b"r-run-30", answers[0].data)
 
-    def test_a_request_that_waits_runs_only_while_its_key_is_held(self) -> None:
-        for taken, tenants, status in (
-            ("away", (tenant("office", SECOND_KEY), KIOSK), 401),
-            ("by another", (tenant("office", SECOND_KEY), tenant("kiosk", OTHER_KEY, KEY)), 503),
+    def test_a_request_does_not_start_if_its_key_changed_before(self) -> None:
+        for change, tenants, status in (
+            ("revoked", (tenant("office", SECOND_KEY), KIOSK), 401),
+            ("reassigned", (tenant("office", SECOND_KEY), tenant("kiosk", OTHER_KEY, KEY)), 503),
         ):
-            with self.subTest(taken):
+            with self.subTest(change):
                 self.configure(OFFICE, KIOSK)
-                self.assertEqual(status, self._ask_while_the_key_goes(tenants))
+                self.assertEqual(status, self._send_during_key_change(tenants))
 
-    def _ask_while_the_key_goes(self, tenants: tuple[dict, ...]) -> int:
-        """Send a request whose body comes only after its key has gone."""
+    def _send_during_key_change(self, tenants: tuple[dict, ...]) -> int:
+        """Send a request with a delayed body and change the keys before it; return the status."""
         port = self.rig.ports("gateway-0")[0]
         address = self.rig.settings["gateway-0"].address
         with socket.create_connection((address, port), 5.0) as sent:
@@ -401,7 +404,7 @@
 
 
 class StartTest(unittest.TestCase):
-    """A gateway that knows no configuration cannot tell a key."""
+    """A gateway without a configuration cannot check keys, so it is not ready."""
 
     def test_it_answers_503_and_is_not_ready(self) -> None:
         rig = FleetRig(gateways=1, storage=1, engines=1)
@@ -415,7 +418,7 @@
 
 
 class JobTest(KeyCase):
-    """Batch jobs of tenants."""
+    """Batch jobs are visible to their tenant only."""
 
     def test_only_its_tenant_sees_a_job(self) -> None:
         for gateway in self.rig.gateways.values():
@@ -446,7 +449,7 @@
             answer = self.rig.read_results("gateway-1", "job-b", headers=key_header(key))
             self.assertEqual(count, json.loads(answer.data)["total"])
 
-    def test_items_are_told_their_tenant_and_carry_no_key(self) -> None:
+    def test_items_carry_their_tenant_but_no_key(self) -> None:
         document = json.loads(job_body("job-c", 2))
         for item in document["items"]:
             item["headers"] |= {"Authorization": f"Bearer {KEY}", "tenant": "root"}
@@ -460,10 +463,10 @@
                 self.assertNotIn("authorization", run.headers)
 
 
-class MovedJobTest(KeyCase):
-    """A batch job whose key is taken away and whose coordinator leaves."""
+class HandedOverJobTest(KeyCase):
+    """A batch job whose key is revoked and whose coordinator stops."""
 
-    def test_it_goes_on_as_its_tenants(self) -> None:
+    def test_job_continues_for_its_tenant(self) -> None:
         for replica in self.rig.of_service("engine"):
             replica.behaviour = ReplicaBehaviour(events=20, event_s=0.1)
         self.rig.submit("gateway-0", "job-d", 6, headers=key_header(KEY))
--- a/tests/test_tenant_limits.py
+++ b/tests/test_tenant_limits.py
@@ -21,7 +21,7 @@
 class LimitTest(FleetCase):
     """One tenant exceeds its limit many times at two gateways, another stays below it."""
 
-    world: ClassVar[dict[str, Any]] = {
+    configuration_fields: ClassVar[dict[str, Any]] = {
         "tenants": (
             tenant("flood", "k-flood", rate_per_s=RATE_PER_S, burst=BURST),
             tenant("calm", "k-calm", rate_per_s=RATE_PER_S, burst=BURST),
