--- a/src/quaymill/process/control/entries.py
+++ b/src/quaymill/process/control/entries.py
@@ -1,4 +1,4 @@
-"""Reads the replicas' entries of a list, beside what other writers have left there."""
+"""Reads replica entries from a list that may also hold objects of other writers."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 from quaymill.connection.replica_entry import ReplicaEntry
 
 UNREAD_KEPT_S = 3.6
-"""How long a replica is kept whose entry has become unreadable: as long as one that writes no
-entry, three heartbeats of about 1.2 s."""
+"""Time for which a replica is kept after its entry became unreadable: three heartbeats of about
+1.2 s, as for a replica that stops writing its entry."""
 
 
 class EntryReader:
-    """Remembers when each replica's entry was last readable.
+    """Parses replica entries, and keeps the last valid one while an entry is unreadable.
 
-    A replica that lives writes its entry again within a heartbeat, over whatever another writer
-    has left in its place. Until then its last good word holds.
+    Another writer may overwrite a replica's entry. A live replica writes it again within a
+    heartbeat; until then its last valid entry stays in use.
 
     Parameters
     ----------
     read_replica
-        Returns the entry of an object, or a value with a ``reason`` if it names no replica.
+        Returns the entry of an object, or a value with a ``reason`` if it is no replica entry.
     last_word
-        Returns what a listed replica last said of itself; ``None`` if it is not listed.
+        Returns the last valid entry of a replica; ``None`` if the replica is not listed.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
         self._told_by_name: dict[str, tuple[int, str]] = {}
 
     def read(self, listing: Listing, now: float) -> list[ReplicaEntry]:
-        """Return the replicas of a list, for those whose entry is unreadable the last good word."""
+        """Return the entries of a list, with recent valid ones in place of unreadable ones."""
         unread = [one.name for one in listing.unread]
         entries = []
         for stored in listing.objects:
@@ -55,7 +55,7 @@
         return entries + self._kept(unread, now)
 
     def _kept(self, unread: list[str], now: float) -> list[ReplicaEntry]:
-        """Return the last good words, of those entries that were readable not long ago."""
+        """Return the last valid entries of those names that were readable recently."""
         self._read_at_by_id = {
             name: at for name, at in self._read_at_by_id.items() if now - at <= UNREAD_KEPT_S
         }
@@ -63,7 +63,7 @@
         return [word for word in words if word is not None]
 
     def _tell(self, stored: StoredObject, reason: str) -> None:
-        """Write a line for each revision of an object that names no replica."""
+        """Log each revision of an object that is no replica entry once."""
         if self._told_by_name.get(stored.name) != (stored.revision, reason):
             self._told_by_name[stored.name] = (stored.revision, reason)
             log_message("control:replica_unread", replica=stored.name, reason=reason)
--- a/src/quaymill/process/control/follower.py
+++ b/src/quaymill/process/control/follower.py
@@ -1,8 +1,7 @@
-"""Follows all objects of one kind in the platform's store: a list, then one watch after another.
+"""Follows all objects of one kind in the platform's store by a list and consecutive watches.
 
-States: listing -> watching; watching -> listing when the store has forgotten the history
-since the last change seen. A store that does not answer is asked again after a pause, with
-what is known left in force.
+The objects are listed again when the store no longer has the history since the last change seen.
+Failed calls are repeated after a delay, and the current view is kept until then.
 """
 
 from __future__ import annotations
@@ -28,14 +27,14 @@
 
 
 class Follower:
-    """One thread that keeps a view of one kind current.
+    """One thread that keeps a view of all objects of one kind up to date.
 
     Parameters
     ----------
     wait_s
-        Longest time one watch waits; bounds how long one that died silently goes unnoticed.
+        Longest duration of one watch; a lost connection is noticed after this time at the latest.
     on_listing, on_changes
-        Take what the store tells; they must not block.
+        Called with each list and with each set of changes; they must not block.
     """
 
     def __init__(
@@ -56,12 +55,12 @@
         self._lost = False
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start the thread."""
         name = f"follow-{self._kind.name.lower()}"
         threading.Thread(target=self._run, name=name, daemon=True).start()
 
     def stop(self) -> None:
-        """Follow no more."""
+        """Stop following; the thread ends after its current call."""
         self._stopping.set()
 
     def _run(self) -> None:
@@ -75,7 +74,7 @@
             self._watch_from(listing.revision)
 
     def _watch_from(self, revision: int) -> None:
-        """Watch until the history is gone, or the process stops."""
+        """Watch until the store no longer has the history, or until ``stop``."""
         while not self._stopping.is_set():
             changes = self._store.watch(self._kind, revision, self._wait_s)
             if isinstance(changes, HistoryGone):
--- a/src/quaymill/process/control/state.py
+++ b/src/quaymill/process/control/state.py
@@ -1,8 +1,8 @@
-"""The configuration in force and the replicas, from the platform's store or from peers.
+"""The configuration in force and the list of replicas, from the platform's store or from peers.
 
-A configuration is taken whole and only if its version is higher than the one in force, so
-nothing goes back within a process's life, whatever the source. What this gateway holds is
-told with the membership's datagrams; one that is behind pulls from one that is ahead.
+A configuration is applied as a whole and only if its version is higher than the one in force, so
+the version never decreases while the process runs, whatever the source. Membership datagrams
+publish the versions that this gateway has; a gateway that is behind pulls from one that is ahead.
 """
 
 from __future__ import annotations
@@ -41,19 +41,19 @@
 PULL_TIMEOUT_S = 0.8
 PULL_RETRY_S = 0.1
 MAX_PULLS_AT_ONCE = 4
-"""Gateways answered at the same time: a large configuration spreads as from hand to hand."""
+"""Pulls answered concurrently; further gateways pull from those that have been answered."""
 
 
 @attrs.frozen
 class ControlProtocol:
-    """How the operator's document and replicas' entries are read.
+    """Parsers of the operator's configuration document and of replica entries.
 
     Attributes
     ----------
     configuration_name
         Name of the object that holds the configuration.
     read_configuration, read_replica
-        Return what is read, or a value with a ``reason`` if it cannot be understood.
+        Return the parsed value, or a value with a ``reason`` if parsing failed.
     """
 
     configuration_name: str
@@ -62,20 +62,20 @@
 
 
 OUTAGE_S = 2.5
-"""Time without any gateway's read of the store after which entries may have lapsed: reads come
-every second or two, and an entry lives for three heartbeats of about a second."""
+"""Time without a successful read of the store by any gateway after which replica entries may
+have expired; an entry lasts for three heartbeats of about a second."""
 LAPSED_ENTRIES_S = 2.2
-"""How long after an outage replicas that the list lacks are kept: by the platform's word their
-entries are back within about two seconds."""
+"""Time for which replicas missing from the list are kept after an outage; the platform writes
+their entries again within about two seconds."""
 
 
 class ControlPlaneView:
-    """What this gateway knows; safe to read from any thread.
+    """This gateway's view of the control plane; safe to read from any thread.
 
     Attributes
     ----------
     routes
-        The configuration in force; version 0 while none is known.
+        The configuration in force; its version is 0 while none is known.
     """
 
     def __init__(
@@ -114,18 +114,18 @@
         return self.routes.version > 0 and self._table.revision > 0
 
     def subscribe(self, listener: Callable[[RequestRoutes], None]) -> None:
-        """Call ``listener`` with each configuration that comes into force."""
+        """Call ``listener`` with each new configuration when it comes into force."""
         self._listeners.append(listener)
 
     def start(self) -> None:
-        """Begin to follow the store, and peers that are ahead."""
+        """Start reading the store and pulling from peers that are ahead."""
         self._membership.subscribe(self._wake.set)
         self._membership.on_confirmation(self._take_confirmation)
         self._reader.start()
         threading.Thread(target=self._pull_loop, name="control-pull", daemon=True).start()
 
     def stop(self) -> None:
-        """Follow no more."""
+        """Stop reading the store and pulling from peers."""
         self._stopping.set()
         self._wake.set()
         self._reader.stop()
@@ -133,7 +133,7 @@
     # From the store.
 
     def _read_store(self) -> str:
-        """Read everything; return why that failed, or an empty text."""
+        """Read configuration and replicas; return the reason of a failure, or an empty string."""
         began = boot_clock.now()
         unconfirmed_s = self._membership.confirmed_age_s()
         stored = self._store.get(ObjectKind.CONFIGURATION, self._protocol.configuration_name)
@@ -144,7 +144,7 @@
         listing = self._store.list(ObjectKind.REPLICAS)
         if not isinstance(listing, Listing):
             return listing.reason
-        # One that cannot be read leaves the earlier one in force.
+        # An unreadable configuration leaves the earlier one in force.
         if isinstance(stored, StoredObject) and stored.revision != self._read_revision:
             self._offer_configuration(stored.spec, "store")
             self._read_revision = stored.revision
@@ -155,10 +155,10 @@
         return ""
 
     def _take_replicas(self, listing: Listing, unconfirmed_s: float) -> None:
-        """Take a list; right after an outage replicas that it lacks are not given up yet.
+        """Apply a list of replicas; right after an outage keep those that are missing from it.
 
-        Entries lapse while replicas cannot write them, and are back soon after the store is. Who
-        pulls the list from this gateway gets those that are kept with it.
+        Entries expire while replicas cannot write them, and return soon after the store recovers.
+        Gateways that pull the list from this one also receive the replicas that were kept.
         """
         now = boot_clock.now()
         if unconfirmed_s > OUTAGE_S:
@@ -183,7 +183,7 @@
         return [member for member in live if not member.has_disk and member.name != name]
 
     def _take_confirmation(self, version: int, revision: int, at: float) -> None:
-        """Take what another gateway knows of the newest versions."""
+        """Handle another gateway's report of the newest versions in the store."""
         if self.routes.version >= version and self._table.revision >= revision:
             self._membership.confirm(at)
         else:
@@ -229,7 +229,7 @@
                 self._wake.set()
 
     def _peer_ahead(self) -> Member | None:
-        """Return a random peer with something newer than this gateway."""
+        """Return a random peer with a newer configuration or list of replicas; ``None`` if none."""
         local = self._membership.local()
         ahead = [
             member
@@ -244,7 +244,7 @@
         return random.choice(ahead) if ahead else None
 
     def _pull_from(self, peer: Member) -> bool:
-        """Take what a peer has; return whether it answered."""
+        """Pull newer data from a peer and apply it; return whether the peer answered."""
         message = PullControl(self.routes.version, self._table.revision)
         reply = self._peer_client.call(peer.peer, message, ControlState, PULL_TIMEOUT_S)
         if not isinstance(reply, ControlState):
@@ -259,9 +259,9 @@
         return True
 
     def _answer_pull(self, message: PullControl) -> ControlState | PeerRefusal:
-        """Give what is newer; who finds this gateway busy asks another that has it by then."""
+        """Answer a pull with newer data; refuse if too many are being answered already."""
         if not self._pulls.acquire(blocking=False):
-            return PeerRefusal("others are being answered")
+            return PeerRefusal("too many pulls are being answered; retry with another gateway")
         try:
             return self._newer_than(message)
         finally:
--- a/src/quaymill/process/control/store_circuit.py
+++ b/src/quaymill/process/control/store_circuit.py
@@ -1,12 +1,12 @@
-"""Circuit breaker around this gateway's calls of the platform's store.
+"""Circuit breaker around this gateway's calls to the platform's store.
 
-Load answered: while the store is away, or turns this machine away, every open job, quota and
-reader of results would go on trying, and all of them would come back at once when it returns.
-``StoreCircuit`` decides, without a network and with the time as a parameter; ``CircuitStore``
-puts the decision around an ``ObjectStore``.
+While the store is unavailable, or refuses this machine, every open job, quota and reader of
+results would otherwise keep retrying, and all of them would retry at once when it recovers.
+``StoreCircuit`` makes the decisions, without I/O and with the time as a parameter; ``CircuitStore``
+applies them to an ``ObjectStore``.
 
-Calls that are not held back, since they have a pace and a bound of their own, count as probes:
-whoever reads configuration and replicas finds the store back for all calls of this gateway.
+Calls of other kinds of objects limit their own rate and are always made. Their results count too:
+a successful read of the configuration or the replicas closes the circuit.
 """
 
 from __future__ import annotations
@@ -40,26 +40,28 @@
 HELD_BACK_KINDS = frozenset(
     {ObjectKind.JOB_LISTINGS, ObjectKind.QUOTA_LEDGERS, ObjectKind.BARRED_REQUESTS}
 )
-"""What jobs and callers wait for; these calls may go by way of other gateways."""
+"""Objects that jobs and callers wait for. Calls for them are rejected while the circuit is open,
+and may be made through other gateways."""
 OPEN_AFTER_FAILURES = 2
-"""Failures in a row that open the circuit: one answer that is lost says little of the store."""
+"""Consecutive failures that open the circuit; a single lost response does not."""
 FIRST_PROBE_S = 0.3
-"""Pause before the first probe: short outages are over soon."""
+"""Delay before the first probe, short because most outages are."""
 PROBE_GROWTH = 2.0
 PROBE_JITTER = 0.3
-"""Part by which a pause may be shorter, so that gateways do not probe together."""
+"""Fraction by which a delay may be shortened, so that gateways do not probe together."""
 PROBE_LOST_AFTER_S = 4.0
-"""Time after which another probe is made though one is not over: longer than any call takes."""
+"""Time after which another probe is made although the last one has not ended; longer than the
+timeout of any call."""
 PROBE_WAIT_S = 0.1
-"""Time that a call waits for a probe under way: many times what the store takes for an answer."""
+"""Time for which a call waits for the result of a probe in progress."""
 RETURN_SHARE = 0.5
-"""Part of the store's writes a second that appends may take which waited for its return."""
+"""Share of the store's write rate that appends may use which waited for its recovery."""
 TURN_CHECK_S = 0.1
-"""Time between two looks of a caller that waits, by which it hears of other gateways' reads."""
+"""Interval at which a waiting caller checks whether other gateways have reached the store."""
 
 
 class CircuitState(enum.Enum):
-    """States of the circuit; calls are made while it is closed."""
+    """States of the circuit breaker; all calls are made while it is closed."""
 
     CLOSED = enum.auto()
     OPEN = enum.auto()
@@ -67,7 +69,7 @@
 
 
 class CircuitEvent(enum.Enum):
-    """What changes the state."""
+    """Events that may change the state of the circuit."""
 
     ANSWERED = enum.auto()
     FAILED = enum.auto()
@@ -93,46 +95,47 @@
 
 
 def longest_probe_s(contact_s: float, settle_s: float, configuration_s: float) -> float:
-    """Return the longest pause between two probes.
+    """Return the longest delay between two probes, in seconds.
 
-    The bounds hold again ``contact_s`` after an outage. By then a probe must have succeeded and
-    what was listed since must have settled; and a configuration be in force that was written at
-    the return. Half of that time is left for the calls themselves.
+    The bounds of the service hold again ``contact_s`` after an outage. By then a probe must have
+    succeeded and the results listed since must have settled, which takes ``settle_s``. A
+    configuration written at the recovery must be in force after ``configuration_s``. Half of the
+    remaining time is left for the calls themselves.
     """
     return max(FIRST_PROBE_S, min(contact_s - settle_s, configuration_s) / 2)
 
 
 def return_spread_s(waiting: int, gateways: int, writes_per_s: float, longest_s: float) -> float:
-    """Return the time over which appends that waited are spread once the store is back.
+    """Return the time in seconds over which waiting appends are spread when the store recovers.
 
     Parameters
     ----------
     waiting
-        Appends that wait at this gateway; others are taken to have as many.
+        Appends waiting at this gateway; other gateways are assumed to have as many.
     writes_per_s
-        Calls that the store takes a second from all gateways together.
+        Calls per second that the store accepts from all gateways together.
     longest_s
-        Bound of the result: callers wait for what is to be listed.
+        Upper bound of the result.
     """
     return min(longest_s, waiting * gateways / (RETURN_SHARE * writes_per_s))
 
 
 @attrs.define
 class StoreCircuit:
-    """What this gateway knows of the store; to be used under a lock.
+    """State machine of the circuit breaker; the caller must hold a lock.
 
     All times are monotonic, in seconds.
 
     Attributes
     ----------
     longest_probe_s
-        Bound of the pause between two probes.
+        Upper bound of the delay between two probes.
     uniform
-        Draws a number between two bounds.
+        Returns a random number between two bounds.
     failures
-        In a row, by calls that began after the last answer.
+        Number of consecutive failed calls that began after the last response.
     probe_at
-        When the next probe is due; ``math.inf`` while the circuit is closed.
+        Time at which the next probe is due; ``math.inf`` while the circuit is closed.
     """
 
     longest_probe_s: float
@@ -147,7 +150,7 @@
     _heard_of_return: bool = False
 
     def may_call(self, now: float) -> bool:
-        """Return whether a call may be made; one that may while the circuit is open is a probe."""
+        """Return whether a call may be made; while the circuit is open, that call is a probe."""
         if self.state is CircuitState.CLOSED:
             return True
         if now < self.probe_at:
@@ -163,7 +166,7 @@
         return max(0.0, self.probe_at - now)
 
     def note_answered(self, now: float) -> None:
-        """Note that the store answered a call."""
+        """Record that the store answered a call."""
         self._enter(CircuitEvent.ANSWERED)
         self._answered_at = now
         self.failures = 0
@@ -172,9 +175,9 @@
         self._heard_of_return = False
 
     def note_failed(self, began: float, now: float) -> None:
-        """Note that a call failed that began at ``began``.
+        """Record the failure of a call that began at ``began``.
 
-        It is passed over if the store has answered since, or the circuit opened after it began.
+        Ignored if the store has answered since then, or if the circuit opened after that time.
         """
         if began <= self._answered_at:
             return
@@ -194,10 +197,10 @@
         self._pause_s = min(self.longest_probe_s, PROBE_GROWTH * self._pause_s)
 
     def note_others_served(self, at: float, now: float, spread_s: float) -> None:
-        """Note that the store answered another gateway at some time.
+        """Record that the store answered another gateway at the time ``at``.
 
-        The first such word after the last failure brings the next probe forward; where the
-        store serves others all the time and not this gateway, the probes keep their pauses.
+        The first such report in an outage that is newer than the last failure brings the next
+        probe forward. Later ones do not, because the store may refuse this gateway alone.
         """
         if self.state is not CircuitState.OPEN or self._heard_of_return or at <= self._failed_at:
             return
@@ -210,18 +213,18 @@
 
 @attrs.frozen
 class ReturnRules:
-    """How calls come back after an outage.
+    """Parameters by which calls resume after an outage.
 
     Attributes
     ----------
     others_served_age_s
-        Returns how long ago the store answered any gateway.
+        Returns how long ago the store is known to have answered any gateway.
     gateways
-        Returns how many gateways live.
+        Returns the number of live gateways.
     writes_per_s
-        Calls that the store takes a second from all gateways together.
+        Calls per second that the store accepts from all gateways together.
     longest_spread_s
-        Longest time over which calls that waited are spread.
+        Longest time over which waiting calls are spread.
     """
 
     others_served_age_s: Callable[[], float]
@@ -231,12 +234,12 @@
 
 
 class CircuitStore:
-    """An ``ObjectStore`` that makes no calls which are known to fail; safe to use from any thread.
+    """An ``ObjectStore`` that rejects calls while its circuit is open; thread-safe.
 
     Attributes
     ----------
     calls_saved
-        Calls that were answered here, since the start.
+        Number of calls rejected without reaching the store, since the start.
     """
 
     def __init__(self, own: ObjectStore, circuit: StoreCircuit, rules: ReturnRules) -> None:
@@ -245,14 +248,14 @@
         self._rules = rules
         self._changed = threading.Condition()
         self._waiting = 0
-        self._claimed_probe_at = math.inf  # The probe that a waiting caller was let go for already.
+        self._claimed_probe_at = math.inf  # Probe that a waiting caller is already making.
         self._return_spread_s = 0.0
         self._saved_at_opening = 0
         self.calls_saved = 0
 
     @property
     def is_open(self) -> bool:
-        """Whether calls are held back."""
+        """Whether the circuit is open or half-open."""
         return self._circuit.state is not CircuitState.CLOSED
 
     def list(self, kind: ObjectKind) -> Listing | StoreFailure:
@@ -262,7 +265,7 @@
     def watch(
         self, kind: ObjectKind, revision: int, wait_s: float
     ) -> Changes | HistoryGone | StoreFailure:
-        """Wait for changes; what becomes of a watch tells of its connection alone."""
+        """Wait for changes; the result of a watch does not affect the circuit."""
         return self._own.watch(kind, revision, wait_s)
 
     def get(
@@ -272,7 +275,7 @@
         return self._call(kind, lambda: self._own.get(kind, name, may_be_old=may_be_old))
 
     def create(self, kind: ObjectKind, name: str, spec: Any) -> WriteResult:
-        """Make an object; a conflict if it exists."""
+        """Create an object; a conflict if it exists."""
         return self._call(kind, lambda: self._own.create(kind, name, spec))
 
     def replace(self, kind: ObjectKind, name: str, spec: Any, revision: int) -> WriteResult:
@@ -290,14 +293,14 @@
         return self._call(kind, lambda: self._own.delete(kind, name))
 
     def await_turn(self, timeout_s: float) -> bool:
-        """Wait while the circuit is open, until a call that failed should be made again.
+        """Wait while the circuit is open, until a failed call should be retried.
 
-        That is when the circuit closes, with those that waited spread over a short time; for
-        one caller also when a probe is due; or when the time is over.
+        That is when the circuit closes, plus a random delay that spreads the waiting callers;
+        for one of them also when a probe is due; or at the latest after ``timeout_s``.
 
         Returns
         -------
-        Whether the circuit was open at all; nobody waits while it is closed.
+        Whether the circuit was open; if it was closed, the method returned at once.
         """
         if not self.is_open:
             return False
@@ -314,7 +317,7 @@
         return True
 
     def _may_retry(self) -> bool:
-        """Return whether a caller that waits may go; of several, one makes the probe."""
+        """Return whether a waiting caller may retry; only one of them makes a due probe."""
         if not self.is_open:
             return True
         self._hear_others()
@@ -339,13 +342,15 @@
             if self._circuit.may_call(boot_clock.now()):
                 return None
             if self._circuit.state is CircuitState.HALF_OPEN:
-                # Another call tells in a moment whether the store is back.
+                # The probe in progress will show whether the store has recovered.
                 self._changed.wait(PROBE_WAIT_S)
             now = boot_clock.now()
             if self._circuit.may_call(now):
                 return None
             self.calls_saved += 1
-            return StoreRefused("the store is away: not called", self._circuit.retry_after_s(now))
+            return StoreRefused(
+                "the store is unavailable: call not made", self._circuit.retry_after_s(now)
+            )
 
     def _hear_others(self) -> None:
         if self._circuit.state is CircuitState.OPEN:
@@ -402,5 +407,5 @@
 
 
 def _told_age_s(age_s: float) -> float | None:
-    """Return an age for a log line; ``None`` where nothing was ever heard."""
+    """Return an age in seconds, rounded for a log line; ``None`` if it is infinite."""
     return round(age_s, 3) if math.isfinite(age_s) else None
--- a/src/quaymill/process/control/store_helpers.py
+++ b/src/quaymill/process/control/store_helpers.py
@@ -1,8 +1,8 @@
-"""Which gateways may be asked to make a call of the platform's store for this one.
+"""Chooses the gateways that are asked to make a call to the platform's store for this one.
 
-Load answered: where the store is away for all, each gateway asking others would multiply the
-calls that cannot succeed. Where it turns only some machines away, the gateway that could help
-once is asked first again.
+If the store is unavailable to all gateways, asking others would multiply the calls that cannot
+succeed, so gateways that could not help are left out for a while. If the store refuses only some
+machines, the gateway that helped last is asked first.
 """
 
 from __future__ import annotations
@@ -16,23 +16,23 @@
 from quaymill.connection.member import Member
 
 MOST_ASKED = 2
-"""Gateways asked for one call: a second one in case that the first is turned away as well."""
+"""Maximum number of gateways asked for one call; the store may refuse the first one as well."""
 UNABLE_S = 0.5
-"""Time for which a gateway is not asked again that could not help and did not tell for how long."""
+"""Time for which a gateway that could not help is left out if it did not say for how long."""
 
 
 @attrs.define
 class StoreHelpers:
-    """What this gateway knows of those that could help; to be used under a lock.
+    """Which gateways were able to help recently; the caller must hold a lock.
 
     All times are monotonic, in seconds.
 
     Attributes
     ----------
     sample
-        Draws some of the members.
+        Returns a random selection of the members, of the given size.
     served_by
-        Name of the gateway that made the last call for this one; empty if none could since.
+        Name of the gateway that made the last shared call; empty if it has failed to help since.
     """
 
     sample: Callable[[Sequence[Member], int], list[Member]] = random.sample
@@ -41,7 +41,7 @@
     _nobody_until: float = -math.inf
 
     def choose(self, members: Sequence[Member], now: float) -> list[Member]:
-        """Return whom to ask for a call, in this order; nobody where all were unable just now."""
+        """Return the members to ask for a call, in order; none if all of them failed recently."""
         if now < self._nobody_until:
             return []
         self._forget_past(now)
@@ -55,18 +55,21 @@
         return first + self.sample(able, wanted)
 
     def note_served(self, name: str) -> None:
-        """Note who made a call for this gateway."""
+        """Record that the gateway ``name`` made a call for this one."""
         self.served_by = name
         self._nobody_until = -math.inf
 
     def note_unable(self, name: str, retry_after_s: float, now: float) -> None:
-        """Note who could not make a call, and for how long that is likely to last."""
+        """Record that the gateway ``name`` could not make a call.
+
+        It is left out for ``retry_after_s``, or for ``UNABLE_S`` if that is 0.
+        """
         self._unable_until_by_name[name] = now + (retry_after_s or UNABLE_S)
         if self.served_by == name:
             self.served_by = ""
 
     def note_nobody_served(self, now: float) -> None:
-        """Note that all who were asked were unable: nobody is asked until one may be again."""
+        """Record that no gateway could help: none is asked until the first of them may be again."""
         self._nobody_until = min(self._unable_until_by_name.values(), default=now)
 
     def _forget_past(self, now: float) -> None:
--- a/src/quaymill/process/control/store_reader.py
+++ b/src/quaymill/process/control/store_reader.py
@@ -1,9 +1,9 @@
-"""Reads the platform's store for all gateways: one of them at a time, whoever ranks first.
+"""Reads the platform's store on behalf of all gateways; usually only the first in rank reads.
 
-What a gateway holds is confirmed when the store was read and nothing newer stood there. The
-one that reads tells all others, so that theirs is confirmed too. Each waits a little longer
-than the one before it in rank: while the first ones do their work the others are silent, and
-when they are frozen, gone or turned away by the store the next one reads.
+A gateway's view is confirmed when the store was read and held nothing newer. The gateway that
+reads notifies all others, which confirms their views too. Each gateway waits a little longer than
+the one before it in rank, so it reads only if those before it are frozen or stopped, or if the
+store refuses them.
 """
 
 from __future__ import annotations
@@ -21,22 +21,22 @@
 MAX_STAGGERED = 8
 LAST_JITTER_S = 0.5
 FIRST_WAIT_S = 0.05
-"""Time after the start before the first read: peers that run already bring everything sooner."""
+"""Delay of the first read after the start: running peers usually send everything sooner."""
 FIRST_JITTER_S = 0.2
-"""Spread of the first reads: after a kill of all gateways those that read first tell the others."""
+"""Random extra delay of the first read, so that gateways started together do not all read."""
 FIRST_PAUSE_S = 0.3
 MAX_PAUSE_S = 1.5
 
 
 class StoreReader:
-    """One thread that reads when nobody else has for a while.
+    """One thread that reads the store when no gateway has done so for a while.
 
     Parameters
     ----------
     read
-        Reads the store; returns why that failed, or an empty text.
+        Reads the store; returns the reason of a failure, or an empty string.
     confirmed_age_s
-        Returns how long ago what is held here was known to be the newest.
+        Returns the time since this gateway's view was last confirmed to be the newest.
     rank
         Returns this gateway's rank among the live ones, 0 for the first.
     interval_s
@@ -56,15 +56,14 @@
         self._interval_s = interval_s
         self._stopping = threading.Event()
         self._failures = 0
-        # Peers that run already bring everything sooner than a read of the own.
         self._not_before = boot_clock.now() + FIRST_WAIT_S + random.uniform(0.0, FIRST_JITTER_S)
 
     def start(self) -> None:
-        """Begin to read."""
+        """Start the thread."""
         threading.Thread(target=self._run, name="store-reader", daemon=True).start()
 
     def stop(self) -> None:
-        """Read no more."""
+        """Stop reading; the thread ends soon after."""
         self._stopping.set()
 
     def _run(self) -> None:
@@ -80,10 +79,9 @@
                 self._read_once()
 
     def _next_look_s(self) -> float:
-        """Return the time until nobody may have confirmed for so long that a read is due.
+        """Return the time until the earliest moment at which a read can be due.
 
-        Twenty looks a second with a rank each, which is a hash of every gateway's name, took 5.75
-        thousandths of a core in a fleet of 60 gateways.
+        The rank is computed only then, because it hashes the name of every gateway.
         """
         return max(TICK_S, self._interval_s - self._confirmed_age_s())
 
--- a/src/quaymill/process/control/store_sharing.py
+++ b/src/quaymill/process/control/store_sharing.py
@@ -1,8 +1,8 @@
-"""Calls of the platform's store by way of other gateways, while it turns this one away.
+"""Calls to the platform's store through other gateways, while the store refuses this one.
 
-Only single objects go this way: listings of jobs, ledgers of quotas, barred requests. A write is
-bound to a revision, so that one which was done although its answer was lost does no harm when it
-is made again by another.
+Only calls for single objects are shared: listings of jobs, ledgers of quotas, barred requests.
+Each write is conditional on a revision, so it is safe to repeat a write through another gateway
+when its response was lost.
 """
 
 from __future__ import annotations
@@ -38,17 +38,16 @@
 
 HELP_TIMEOUT_S = 2.0
 LOOK_WAIT_S = 0.3
-"""Time that a caller waits for another that looks for a gateway which can help: a peer that is
-held up by nothing has answered by then."""
+"""Time for which a caller waits while another one searches for a gateway that can help."""
 
 
 class SharingStore:
-    """An ``ObjectStore`` that asks other gateways when its own calls fail.
+    """An ``ObjectStore`` that makes a failed call again through other gateways.
 
     Parameters
     ----------
     helpers
-        Returns the gateways that may be asked.
+        Returns the gateways that may be asked for help.
     """
 
     def __init__(
@@ -79,14 +78,14 @@
     def get(
         self, kind: ObjectKind, name: str, *, may_be_old: bool = False
     ) -> StoredObject | ObjectMissing | StoreFailure:
-        """Return one object; an old one is not worth a call of another gateway."""
+        """Return one object; other gateways are not asked if a stale one is acceptable."""
         if may_be_old:
             return self._own.get(kind, name, may_be_old=True)
         result = self._own.get(kind, name)
         return self._or_by_others(result, StoreCall(kind.name, name))
 
     def create(self, kind: ObjectKind, name: str, spec: Any) -> WriteResult:
-        """Make an object; a conflict if it exists."""
+        """Create an object; a conflict if it exists."""
         result = self._own.create(kind, name, spec)
         return self._or_by_others(result, StoreCall(kind.name, name, spec))
 
@@ -110,7 +109,7 @@
             return result
         if ObjectKind[call.object_kind] not in HELD_BACK_KINDS:
             return result
-        # While nobody is known to be able to help, one caller looks, and the others with it.
+        # While no helping gateway is known, only one caller at a time searches for one.
         looks = not self._choice.served_by
         if looks and not self._looking.acquire(timeout=LOOK_WAIT_S):
             return result
@@ -133,7 +132,7 @@
             if isinstance(reply, StoreAnswer):
                 result = StoreUnanswered(reply.unanswered)
             elif isinstance(reply, PeerNoReply):
-                # The other gateway may have made the call: "refused" would say that nobody did.
+                # The other gateway may have made the call, so the result must not be "refused".
                 result = StoreUnanswered(reply.reason)
             retry_after_s = reply.retry_after_s if isinstance(reply, PeerRefusal) else 0.0
             with self._lock:
@@ -144,10 +143,10 @@
         return result
 
     def _answer(self, call: StoreCall) -> StoreAnswer | PeerRefusal:
-        """Make a call for another gateway; with no help of a third one."""
+        """Make a call for another gateway, without asking a third one."""
         kind = ObjectKind[call.object_kind]
         if kind not in HELD_BACK_KINDS:
-            return PeerRefusal(f"calls about {call.object_kind} are not made for others")
+            return PeerRefusal(f"calls for {call.object_kind} are not made for other gateways")
         if call.spec is None:
             result = self._own.get(kind, call.name)
         elif call.revision:
