--- a/src/quaymill/process/control/state.py
+++ b/src/quaymill/process/control/state.py
@@ -65,12 +65,12 @@
 """Time without a successful read of the store by any gateway after which replica entries may
 have expired; an entry lasts for three heartbeats of about a second."""
 LAPSED_ENTRIES_S = 2.2
-"""Time for which replicas missing from the list are kept after an outage; the platform writes
-their entries again within about two seconds."""
+"""Time for which replicas missing from the list are kept after an outage; according to the
+platform, their entries are back within about two seconds."""
 
 
 class ControlPlaneView:
-    """This gateway's view of the control plane; safe to read from any thread.
+    """A gateway's view of the control plane; safe to read from any thread.
 
     Attributes
     ----------
