--- a/src/quaymill/process/control/entries.py
+++ b/src/quaymill/process/control/entries.py
@@ -10,7 +10,7 @@
 from quaymill.connection.object_store import Listing, StoredObject
 from quaymill.connection.replica_entry import ReplicaEntry
 
-UNREAD_KEPT_S = 3.6
+UNREADABLE_KEPT_S = 3.6
 """Time for which a replica is kept after its entry became unreadable: three heartbeats of about
 1.2 s, as for a replica that stops writing its entry."""
 
@@ -25,19 +25,19 @@
     ----------
     read_replica
         Returns the entry of an object, or a value with a ``reason`` if it is no replica entry.
-    last_word
+    last_entry
         Returns the last valid entry of a replica; ``None`` if the replica is not listed.
     """
 
     def __init__(
         self,
         read_replica: Callable[[StoredObject], ReplicaEntry | Any],
-        last_word: Callable[[str], ReplicaEntry | None],
+        last_entry: Callable[[str], ReplicaEntry | None],
     ) -> None:
         self._read_replica = read_replica
-        self._last_word = last_word
+        self._last_entry = last_entry
         self._read_at_by_id: dict[str, float] = {}
-        self._told_by_name: dict[str, tuple[int, str]] = {}
+        self._logged_by_name: dict[str, tuple[int, str]] = {}
 
     def read(self, listing: Listing, now: float) -> list[ReplicaEntry]:
         """Return the entries of a list, with recent valid ones in place of unreadable ones."""
@@ -49,21 +49,21 @@
                 entries.append(entry)
             else:
                 unread.append(stored.name)
-                self._tell(stored, entry.reason)
-        self._told_by_name = {name: self._told_by_name.get(name, (0, "")) for name in unread}
+                self._log_unreadable(stored, entry.reason)
+        self._logged_by_name = {name: self._logged_by_name.get(name, (0, "")) for name in unread}
         self._read_at_by_id |= dict.fromkeys((entry.id for entry in entries), now)
         return entries + self._kept(unread, now)
 
     def _kept(self, unread: list[str], now: float) -> list[ReplicaEntry]:
         """Return the last valid entries of those names that were readable recently."""
         self._read_at_by_id = {
-            name: at for name, at in self._read_at_by_id.items() if now - at <= UNREAD_KEPT_S
+            name: at for name, at in self._read_at_by_id.items() if now - at <= UNREADABLE_KEPT_S
         }
-        words = (self._last_word(name) for name in unread if name in self._read_at_by_id)
-        return [word for word in words if word is not None]
+        last_entries = (self._last_entry(name) for name in unread if name in self._read_at_by_id)
+        return [entry for entry in last_entries if entry is not None]
 
-    def _tell(self, stored: StoredObject, reason: str) -> None:
+    def _log_unreadable(self, stored: StoredObject, reason: str) -> None:
         """Log each revision of an object that is no replica entry once."""
-        if self._told_by_name.get(stored.name) != (stored.revision, reason):
-            self._told_by_name[stored.name] = (stored.revision, reason)
+        if self._logged_by_name.get(stored.name) != (stored.revision, reason):
+            self._logged_by_name[stored.name] = (stored.revision, reason)
             log_message("control:replica_unread", replica=stored.name, reason=reason)
--- a/src/quaymill/process/control/follower.py
+++ b/src/quaymill/process/control/follower.py
@@ -67,9 +67,9 @@
         while not self._stopping.is_set():
             listing = self._store.list(self._kind)
             if isinstance(listing, StoreRefused | StoreUnanswered):
-                self._note_failure(listing.reason)
+                self._handle_failure(listing.reason)
                 continue
-            self._note_success()
+            self._handle_success()
             self._on_listing(listing)
             self._watch_from(listing.revision)
 
@@ -81,21 +81,21 @@
                 log_message("control:history_gone", kind=self._kind.name, revision=revision)
                 return
             if isinstance(changes, StoreRefused | StoreUnanswered):
-                self._note_failure(changes.reason)
+                self._handle_failure(changes.reason)
                 continue
-            self._note_success()
+            self._handle_success()
             revision = max(revision, changes.revision)
             if changes.changes:
                 self._on_changes(changes)
 
-    def _note_failure(self, reason: str) -> None:
+    def _handle_failure(self, reason: str) -> None:
         if not self._lost:
             self._lost = True
             log_message("control:store_lost", kind=self._kind.name, reason=reason)
         self._stopping.wait(self._pause_s * random.uniform(0.7, 1.3))
         self._pause_s = min(MAX_PAUSE_S, 1.5 * self._pause_s)
 
-    def _note_success(self) -> None:
+    def _handle_success(self) -> None:
         self._pause_s = FIRST_PAUSE_S
         if self._lost:
             self._lost = False
--- a/src/quaymill/process/control/state.py
+++ b/src/quaymill/process/control/state.py
@@ -96,7 +96,7 @@
         self._lock = threading.Lock()
         self._document: Any = None
         self._read_revision = 0
-        self._lapsed_until = 0.0
+        self._keep_missing_until = 0.0
         self._entries = EntryReader(protocol.read_replica, table.listed_entry)
         self._pulls = threading.Semaphore(MAX_PULLS_AT_ONCE)
         self._wake = threading.Event()
@@ -120,7 +120,7 @@
     def start(self) -> None:
         """Start reading the store and pulling from peers that are ahead."""
         self._membership.subscribe(self._wake.set)
-        self._membership.on_confirmation(self._take_confirmation)
+        self._membership.on_confirmation(self._handle_confirmation)
         self._reader.start()
         threading.Thread(target=self._pull_loop, name="control-pull", daemon=True).start()
 
@@ -148,13 +148,13 @@
         if isinstance(stored, StoredObject) and stored.revision != self._read_revision:
             self._offer_configuration(stored.spec, "store")
             self._read_revision = stored.revision
-        self._take_replicas(listing, unconfirmed_s)
-        self._tell_versions()
+        self._apply_replicas(listing, unconfirmed_s)
+        self._publish_versions()
         self._membership.confirm(began)
         self._membership.tell(self._other_gateways())
         return ""
 
-    def _take_replicas(self, listing: Listing, unconfirmed_s: float) -> None:
+    def _apply_replicas(self, listing: Listing, unconfirmed_s: float) -> None:
         """Apply a list of replicas; right after an outage keep those that are missing from it.
 
         Entries expire while replicas cannot write them, and return soon after the store recovers.
@@ -162,11 +162,11 @@
         """
         now = boot_clock.now()
         if unconfirmed_s > OUTAGE_S:
-            self._lapsed_until = now + LAPSED_ENTRIES_S
+            self._keep_missing_until = now + LAPSED_ENTRIES_S
         kept = self._table.replace_all(
             self._entries.read(listing, now),
             listing.revision,
-            keep_missing=now < self._lapsed_until,
+            keep_missing=now < self._keep_missing_until,
         )
         if kept:
             log_message("control:lapsed_kept", replicas=kept, unconfirmed_s=round(unconfirmed_s, 2))
@@ -182,7 +182,7 @@
         live = self._membership.live()
         return [member for member in live if not member.has_disk and member.name != name]
 
-    def _take_confirmation(self, version: int, revision: int, at: float) -> None:
+    def _handle_confirmation(self, version: int, revision: int, at: float) -> None:
         """Handle another gateway's report of the newest versions in the store."""
         if self.routes.version >= version and self._table.revision >= revision:
             self._membership.confirm(at)
@@ -209,13 +209,13 @@
         )
         for listener in self._listeners:
             listener(routes)
-        self._tell_versions()
+        self._publish_versions()
 
-    def _tell_versions(self) -> None:
+    def _publish_versions(self) -> None:
         local = self._membership.local()
-        held = (self.routes.version, self._table.revision)
-        if held != (local.configuration_generation, local.machine_list_version):
-            self._membership.publish(*held)
+        versions = (self.routes.version, self._table.revision)
+        if versions != (local.configuration_generation, local.machine_list_version):
+            self._membership.publish(*versions)
 
     # From peers.
 
@@ -255,7 +255,7 @@
             entries = [_entry(record) for record in reply.replicas]
             self._table.take_from_peer(entries, reply.replicas_revision)
             log_message("control:replicas_pulled", peer=peer.name, revision=reply.replicas_revision)
-            self._tell_versions()
+            self._publish_versions()
         return True
 
     def _answer_pull(self, message: PullControl) -> ControlState | PeerRefusal:
--- a/src/quaymill/process/control/store_circuit.py
+++ b/src/quaymill/process/control/store_circuit.py
@@ -37,26 +37,26 @@
     store_is_away,
 )
 
-HELD_BACK_KINDS = frozenset(
+GUARDED_KINDS = frozenset(
     {ObjectKind.JOB_LISTINGS, ObjectKind.QUOTA_LEDGERS, ObjectKind.BARRED_REQUESTS}
 )
 """Objects that jobs and callers wait for. Calls for them are rejected while the circuit is open,
 and may be made through other gateways."""
 OPEN_AFTER_FAILURES = 2
 """Consecutive failures that open the circuit; a single lost response does not."""
-FIRST_PROBE_S = 0.3
+FIRST_PROBE_DELAY_S = 0.3
 """Delay before the first probe, short because most outages are."""
 PROBE_GROWTH = 2.0
 PROBE_JITTER = 0.3
 """Fraction by which a delay may be shortened, so that gateways do not probe together."""
-PROBE_LOST_AFTER_S = 4.0
+PROBE_TIMEOUT_S = 4.0
 """Time after which another probe is made although the last one has not ended; longer than the
 timeout of any call."""
 PROBE_WAIT_S = 0.1
 """Time for which a call waits for the result of a probe in progress."""
-RETURN_SHARE = 0.5
+RECOVERY_WRITE_SHARE = 0.5
 """Share of the store's write rate that appends may use which waited for its recovery."""
-TURN_CHECK_S = 0.1
+RETRY_CHECK_INTERVAL_S = 0.1
 """Interval at which a waiting caller checks whether other gateways have reached the store."""
 
 
@@ -102,10 +102,10 @@
     configuration written at the recovery must be in force after ``configuration_s``. Half of the
     remaining time is left for the calls themselves.
     """
-    return max(FIRST_PROBE_S, min(contact_s - settle_s, configuration_s) / 2)
+    return max(FIRST_PROBE_DELAY_S, min(contact_s - settle_s, configuration_s) / 2)
 
 
-def return_spread_s(waiting: int, gateways: int, writes_per_s: float, longest_s: float) -> float:
+def recovery_spread_s(waiting: int, gateways: int, writes_per_s: float, longest_s: float) -> float:
     """Return the time in seconds over which waiting appends are spread when the store recovers.
 
     Parameters
@@ -117,7 +117,7 @@
     longest_s
         Upper bound of the result.
     """
-    return min(longest_s, waiting * gateways / (RETURN_SHARE * writes_per_s))
+    return min(longest_s, waiting * gateways / (RECOVERY_WRITE_SHARE * writes_per_s))
 
 
 @attrs.define
@@ -146,8 +146,8 @@
     probe_at: float = math.inf
     _answered_at: float = -math.inf
     _failed_at: float = -math.inf
-    _pause_s: float = FIRST_PROBE_S
-    _heard_of_return: bool = False
+    _pause_s: float = FIRST_PROBE_DELAY_S
+    _probe_advanced: bool = False
 
     def may_call(self, now: float) -> bool:
         """Return whether a call may be made; while the circuit is open, that call is a probe."""
@@ -156,7 +156,7 @@
         if now < self.probe_at:
             return False
         self._enter(CircuitEvent.PROBE_BEGUN)
-        self.probe_at = now + PROBE_LOST_AFTER_S
+        self.probe_at = now + PROBE_TIMEOUT_S
         return True
 
     def retry_after_s(self, now: float) -> float:
@@ -165,16 +165,16 @@
             return 0.0
         return max(0.0, self.probe_at - now)
 
-    def note_answered(self, now: float) -> None:
+    def record_answer(self, now: float) -> None:
         """Record that the store answered a call."""
         self._enter(CircuitEvent.ANSWERED)
         self._answered_at = now
         self.failures = 0
         self.probe_at = math.inf
-        self._pause_s = min(FIRST_PROBE_S, self.longest_probe_s)
-        self._heard_of_return = False
+        self._pause_s = min(FIRST_PROBE_DELAY_S, self.longest_probe_s)
+        self._probe_advanced = False
 
-    def note_failed(self, began: float, now: float) -> None:
+    def record_failure(self, began: float, now: float) -> None:
         """Record the failure of a call that began at ``began``.
 
         Ignored if the store has answered since then, or if the circuit opened after that time.
@@ -196,15 +196,15 @@
         self.probe_at = now + self._pause_s * jitter
         self._pause_s = min(self.longest_probe_s, PROBE_GROWTH * self._pause_s)
 
-    def note_others_served(self, at: float, now: float, spread_s: float) -> None:
+    def record_answer_elsewhere(self, at: float, now: float, spread_s: float) -> None:
         """Record that the store answered another gateway at the time ``at``.
 
         The first such report in an outage that is newer than the last failure brings the next
         probe forward. Later ones do not, because the store may refuse this gateway alone.
         """
-        if self.state is not CircuitState.OPEN or self._heard_of_return or at <= self._failed_at:
+        if self.state is not CircuitState.OPEN or self._probe_advanced or at <= self._failed_at:
             return
-        self._heard_of_return = True
+        self._probe_advanced = True
         self.probe_at = min(self.probe_at, now + self.uniform(0.0, spread_s))
 
     def _enter(self, event: CircuitEvent) -> None:
@@ -242,15 +242,15 @@
         Number of calls rejected without reaching the store, since the start.
     """
 
-    def __init__(self, own: ObjectStore, circuit: StoreCircuit, rules: ReturnRules) -> None:
-        self._own = own
+    def __init__(self, wrapped: ObjectStore, circuit: StoreCircuit, rules: ReturnRules) -> None:
+        self._own = wrapped
         self._circuit = circuit
         self._rules = rules
         self._changed = threading.Condition()
         self._waiting = 0
         self._claimed_probe_at = math.inf  # Probe that a waiting caller is already making.
-        self._return_spread_s = 0.0
-        self._saved_at_opening = 0
+        self._recovery_spread_s = 0.0
+        self._rejected_at_opening = 0
         self.calls_saved = 0
 
     @property
@@ -309,10 +309,10 @@
             self._waiting += 1
             try:
                 while not self._may_retry() and boot_clock.now() < deadline:
-                    self._changed.wait(TURN_CHECK_S)
+                    self._changed.wait(RETRY_CHECK_INTERVAL_S)
             finally:
                 self._waiting -= 1
-            spread_s = 0.0 if self.is_open else self._return_spread_s
+            spread_s = 0.0 if self.is_open else self._recovery_spread_s
         time.sleep(random.uniform(0.0, spread_s))
         return True
 
@@ -320,7 +320,7 @@
         """Return whether a waiting caller may retry; only one of them makes a due probe."""
         if not self.is_open:
             return True
-        self._hear_others()
+        self._check_other_gateways()
         due_at = self._circuit.probe_at
         if self._circuit.retry_after_s(boot_clock.now()) > 0 or due_at == self._claimed_probe_at:
             return False
@@ -328,17 +328,17 @@
         return True
 
     def _call(self, kind: ObjectKind, make: Callable[[], Result]) -> Result | StoreRefused:
-        refusal = self._held_back() if kind in HELD_BACK_KINDS else None
+        refusal = self._rejection() if kind in GUARDED_KINDS else None
         if refusal is not None:
             return refusal
         began = boot_clock.now()
         result = make()
-        self._note(result, began)
+        self._record_result(result, began)
         return result
 
-    def _held_back(self) -> StoreRefused | None:
+    def _rejection(self) -> StoreRefused | None:
         with self._changed:
-            self._hear_others()
+            self._check_other_gateways()
             if self._circuit.may_call(boot_clock.now()):
                 return None
             if self._circuit.state is CircuitState.HALF_OPEN:
@@ -352,60 +352,60 @@
                 "the store is unavailable: call not made", self._circuit.retry_after_s(now)
             )
 
-    def _hear_others(self) -> None:
+    def _check_other_gateways(self) -> None:
         if self._circuit.state is CircuitState.OPEN:
             now = boot_clock.now()
             served_at = now - self._rules.others_served_age_s()
-            self._circuit.note_others_served(served_at, now, self._spread_s())
+            self._circuit.record_answer_elsewhere(served_at, now, self._spread_s())
 
     def _spread_s(self) -> float:
         rules = self._rules
-        return return_spread_s(
+        return recovery_spread_s(
             max(1, self._waiting), rules.gateways(), rules.writes_per_s, rules.longest_spread_s
         )
 
-    def _note(self, result: object, began: float) -> None:
+    def _record_result(self, result: object, began: float) -> None:
         if store_is_away(result):
-            self._note_failed(result, began)
+            self._record_failure(result, began)
         else:
-            self._note_answered()
+            self._record_answer()
 
-    def _note_answered(self) -> None:
+    def _record_answer(self) -> None:
         with self._changed:
             was_open = self.is_open
             now = boot_clock.now()
-            self._circuit.note_answered(now)
+            self._circuit.record_answer(now)
             if not was_open:
                 return
-            self._return_spread_s = self._spread_s()
+            self._recovery_spread_s = self._spread_s()
             log_message(
                 "store:circuit_closed",
                 open_s=round(now - self._circuit.opened_at, 3),
-                saved=self.calls_saved - self._saved_at_opening,
+                saved=self.calls_saved - self._rejected_at_opening,
                 waiting=self._waiting,
-                spread_s=round(self._return_spread_s, 3),
+                spread_s=round(self._recovery_spread_s, 3),
             )
             self._changed.notify_all()
 
-    def _note_failed(self, failure: StoreFailure, began: float) -> None:
+    def _record_failure(self, failure: StoreFailure, began: float) -> None:
         with self._changed:
             was_open = self.is_open
             now = boot_clock.now()
-            self._circuit.note_failed(began, now)
+            self._circuit.record_failure(began, now)
             self._changed.notify_all()
             if was_open or not self.is_open:
                 return
-            self._saved_at_opening = self.calls_saved
+            self._rejected_at_opening = self.calls_saved
             log_message(
                 "store:circuit_open",
                 failures=self._circuit.failures,
                 reason=failure.reason,
                 outcome=type(failure).__name__,
                 probe_in_s=round(self._circuit.retry_after_s(now), 3),
-                others_served_s=_told_age_s(self._rules.others_served_age_s()),
+                others_served_s=_rounded_age_s(self._rules.others_served_age_s()),
             )
 
 
-def _told_age_s(age_s: float) -> float | None:
+def _rounded_age_s(age_s: float) -> float | None:
     """Return an age in seconds, rounded for a log line; ``None`` if it is infinite."""
     return round(age_s, 3) if math.isfinite(age_s) else None
--- a/src/quaymill/process/control/store_reader.py
+++ b/src/quaymill/process/control/store_reader.py
@@ -16,13 +16,13 @@
 
 from quaymill import boot_clock
 
-TICK_S = 0.05
+MIN_CHECK_INTERVAL_S = 0.05
 STAGGER_S = 0.1
 MAX_STAGGERED = 8
-LAST_JITTER_S = 0.5
-FIRST_WAIT_S = 0.05
+UNSTAGGERED_JITTER_S = 0.5
+FIRST_READ_DELAY_S = 0.05
 """Delay of the first read after the start: running peers usually send everything sooner."""
-FIRST_JITTER_S = 0.2
+FIRST_READ_JITTER_S = 0.2
 """Random extra delay of the first read, so that gateways started together do not all read."""
 FIRST_PAUSE_S = 0.3
 MAX_PAUSE_S = 1.5
@@ -56,7 +56,9 @@
         self._interval_s = interval_s
         self._stopping = threading.Event()
         self._failures = 0
-        self._not_before = boot_clock.now() + FIRST_WAIT_S + random.uniform(0.0, FIRST_JITTER_S)
+        self._not_before = (
+            boot_clock.now() + FIRST_READ_DELAY_S + random.uniform(0.0, FIRST_READ_JITTER_S)
+        )
 
     def start(self) -> None:
         """Start the thread."""
@@ -67,8 +69,8 @@
         self._stopping.set()
 
     def _run(self) -> None:
-        jitter_s = random.uniform(0.0, LAST_JITTER_S)
-        while not self._stopping.wait(self._next_look_s()):
+        jitter_s = random.uniform(0.0, UNSTAGGERED_JITTER_S)
+        while not self._stopping.wait(self._next_check_s()):
             if self._confirmed_age_s() <= self._interval_s:
                 continue
             rank = self._rank()
@@ -78,12 +80,12 @@
             if self._confirmed_age_s() > limit_s and boot_clock.now() >= self._not_before:
                 self._read_once()
 
-    def _next_look_s(self) -> float:
+    def _next_check_s(self) -> float:
         """Return the time until the earliest moment at which a read can be due.
 
         The rank is computed only then, because it hashes the name of every gateway.
         """
-        return max(TICK_S, self._interval_s - self._confirmed_age_s())
+        return max(MIN_CHECK_INTERVAL_S, self._interval_s - self._confirmed_age_s())
 
     def _read_once(self) -> None:
         reason = self._read()
--- a/src/quaymill/process/control/store_sharing.py
+++ b/src/quaymill/process/control/store_sharing.py
@@ -33,11 +33,11 @@
 from quaymill.connection.peer_link import PeerClient, PeerNoReply, PeerRefusal
 from quaymill.connection.peer_server import PeerServer
 from quaymill.connection.store_messages import SharedObject, StoreAnswer, StoreCall
-from quaymill.process.control.store_circuit import HELD_BACK_KINDS
+from quaymill.process.control.store_circuit import GUARDED_KINDS
 from quaymill.process.control.store_helpers import StoreHelpers
 
 HELP_TIMEOUT_S = 2.0
-LOOK_WAIT_S = 0.3
+HELPER_SEARCH_WAIT_S = 0.3
 """Time for which a caller waits while another one searches for a gateway that can help."""
 
 
@@ -52,16 +52,16 @@
 
     def __init__(
         self,
-        own: ObjectStore,
+        wrapped: ObjectStore,
         peer_client: PeerClient,
         peer_server: PeerServer,
         helpers: Callable[[], tuple[Member, ...]],
     ) -> None:
-        self._own = own
+        self._own = wrapped
         self._peer_client = peer_client
         self._helpers = helpers
         self._lock = threading.Lock()
-        self._looking = threading.Lock()
+        self._search_lock = threading.Lock()
         self._choice = StoreHelpers()
         peer_server.register(StoreCall, self._answer)
 
@@ -82,17 +82,17 @@
         if may_be_old:
             return self._own.get(kind, name, may_be_old=True)
         result = self._own.get(kind, name)
-        return self._or_by_others(result, StoreCall(kind.name, name))
+        return self._or_through_helpers(result, StoreCall(kind.name, name))
 
     def create(self, kind: ObjectKind, name: str, spec: Any) -> WriteResult:
         """Create an object; a conflict if it exists."""
         result = self._own.create(kind, name, spec)
-        return self._or_by_others(result, StoreCall(kind.name, name, spec))
+        return self._or_through_helpers(result, StoreCall(kind.name, name, spec))
 
     def replace(self, kind: ObjectKind, name: str, spec: Any, revision: int) -> WriteResult:
         """Replace an object's ``spec`` if ``revision`` is still the object's."""
         result = self._own.replace(kind, name, spec, revision)
-        return self._or_by_others(result, StoreCall(kind.name, name, spec, revision))
+        return self._or_through_helpers(result, StoreCall(kind.name, name, spec, revision))
 
     def replace_status(
         self, kind: ObjectKind, name: str, status: Any, revision: int
@@ -104,20 +104,20 @@
         """Remove an object."""
         return self._own.delete(kind, name)
 
-    def _or_by_others(self, result: Any, call: StoreCall) -> Any:
+    def _or_through_helpers(self, result: Any, call: StoreCall) -> Any:
         if not store_is_away(result):
             return result
-        if ObjectKind[call.object_kind] not in HELD_BACK_KINDS:
+        if ObjectKind[call.object_kind] not in GUARDED_KINDS:
             return result
         # While no helping gateway is known, only one caller at a time searches for one.
-        looks = not self._choice.served_by
-        if looks and not self._looking.acquire(timeout=LOOK_WAIT_S):
+        searches = not self._choice.last_helper
+        if searches and not self._search_lock.acquire(timeout=HELPER_SEARCH_WAIT_S):
             return result
         try:
             return self._ask_helpers(result, call)
         finally:
-            if looks:
-                self._looking.release()
+            if searches:
+                self._search_lock.release()
 
     def _ask_helpers(self, result: Any, call: StoreCall) -> Any:
         with self._lock:
@@ -126,7 +126,7 @@
             reply = self._peer_client.call(member.peer, call, StoreAnswer, HELP_TIMEOUT_S)
             if isinstance(reply, StoreAnswer) and not reply.unanswered:
                 with self._lock:
-                    self._choice.note_served(member.name)
+                    self._choice.record_helped(member.name)
                 log_message("control:store_call_shared", name=call.name, peer=member.name)
                 return _result(reply)
             if isinstance(reply, StoreAnswer):
@@ -136,16 +136,16 @@
                 result = StoreUnanswered(reply.reason)
             retry_after_s = reply.retry_after_s if isinstance(reply, PeerRefusal) else 0.0
             with self._lock:
-                self._choice.note_unable(member.name, retry_after_s, boot_clock.now())
+                self._choice.record_unable(member.name, retry_after_s, boot_clock.now())
         if asked:
             with self._lock:
-                self._choice.note_nobody_served(boot_clock.now())
+                self._choice.record_none_able(boot_clock.now())
         return result
 
     def _answer(self, call: StoreCall) -> StoreAnswer | PeerRefusal:
         """Make a call for another gateway, without asking a third one."""
         kind = ObjectKind[call.object_kind]
-        if kind not in HELD_BACK_KINDS:
+        if kind not in GUARDED_KINDS:
             return PeerRefusal(f"calls for {call.object_kind} are not made for other gateways")
         if call.spec is None:
             result = self._own.get(kind, call.name)
@@ -171,6 +171,6 @@
 def _result(answer: StoreAnswer) -> StoredObject | RevisionConflict | ObjectMissing:
     if answer.missing:
         return ObjectMissing()
-    held = answer.object
-    stored = None if held is None else StoredObject(held.name, held.revision, held.spec)
+    shared = answer.object
+    stored = None if shared is None else StoredObject(shared.name, shared.revision, shared.spec)
     return RevisionConflict(stored) if answer.conflict or stored is None else stored
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -7,7 +7,7 @@
 from concurrent.futures import ThreadPoolExecutor
 
 from fleet_rig import FleetRig, wait_until
-from quaymill.process.control.entries import UNREAD_KEPT_S
+from quaymill.process.control.entries import UNREADABLE_KEPT_S
 from quaymill.request.poison import MAX_CRASHES
 from quaymill_bench.fleet_world import ROUTES, configuration, item_id, route, whole_text
 from quaymill_standins.fleet_replica import FleetReplica, ReplicaBehaviour
@@ -62,7 +62,7 @@
         wait_until(lambda: added.id in self.listed("gateway-0"), "the list was read")
         self.assertIn(replica.id, self.listed("gateway-0"))
         gone = lambda: replica.id not in self.listed("gateway-0")  # noqa: E731
-        wait_until(gone, "it is gone as one that writes nothing", UNREAD_KEPT_S + 5.0)
+        wait_until(gone, "it is gone as one that writes nothing", UNREADABLE_KEPT_S + 5.0)
         self.rig.store.put("servers", replica.id, replica.entry(seq=9))
         wait_until(lambda: replica.id in self.listed("gateway-0"), "it is back with its own word")
 
--- a/tests/test_store_circuit.py
+++ b/tests/test_store_circuit.py
@@ -27,19 +27,19 @@
 )
 from quaymill.process.control import store_circuit
 from quaymill.process.control.store_circuit import (
-    FIRST_PROBE_S,
+    FIRST_PROBE_DELAY_S,
     NEXT_STATES,
     OPEN_AFTER_FAILURES,
-    PROBE_LOST_AFTER_S,
+    PROBE_TIMEOUT_S,
     CircuitEvent,
     CircuitState,
     CircuitStore,
     ReturnRules,
     StoreCircuit,
     longest_probe_s,
-    return_spread_s,
+    recovery_spread_s,
 )
-from quaymill.process.control.store_helpers import MOST_ASKED, UNABLE_S, StoreHelpers
+from quaymill.process.control.store_helpers import HELPER_RETRY_S, MAX_HELPERS_ASKED, StoreHelpers
 
 LONGEST_S = 1.5
 PLACE = Endpoint("127.0.0.1", 1)
@@ -57,7 +57,7 @@
     """Return a circuit that has opened at a time."""
     held = circuit()
     for _ in range(OPEN_AFTER_FAILURES):
-        held.note_failed(at, at)
+        held.record_failure(at, at)
     return held
 
 
@@ -80,34 +80,34 @@
         held = circuit()
         for at, answered in outcomes:
             if answered:
-                held.note_answered(at)
+                held.record_answer(at)
             else:
-                held.note_failed(at, at)
+                held.record_failure(at, at)
         self.assertIs(may_call, held.may_call(1.2))
 
     def test_failure_of_a_call_from_before_the_last_answer_says_nothing(self) -> None:
         held = circuit()
-        held.note_answered(2.0)
+        held.record_answer(2.0)
         for began in (1.0, 1.5, 2.0):
-            held.note_failed(began, 2.5)
+            held.record_failure(began, 2.5)
         self.assertIs(CircuitState.CLOSED, held.state)
 
     def test_calls_under_way_at_the_opening_do_not_lengthen_the_pause(self) -> None:
         held = opened(10.0)
         before = held.probe_at
         for _ in range(8):
-            held.note_failed(9.9, 10.1)
+            held.record_failure(9.9, 10.1)
         self.assertEqual(before, held.probe_at)
 
     def test_one_probe_at_a_time(self) -> None:
         held = opened(10.0)
-        self.assertFalse(held.may_call(10.0 + FIRST_PROBE_S - 0.01))
-        due = 10.0 + FIRST_PROBE_S + 0.01
+        self.assertFalse(held.may_call(10.0 + FIRST_PROBE_DELAY_S - 0.01))
+        due = 10.0 + FIRST_PROBE_DELAY_S + 0.01
         self.assertTrue(held.may_call(due))
         self.assertIs(CircuitState.HALF_OPEN, held.state)
         self.assertFalse(held.may_call(due))
-        self.assertFalse(held.may_call(due + PROBE_LOST_AFTER_S - 0.01))
-        self.assertTrue(held.may_call(due + PROBE_LOST_AFTER_S))
+        self.assertFalse(held.may_call(due + PROBE_TIMEOUT_S - 0.01))
+        self.assertTrue(held.may_call(due + PROBE_TIMEOUT_S))
 
     def test_pauses_grow_up_to_their_bound(self) -> None:
         held = opened(10.0)
@@ -117,44 +117,44 @@
             pauses.append(round(held.probe_at - now, 3))
             now = held.probe_at
             self.assertTrue(held.may_call(now))
-            held.note_failed(now, now)
+            held.record_failure(now, now)
         self.assertEqual([0.3, 0.6, 1.2, 1.5, 1.5], pauses)
 
     def test_another_callers_failure_takes_the_place_of_a_probe(self) -> None:
         held = opened(10.0)
-        held.note_failed(10.2, 10.2)
+        held.record_failure(10.2, 10.2)
         self.assertAlmostEqual(10.8, held.probe_at)
 
     def test_answer_closes_and_the_next_outage_begins_with_the_first_pause(self) -> None:
         held = opened(10.0)
         held.may_call(10.5)
-        held.note_failed(10.5, 10.5)
-        held.note_answered(11.0)
+        held.record_failure(10.5, 10.5)
+        held.record_answer(11.0)
         self.assertTrue(held.may_call(11.0))
         for at in (12.0, 12.1):
-            held.note_failed(at, at)
-        self.assertAlmostEqual(FIRST_PROBE_S, held.retry_after_s(12.1))
+            held.record_failure(at, at)
+        self.assertAlmostEqual(FIRST_PROBE_DELAY_S, held.retry_after_s(12.1))
 
     def test_word_of_the_return_brings_one_probe_forward(self) -> None:
         held = opened(10.0)
         held.may_call(10.4)
-        held.note_failed(10.4, 10.4)
+        held.record_failure(10.4, 10.4)
         self.assertAlmostEqual(11.0, held.probe_at)
-        held.note_others_served(10.2, 10.45, 0.2)
+        held.record_answer_elsewhere(10.2, 10.45, 0.2)
         self.assertAlmostEqual(11.0, held.probe_at, msg="that was before the last failure")
-        held.note_others_served(10.5, 10.6, 0.2)
+        held.record_answer_elsewhere(10.5, 10.6, 0.2)
         self.assertAlmostEqual(10.8, held.probe_at)
         held.may_call(10.8)
-        held.note_failed(10.8, 10.8)
+        held.record_failure(10.8, 10.8)
         due = held.probe_at
-        held.note_others_served(10.9, 10.9, 0.2)
+        held.record_answer_elsewhere(10.9, 10.9, 0.2)
         self.assertEqual(due, held.probe_at, "the store serves others, and not this one")
 
     @params(
         (4.0, 1.0, 3.0, 1.5),
         (3.0, 1.0, 2.0, 1.0),
         (4.0, 1.0, 1.0, 0.5),
-        (1.0, 1.0, 2.0, FIRST_PROBE_S),
+        (1.0, 1.0, 2.0, FIRST_PROBE_DELAY_S),
     )
     def test_longest_probe_leaves_time_before_the_bounds_hold(
         self, contact_s, settle_s, configuration_s, expected
@@ -165,7 +165,7 @@
     def test_return_is_spread_by_what_the_store_takes(
         self, waiting, gateways, writes_per_s, expected
     ) -> None:
-        self.assertAlmostEqual(expected, return_spread_s(waiting, gateways, writes_per_s, 1.0))
+        self.assertAlmostEqual(expected, recovery_spread_s(waiting, gateways, writes_per_s, 1.0))
 
 
 class _Store:
@@ -286,7 +286,7 @@
             return told
 
         self.own.replace = slow_call
-        time.sleep(FIRST_PROBE_S)
+        time.sleep(FIRST_PROBE_DELAY_S)
         results: list[Any] = []
         probe = threading.Thread(target=lambda: results.append(append(self.store)))
         probe.start()
@@ -303,13 +303,13 @@
         went = threading.Semaphore(0)
 
         def wait() -> None:
-            self.store.await_turn(10 * FIRST_PROBE_S)
+            self.store.await_turn(10 * FIRST_PROBE_DELAY_S)
             went.release()
 
         for _ in range(5):
             threading.Thread(target=wait, daemon=True).start()
-        self.assertTrue(went.acquire(timeout=5 * FIRST_PROBE_S))
-        self.assertFalse(went.acquire(timeout=2 * FIRST_PROBE_S), "a second one went as well")
+        self.assertTrue(went.acquire(timeout=5 * FIRST_PROBE_DELAY_S))
+        self.assertFalse(went.acquire(timeout=2 * FIRST_PROBE_DELAY_S), "a second one went as well")
 
 
 class HelpersTest(unittest.TestCase):
@@ -322,27 +322,27 @@
         return [member.name for member in self.helpers.choose(MEMBERS, now)]
 
     def test_who_helped_is_asked_first(self) -> None:
-        self.helpers.note_served("c")
+        self.helpers.record_helped("c")
         self.assertEqual(["c", "a"], self.names(1.0))
 
     def test_who_could_not_help_is_left_out_for_as_long_as_it_says(self) -> None:
-        self.helpers.note_unable("a", 1.2, 1.0)
-        self.helpers.note_unable("b", 0.0, 1.0)
-        self.assertEqual(["c", "d"], self.names(1.0 + UNABLE_S / 2))
-        self.assertEqual(["b", "c"], self.names(1.0 + UNABLE_S))
+        self.helpers.record_unable("a", 1.2, 1.0)
+        self.helpers.record_unable("b", 0.0, 1.0)
+        self.assertEqual(["c", "d"], self.names(1.0 + HELPER_RETRY_S / 2))
+        self.assertEqual(["b", "c"], self.names(1.0 + HELPER_RETRY_S))
         self.assertEqual(["a", "b"], self.names(2.2))
 
     def test_who_helped_once_and_cannot_now_is_no_longer_the_first(self) -> None:
-        self.helpers.note_served("c")
-        self.helpers.note_unable("c", 1.0, 1.0)
+        self.helpers.record_helped("c")
+        self.helpers.record_unable("c", 1.0, 1.0)
         self.assertEqual(["a", "b"], self.names(1.1))
 
     def test_nobody_is_asked_where_all_who_were_asked_hold_back(self) -> None:
         for name in self.names(1.0):
-            self.helpers.note_unable(name, 0.8, 1.0)
-        self.helpers.note_nobody_served(1.0)
+            self.helpers.record_unable(name, 0.8, 1.0)
+        self.helpers.record_none_able(1.0)
         self.assertEqual([], self.names(1.7))
-        self.assertEqual(MOST_ASKED, len(self.names(1.8)))
+        self.assertEqual(MAX_HELPERS_ASKED, len(self.names(1.8)))
 
     def test_few_others(self) -> None:
         self.assertEqual([], self.helpers.choose((), 1.0))
--- a/tests/test_store_outage.py
+++ b/tests/test_store_outage.py
@@ -16,13 +16,13 @@
 from quaymill.connection.object_store import ObjectKind, StoreRefused
 from quaymill.platform.object_store import CALL_TIMEOUT_S
 from quaymill.process.control.store_circuit import (
-    FIRST_PROBE_S,
-    HELD_BACK_KINDS,
+    FIRST_PROBE_DELAY_S,
+    GUARDED_KINDS,
     OPEN_AFTER_FAILURES,
     PROBE_GROWTH,
     PROBE_JITTER,
 )
-from quaymill.process.control.store_helpers import MOST_ASKED
+from quaymill.process.control.store_helpers import MAX_HELPERS_ASKED
 from quaymill.process.jobs.result_publisher import ResultPublisher
 from quaymill.process.serving_settings import MS_PER_S, Bounds
 from quaymill_bench.fleet_world import configuration, item_id
@@ -42,7 +42,7 @@
 def most_probes(away_s: float, longest_s: float) -> int:
     """Return how many probes a gateway makes at most, its pauses being as short as may be."""
     probes = 0
-    pause_s = FIRST_PROBE_S
+    pause_s = FIRST_PROBE_DELAY_S
     at = 0.0
     while (at := at + (1.0 - PROBE_JITTER) * pause_s) < away_s:
         probes += 1
@@ -91,7 +91,7 @@
         self.end_items(time.monotonic() + AWAY_S)
         away_calls = self.store.calls.total()
         # A call of each job and one for each that asks for help may be under way at the opening.
-        before_opening = OPEN_AFTER_FAILURES + JOBS_EACH + MOST_ASKED
+        before_opening = OPEN_AFTER_FAILURES + JOBS_EACH + MAX_HELPERS_ASKED
         probes = most_probes(AWAY_S + ITEM_S, self.fleet.longest_probe_s)
         self.assertLessEqual(away_calls, GATEWAYS * (before_opening + probes))
 
@@ -126,7 +126,7 @@
         appends = len(self.jobs) * self.ended
         refused = sum(self.store.calls[name] for name in self.store.refused)
         probes = most_probes(AWAY_S + 2 * self.fleet.settle_s, self.fleet.longest_probe_s)
-        most_refused = GATEWAYS / 2 * (OPEN_AFTER_FAILURES + JOBS_EACH + MOST_ASKED + probes)
+        most_refused = GATEWAYS / 2 * (OPEN_AFTER_FAILURES + JOBS_EACH + MAX_HELPERS_ASKED + probes)
         self.assertLessEqual(refused, most_refused)
         self.assertLessEqual(self.store.calls.total() - refused, math.ceil(1.1 * appends))
 
@@ -145,9 +145,9 @@
         self._refused_kinds = refused_kinds
         self.calls: Counter[ObjectKind] = Counter()
 
-    def held_back_calls(self) -> int:
+    def guarded_calls(self) -> int:
         """Return how many calls were made of the kinds that a circuit holds back."""
-        return sum(self.calls[kind] for kind in HELD_BACK_KINDS)
+        return sum(self.calls[kind] for kind in GUARDED_KINDS)
 
     def __getattr__(self, name: str) -> Callable[..., Any]:
         def call(kind: ObjectKind, *fields: Any, **named: Any) -> Any:
@@ -222,7 +222,7 @@
             for gateway in self.rig.gateways:
                 self.rig.read_results(gateway, "job", self.ITEMS)
             time.sleep(0.05)
-        calls = [count.held_back_calls() for count in counts]
+        calls = [count.guarded_calls() for count in counts]
         self.rig.store.faults = FleetStoreFaults()
         self.check_results("gateway-1")
         # A call of the job, of its ledger and of a reader may be under way at the opening.
@@ -239,11 +239,11 @@
         self.assertFalse(self.rig.gateways["gateway-1"]._circuit_store.is_open)
         probes = most_probes(time.monotonic() - began, self.LONGEST_PROBE_S)
         most = OPEN_AFTER_FAILURES + 3 + probes
-        self.assertLessEqual(turned_away.held_back_calls(), most)
+        self.assertLessEqual(turned_away.guarded_calls(), most)
 
     def test_configuration_comes_into_force_while_appends_are_held_back(self) -> None:
         for gateway in self.rig.gateways:
-            self.turn_away(gateway, HELD_BACK_KINDS)
+            self.turn_away(gateway, GUARDED_KINDS)
         self.rig.submit("gateway-0", "job", self.ITEMS)
         wait_until(
             lambda: self.rig.gateways["gateway-0"]._circuit_store.is_open, "the circuit is open"
--- a/tests/test_store_reader.py
+++ b/tests/test_store_reader.py
@@ -6,7 +6,7 @@
 import unittest
 
 from fleet_support import eventually
-from quaymill.process.control.store_reader import TICK_S, StoreReader
+from quaymill.process.control.store_reader import MIN_CHECK_INTERVAL_S, StoreReader
 
 INTERVAL_S = 0.3
 TIMEOUT_S = 5.0
@@ -53,9 +53,9 @@
 
     def test_the_next_look_is_when_a_read_can_be_due(self):
         self.confirmed_at = time.monotonic() - INTERVAL_S / 3
-        self.assertAlmostEqual(INTERVAL_S * 2 / 3, self.reader._next_look_s(), delta=0.05)
+        self.assertAlmostEqual(INTERVAL_S * 2 / 3, self.reader._next_check_s(), delta=0.05)
         self.confirmed_at = float("-inf")
-        self.assertEqual(TICK_S, self.reader._next_look_s())
+        self.assertEqual(MIN_CHECK_INTERVAL_S, self.reader._next_check_s())
 
 
 if __name__ == "__main__":
