--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -1,4 +1,8 @@
-"""A fleet beside entries of another writer, and replicas that start again under their id."""
+"""Objects of other writers in the store, and replicas that restart under the same id.
+
+Guards against gateways that drop valid replicas or fail to start because of such objects, and
+against state of an earlier start that is applied to the next one.
+"""
 
 from __future__ import annotations
 
@@ -40,19 +44,22 @@
 
 
 class ForeignEntryTest(FleetCase):
-    """Objects that no replica has written."""
+    """Objects that were not written by a replica."""
 
     def test_they_name_no_replica_and_hide_none(self) -> None:
         for number, spec in enumerate(FOREIGN):
             self.rig.store.put("servers", f"a-foreign-{number}", spec)
         added = self.rig.add_replica("application", "zone-c")
         for name in self.rig.gateways:
-            wait_until(lambda name=name: added.id in self.listed(name), f"{name} lists the new one")
+            wait_until(
+                lambda name=name: added.id in self.listed(name), f"{name} lists the new replica"
+            )
             self.assertEqual(set(self.rig.replicas), self.listed(name))
         self.rig.gateways.pop("gateway-1").kill()
         self.rig.start_gateway("gateway-1", "zone-b")
         wait_until(
-            lambda: self.listed("gateway-1") == set(self.rig.replicas), "a new one lists all"
+            lambda: self.listed("gateway-1") == set(self.rig.replicas),
+            "a new gateway lists all replicas",
         )
 
     def test_under_a_replicas_name_its_last_good_word_holds_for_a_while(self) -> None:
@@ -62,18 +69,24 @@
         wait_until(lambda: added.id in self.listed("gateway-0"), "the list was read")
         self.assertIn(replica.id, self.listed("gateway-0"))
         gone = lambda: replica.id not in self.listed("gateway-0")  # noqa: E731
-        wait_until(gone, "it is gone as one that writes nothing", UNREADABLE_KEPT_S + 5.0)
+        wait_until(
+            gone, "it is removed like a replica that writes no entry", UNREADABLE_KEPT_S + 5.0
+        )
         self.rig.store.put("servers", replica.id, replica.entry(seq=9))
-        wait_until(lambda: replica.id in self.listed("gateway-0"), "it is back with its own word")
+        wait_until(
+            lambda: replica.id in self.listed("gateway-0"), "it is listed again by its own entry"
+        )
 
     def test_a_configuration_that_cannot_be_read_leaves_the_earlier_one(self) -> None:
         self.rig.store.put("config", "main", {"version": "x"})
         added = self.rig.add_replica("application", "zone-c")
-        wait_until(lambda: added.id in self.listed("gateway-0"), "replicas are read on")
+        wait_until(lambda: added.id in self.listed("gateway-0"), "replicas are still read")
         self.assertTrue(self.is_served("gateway-0"))
         more = route("added", "/added/", "idempotent", service="application")
         self.rig.store.put("config", "main", configuration(5, (*ROUTES, more)))
-        wait_until(lambda: self.is_served("gateway-1", "/added/x"), "the next one is in force")
+        wait_until(
+            lambda: self.is_served("gateway-1", "/added/x"), "the next configuration is in force"
+        )
 
     def test_under_kinds_of_our_own(self) -> None:
         for kind in OWN_KINDS:
@@ -86,7 +99,7 @@
 
 
 class SameIdCase(FleetCase):
-    """A replica that starts again under its id, at the address that it had."""
+    """A replica that restarts with the same id and address."""
 
     def start_again(self, replica: FleetReplica) -> FleetReplica:
         replica.crash()
@@ -100,7 +113,7 @@
         for name in self.rig.gateways:
             wait_until(
                 lambda name=name: self.born(name, again.id) == again.born_ms,
-                f"{name} knows the new start",
+                f"{name} lists the new start",
             )
         return again
 
@@ -109,7 +122,7 @@
 
 
 class SameIdTest(SameIdCase):
-    """What is known of a replica, and its next start."""
+    """Which state of a replica applies after its restart."""
 
     def test_it_is_served_by_at_once_whatever_was_known(self) -> None:
         engine = self.rig.of_service("engine")[0]
@@ -135,7 +148,7 @@
 
 
 class AtWorkTest(SameIdCase):
-    """What a replica was running when it started again."""
+    """Work that a replica was running when it restarted."""
 
     STORAGE = 3
 
--- a/tests/test_store_circuit.py
+++ b/tests/test_store_circuit.py
@@ -1,4 +1,7 @@
-"""The circuit breaker before the platform's store: its decisions, and what passes it."""
+"""Circuit breaker of the platform's store: its decisions, and the calls that it rejects.
+
+Guards against retries that overload the store during an outage and at its recovery.
+"""
 
 from __future__ import annotations
 
@@ -49,12 +52,12 @@
 
 
 def circuit() -> StoreCircuit:
-    """Return a circuit whose pauses are the longest of their range."""
+    """Return a circuit whose probe delays are not shortened by jitter."""
     return StoreCircuit(LONGEST_S, uniform=lambda least, most: most)
 
 
 def opened(at: float = 10.0) -> StoreCircuit:
-    """Return a circuit that has opened at a time."""
+    """Return a circuit that opened at the given time."""
     held = circuit()
     for _ in range(OPEN_AFTER_FAILURES):
         held.record_failure(at, at)
@@ -62,7 +65,7 @@
 
 
 class CircuitTest(unittest.TestCase):
-    """Decisions, with the time given."""
+    """Decisions of the circuit, with the time as a parameter."""
 
     def test_every_event_has_its_state(self) -> None:
         closed_only = {(CircuitState.CLOSED, CircuitEvent.PROBE_BEGUN)}
@@ -141,14 +144,14 @@
         held.record_failure(10.4, 10.4)
         self.assertAlmostEqual(11.0, held.probe_at)
         held.record_answer_elsewhere(10.2, 10.45, 0.2)
-        self.assertAlmostEqual(11.0, held.probe_at, msg="that was before the last failure")
+        self.assertAlmostEqual(11.0, held.probe_at, msg="the answer was before the last failure")
         held.record_answer_elsewhere(10.5, 10.6, 0.2)
         self.assertAlmostEqual(10.8, held.probe_at)
         held.may_call(10.8)
         held.record_failure(10.8, 10.8)
         due = held.probe_at
         held.record_answer_elsewhere(10.9, 10.9, 0.2)
-        self.assertEqual(due, held.probe_at, "the store serves others, and not this one")
+        self.assertEqual(due, held.probe_at, "only one probe per outage is brought forward")
 
     @params(
         (4.0, 1.0, 3.0, 1.5),
@@ -169,7 +172,7 @@
 
 
 class _Store:
-    """A store whose calls all come to what is set, and are counted."""
+    """A store whose calls all return ``result``, and are counted."""
 
     def __init__(self, result: Any = REFUSED) -> None:
         self.result = result
@@ -217,8 +220,8 @@
         ("done", StoredObject("name", 1, "spec"), False),
         ("conflict", RevisionConflict(), False),
         ("missing", ObjectMissing(), False),
-        ("not readable", ObjectUnreadable("torn"), False),
-        ("never taken", CallRejected("413"), False),
+        ("unreadable", ObjectUnreadable("torn"), False),
+        ("rejected", CallRejected("413"), False),
     )
     def test_what_counts_as_a_failure(self, _, result, opens) -> None:
         self.own.result = result
@@ -255,7 +258,7 @@
         self.assertFalse(self.store.is_open)
 
     def test_waiting_ends_when_the_store_is_back(self) -> None:
-        self.assertFalse(self.store.await_turn(10.0), "nobody waits while it answers")
+        self.assertFalse(self.store.await_turn(10.0), "waited although the circuit is closed")
         self.open_circuit()
         turns: list[bool] = []
         waiting = [
@@ -264,14 +267,14 @@
         ]
         for thread in waiting:
             thread.start()
-        wait_until(lambda: self.store._waiting == len(waiting), "all wait")
+        wait_until(lambda: self.store._waiting == len(waiting), "all callers wait")
         self.own.result = Listing((), 1)
         self.store.list(ObjectKind.REPLICAS)
         for thread in waiting:
             thread.join(5.0)
         self.assertEqual([True] * len(waiting), turns)
 
-    @params(("back", StoredObject("name", 1, "spec")), ("away", REFUSED))
+    @params(("available", StoredObject("name", 1, "spec")), ("unavailable", REFUSED))
     def test_call_that_comes_during_a_probe_waits_for_what_it_tells(self, _, told) -> None:
         patience = mock.patch.object(store_circuit, "PROBE_WAIT_S", 5.0)
         patience.start()
@@ -309,11 +312,13 @@
         for _ in range(5):
             threading.Thread(target=wait, daemon=True).start()
         self.assertTrue(went.acquire(timeout=5 * FIRST_PROBE_DELAY_S))
-        self.assertFalse(went.acquire(timeout=2 * FIRST_PROBE_DELAY_S), "a second one went as well")
+        self.assertFalse(
+            went.acquire(timeout=2 * FIRST_PROBE_DELAY_S), "a second caller retried as well"
+        )
 
 
 class HelpersTest(unittest.TestCase):
-    """Whom a gateway asks that the store turns away."""
+    """Gateways that one whose calls the store refuses asks for help."""
 
     def setUp(self) -> None:
         self.helpers = StoreHelpers(sample=lambda members, count: list(members)[:count])
--- a/tests/test_store_outage.py
+++ b/tests/test_store_outage.py
@@ -1,4 +1,4 @@
-"""The platform's store while it is away: how many calls are made, and what callers get."""
+"""Outages of the platform's store: how many calls are made, and which results callers get."""
 
 from __future__ import annotations
 
@@ -36,11 +36,11 @@
 AWAY_S = 5.0
 CONFIGURATION_S = Bounds().configuration_ms / MS_PER_S
 ITEM_S = 0.5
-"""Time between two items of a job that end."""
+"""Time between the ends of two items of a job."""
 
 
 def most_probes(away_s: float, longest_s: float) -> int:
-    """Return how many probes a gateway makes at most, its pauses being as short as may be."""
+    """Return the largest number of probes that a gateway makes, with the shortest delays."""
     probes = 0
     pause_s = FIRST_PROBE_DELAY_S
     at = 0.0
@@ -51,7 +51,7 @@
 
 
 class OutageLoadTest(unittest.TestCase):
-    """A hundred open jobs at fifty gateways."""
+    """Number of calls to the store by many gateways with open jobs."""
 
     def setUp(self) -> None:
         self.fleet = ListingFleet(GATEWAYS)
@@ -69,7 +69,7 @@
             job.stop(ended=True)
 
     def end_items(self, until: float) -> None:
-        """Let an item of each job end every half second."""
+        """End one item of each job every ``ITEM_S`` seconds."""
         while time.monotonic() < until:
             for job in self.jobs.values():
                 finish(job, self.ended)
@@ -80,7 +80,7 @@
         return all(len(self.fleet.listed(name)) == self.ended for name in self.jobs)
 
     def read_configuration(self) -> None:
-        """Read as the gateway does that reads for all."""
+        """Read the configuration as the gateway that reads for all does."""
         self.fleet.gateways["g0"].circuit.get(ObjectKind.CONFIGURATION, "main")
 
     def test_everybody_is_turned_away(self) -> None:
@@ -90,7 +90,8 @@
         self.store.refused = frozenset(self.fleet.gateways)
         self.end_items(time.monotonic() + AWAY_S)
         away_calls = self.store.calls.total()
-        # A call of each job and one for each that asks for help may be under way at the opening.
+        # One call of each job and one for each gateway that asks for help may be in progress at
+        # the opening.
         before_opening = OPEN_AFTER_FAILURES + JOBS_EACH + MAX_HELPERS_ASKED
         probes = most_probes(AWAY_S + ITEM_S, self.fleet.longest_probe_s)
         self.assertLessEqual(away_calls, GATEWAYS * (before_opening + probes))
@@ -99,9 +100,9 @@
         self.store.refused = frozenset()
         began = time.monotonic()
         self.read_configuration()
-        wait_until(self.all_listed, "all that waited is listed", 2 * self.fleet.settle_s)
+        wait_until(self.all_listed, "all waiting results are listed", 2 * self.fleet.settle_s)
         took_s = time.monotonic() - began
-        # One append for each job, and a probe that was under way at each gateway.
+        # One append of each job, and a probe in progress at each gateway.
         self.assertLessEqual(self.store.calls.total(), len(self.jobs) + GATEWAYS)
         most_per_s = self.store.calls.total() / max(took_s, 1.0)
         self.assertLess(most_per_s, self.fleet.writes_per_s)
@@ -112,7 +113,9 @@
         self.store.refused = frozenset({"g0"})
         began = time.monotonic()
         self.end_items(began + AWAY_S)
-        wait_until(self.all_listed, "all is listed, also of the one turned away", 2.0)
+        wait_until(
+            self.all_listed, "all results are listed, also those of the refused gateway", 2.0
+        )
         probes = most_probes(time.monotonic() - began, self.fleet.longest_probe_s)
         most = OPEN_AFTER_FAILURES + JOBS_EACH + probes
         self.assertLessEqual(self.store.calls["g0"], most)
@@ -122,7 +125,7 @@
         names = list(self.fleet.gateways)
         self.store.refused = frozenset(names[: GATEWAYS // 2])
         self.end_items(time.monotonic() + AWAY_S)
-        wait_until(self.all_listed, "all is listed", 2 * self.fleet.settle_s)
+        wait_until(self.all_listed, "all results are listed", 2 * self.fleet.settle_s)
         appends = len(self.jobs) * self.ended
         refused = sum(self.store.calls[name] for name in self.store.refused)
         probes = most_probes(AWAY_S + 2 * self.fleet.settle_s, self.fleet.longest_probe_s)
@@ -132,12 +135,12 @@
 
 
 class _TurnedAway:
-    """The store as a gateway sees it that is turned away alone: some kinds are refused.
+    """A store that refuses the calls of one gateway for some kinds of objects.
 
     Attributes
     ----------
     calls
-        How many calls were made, by kind.
+        Number of calls made, by kind.
     """
 
     def __init__(self, own: Any, refused_kinds: frozenset[ObjectKind]) -> None:
@@ -146,7 +149,7 @@
         self.calls: Counter[ObjectKind] = Counter()
 
     def guarded_calls(self) -> int:
-        """Return how many calls were made of the kinds that a circuit holds back."""
+        """Return the number of calls for the kinds that an open circuit rejects."""
         return sum(self.calls[kind] for kind in GUARDED_KINDS)
 
     def __getattr__(self, name: str) -> Callable[..., Any]:
@@ -160,19 +163,19 @@
 
 
 class OutageFleetTest(FaultCase):
-    """Gateways and storage nodes before the stand-in of the store."""
+    """Gateways and storage nodes that use the stand-in of the store."""
 
     ITEMS = 12
     SETTLE_S = 1.0
     LONGEST_PROBE_S = 1.0
-    """By the bounds of the rig."""
+    """Follows from the bounds of the rig."""
 
     def setUp(self) -> None:
         super().setUp()
         self.slow_engines(0.05, 10)
 
     def turn_away(self, gateway: str, kinds: Iterable[ObjectKind] = ObjectKind) -> _TurnedAway:
-        """Turn a gateway away from the store."""
+        """Let the store refuse the calls of one gateway."""
         store = self.rig.gateways[gateway]._circuit_store
         store._own = _TurnedAway(store._own, frozenset(kinds))
         return store._own
@@ -181,7 +184,7 @@
         return all(self.runs(item_id("job", index)) for index in range(self.ITEMS))
 
     def check_results(self, gateway: str) -> None:
-        """Check that every item is listed once, and that none ran twice."""
+        """Check that every item is listed once and ran once."""
         results = self.rig.wait_results(gateway, "job", self.ITEMS)
         self.assertEqual(self.ITEMS, len({result["id"] for result in results}))
         self.assertEqual(self.ITEMS, len(results))
@@ -202,7 +205,7 @@
         self.rig.store.faults = FleetStoreFaults()
         began = time.monotonic()
         self.check_results("gateway-1")
-        # A probe, a call from before that is given up, and the append.
+        # A probe, an earlier call that times out, and the append.
         self.assertLess(
             time.monotonic() - began, self.LONGEST_PROBE_S + 2 * CALL_TIMEOUT_S + self.SETTLE_S
         )
@@ -225,7 +228,7 @@
         calls = [count.guarded_calls() for count in counts]
         self.rig.store.faults = FleetStoreFaults()
         self.check_results("gateway-1")
-        # A call of the job, of its ledger and of a reader may be under way at the opening.
+        # One call each of the job, its ledger and a reader may be in progress at the opening.
         opening = OPEN_AFTER_FAILURES + 3
         self.assertLessEqual(max(calls), opening + most_probes(AWAY_S, self.LONGEST_PROBE_S))
 
@@ -251,7 +254,7 @@
         self.rig.store.put("config", "main", configuration(2))
         wait_until(
             lambda: all(one.control.routes.version == 2 for one in self.rig.gateways.values()),
-            "it is in force",
+            "the configuration is in force",
             CONFIGURATION_S,
         )
 
--- a/tests/test_store_reader.py
+++ b/tests/test_store_reader.py
@@ -1,4 +1,4 @@
-"""Who reads the platform's store, and how little it costs those who need not."""
+"""When a gateway reads the platform's store, and that its idle checks stay cheap."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class StoreReaderTest(unittest.TestCase):
-    """One gateway's reader; what others read confirms it as well."""
+    """The reader of one gateway; the tests simulate confirmations by other gateways."""
 
     def setUp(self):
         self.confirmed_at = time.monotonic()
@@ -41,14 +41,14 @@
         self.assertGreaterEqual(min(pauses), INTERVAL_S)
 
     def test_no_rank_is_worked_out_while_others_confirm(self):
-        """A rank hashes every gateway's name; it was worked out 20 times a second."""
+        """Computing a rank hashes the names of all gateways, too costly for each check."""
         self.reader.start()
         until = time.monotonic() + 5 * INTERVAL_S
         while time.monotonic() < until:
             self.confirmed_at = time.monotonic()
             time.sleep(INTERVAL_S / 30)
         self.assertEqual([], self.reads)
-        # One if this machine kept the test from confirming for as long as the interval.
+        # One is allowed: a slow machine may delay a confirmation for longer than the interval.
         self.assertLessEqual(self.ranks, 1)
 
     def test_the_next_look_is_when_a_read_can_be_due(self):
--- a/tests/test_store_sharing.py
+++ b/tests/test_store_sharing.py
@@ -1,4 +1,7 @@
-"""Calls of the store by way of other gateways: "refused" is said only where nobody has done it."""
+"""Calls to the store through other gateways.
+
+A write is reported as refused only if no gateway can have made it.
+"""
 
 from __future__ import annotations
 
@@ -34,7 +37,7 @@
 
 
 class _Store:
-    """A store whose writes all come to the same."""
+    """A store whose writes all return the same result."""
 
     def __init__(self, result) -> None:
         self._result = result
@@ -44,7 +47,7 @@
 
 
 class _Peers:
-    """Both ends: registers the handler, and answers calls in turn."""
+    """Peer client and server: registers the handler, and returns the given replies in order."""
 
     def __init__(self, replies=()) -> None:
         self._replies = list(replies)
@@ -63,30 +66,30 @@
 
 
 def helper_says(result):
-    """Return what a helper answers when its own write comes to a result."""
+    """Return the reply of a helper whose own write has the given result."""
     peers = _Peers()
     SharingStore(_Store(result), peers, peers, lambda: ())
     return peers.handler(StoreCall(ObjectKind.JOB_LISTINGS.name, "name", "spec", 6))
 
 
 class SharingTest(unittest.TestCase):
-    """A write that this gateway's own way refuses or does not answer."""
+    """A write that the store refuses or does not answer when this gateway calls it directly."""
 
     @params(
-        ("nobody may have done it", REFUSED, (PEER_REFUSED, UNREACHABLE), StoreRefused),
-        ("own way unanswered", UNANSWERED, (PEER_REFUSED, PEER_REFUSED), StoreUnanswered),
+        ("no gateway can have made the write", REFUSED, (PEER_REFUSED, UNREACHABLE), StoreRefused),
+        ("direct call unanswered", UNANSWERED, (PEER_REFUSED, PEER_REFUSED), StoreUnanswered),
         ("a helper does not reply", REFUSED, (NO_REPLY, PEER_REFUSED), StoreUnanswered),
         (
-            "a helper is not answered",
+            "the store does not answer a helper",
             REFUSED,
             (helper_says(UNANSWERED), PEER_REFUSED),
             StoreUnanswered,
         ),
-        ("a helper is refused", REFUSED, (helper_says(REFUSED), PEER_REFUSED), StoreRefused),
-        ("helpers of an old build", REFUSED, (OLD_REFUSAL, OLD_REFUSAL), StoreRefused),
-        ("a helper did it", REFUSED, (NO_REPLY, helper_says(STORED)), StoredObject),
+        ("the store refuses a helper", REFUSED, (helper_says(REFUSED), PEER_REFUSED), StoreRefused),
+        ("helpers run an old build", REFUSED, (OLD_REFUSAL, OLD_REFUSAL), StoreRefused),
+        ("a helper made the write", REFUSED, (NO_REPLY, helper_says(STORED)), StoredObject),
         (
-            "a helper met another's write",
+            "a helper met a conflict",
             REFUSED,
             (helper_says(RevisionConflict(STORED)),),
             RevisionConflict,
@@ -99,11 +102,11 @@
         self.assertIsInstance(result, expected)
 
     def test_helper_that_holds_back_says_for_how_long(self) -> None:
-        refusal = helper_says(StoreRefused("the store is away", 1.2))
-        self.assertEqual(PeerRefusal("the store is away", 1.2), refusal)
+        refusal = helper_says(StoreRefused("the store is unavailable", 1.2))
+        self.assertEqual(PeerRefusal("the store is unavailable", 1.2), refusal)
 
     def test_nobody_is_asked_while_all_hold_back(self) -> None:
-        holds_back = PeerRefusal("the store is away", 60.0)
+        holds_back = PeerRefusal("the store is unavailable", 60.0)
         peers = _Peers((holds_back, holds_back))
         store = SharingStore(_Store(REFUSED), peers, peers, lambda: HELPERS)
         for _ in range(3):
