--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -23,7 +23,7 @@
     "quaymill-quota-ledgers",
     "quaymill-barred-requests",
 )
-LATER_MS = 60_000
+START_DELAY_MS = 60_000
 
 
 class FleetCase(unittest.TestCase):
@@ -46,7 +46,7 @@
 class ForeignEntryTest(FleetCase):
     """Objects that were not written by a replica."""
 
-    def test_they_name_no_replica_and_hide_none(self) -> None:
+    def test_foreign_objects_are_ignored_and_hide_no_replica(self) -> None:
         for number, spec in enumerate(FOREIGN):
             self.rig.store.put("servers", f"a-foreign-{number}", spec)
         added = self.rig.add_replica("application", "zone-c")
@@ -62,7 +62,7 @@
             "a new gateway lists all replicas",
         )
 
-    def test_under_a_replicas_name_its_last_good_word_holds_for_a_while(self) -> None:
+    def test_last_valid_entry_is_kept_for_a_while_after_an_overwrite(self) -> None:
         replica = self.rig.of_service("application")[0]
         self.rig.store.put("servers", replica.id, {"service": 7})
         added = self.rig.add_replica("application", "zone-c")
@@ -77,18 +77,18 @@
             lambda: replica.id in self.listed("gateway-0"), "it is listed again by its own entry"
         )
 
-    def test_a_configuration_that_cannot_be_read_leaves_the_earlier_one(self) -> None:
+    def test_unreadable_configuration_leaves_the_earlier_one_in_force(self) -> None:
         self.rig.store.put("config", "main", {"version": "x"})
         added = self.rig.add_replica("application", "zone-c")
         wait_until(lambda: added.id in self.listed("gateway-0"), "replicas are still read")
         self.assertTrue(self.is_served("gateway-0"))
-        more = route("added", "/added/", "idempotent", service="application")
-        self.rig.store.put("config", "main", configuration(5, (*ROUTES, more)))
+        added_route = route("added", "/added/", "idempotent", service="application")
+        self.rig.store.put("config", "main", configuration(5, (*ROUTES, added_route)))
         wait_until(
             lambda: self.is_served("gateway-1", "/added/x"), "the next configuration is in force"
         )
 
-    def test_under_kinds_of_our_own(self) -> None:
+    def test_foreign_objects_of_our_own_kinds_do_not_stop_a_gateway(self) -> None:
         for kind in OWN_KINDS:
             for number, spec in enumerate(FOREIGN):
                 self.rig.store.put(kind, f"foreign-{number}", spec)
@@ -98,61 +98,61 @@
         wait_until(lambda: self.is_served("gateway-2"), "a new gateway serves")
 
 
-class SameIdCase(FleetCase):
+class RestartCase(FleetCase):
     """A replica that restarts with the same id and address."""
 
-    def start_again(self, replica: FleetReplica) -> FleetReplica:
+    def restart(self, replica: FleetReplica) -> FleetReplica:
         replica.crash()
         wait_until(replica.has_ended, "its port is free")
-        again = FleetReplica(replica.id, replica.service, replica.zone, port=replica.port)
-        again.behaviour = replica.behaviour
-        again.born_ms = replica.born_ms + LATER_MS
-        again.start()
-        self.rig.replicas[replica.id] = again
-        self.rig.store.put("servers", again.id, again.entry(seq=0))
+        restarted = FleetReplica(replica.id, replica.service, replica.zone, port=replica.port)
+        restarted.behaviour = replica.behaviour
+        restarted.born_ms = replica.born_ms + START_DELAY_MS
+        restarted.start()
+        self.rig.replicas[replica.id] = restarted
+        self.rig.store.put("servers", restarted.id, restarted.entry(seq=0))
         for name in self.rig.gateways:
             wait_until(
-                lambda name=name: self.born(name, again.id) == again.born_ms,
+                lambda name=name: self.listed_start_ms(name, restarted.id) == restarted.born_ms,
                 f"{name} lists the new start",
             )
-        return again
+        return restarted
 
-    def born(self, gateway: str, replica_id: str) -> int:
+    def listed_start_ms(self, gateway: str, replica_id: str) -> int:
         return self.rig.gateways[gateway].control._table.get(replica_id).entry.born_ms
 
 
-class SameIdTest(SameIdCase):
+class RestartTest(RestartCase):
     """Which state of a replica applies after its restart."""
 
-    def test_it_is_served_by_at_once_whatever_was_known(self) -> None:
+    def test_restarted_replica_serves_at_once_despite_earlier_failures(self) -> None:
         engine = self.rig.of_service("engine")[0]
         for name in self.rig.gateways:
             self.rig.gateways[name].control._table.get(engine.id).record_failure(9.0)
-        again = self.start_again(engine)
+        restarted = self.restart(engine)
         for name in self.rig.gateways:
             self.assertFalse(self.rig.gateways[name].control._table.get(engine.id).avoided)
             answer = self.rig.ask(name, "/stream/x", f"again-{name}", tokens=True)
             self.assertEqual(200, answer.status)
-            self.assertEqual(1, len(again.runs_of(f"again-{name}")))
+            self.assertEqual(1, len(restarted.runs_of(f"again-{name}")))
 
-    def test_each_start_that_crashes_counts(self) -> None:
+    def test_crashes_of_all_starts_are_counted(self) -> None:
         engine = self.rig.of_service("engine")[0]
         engine.behaviour = ReplicaBehaviour(crash_suffix="crash")
         for number in range(MAX_CRASHES):
             self.rig.ask("gateway-0", "/stream/crash", f"crash-{number}", tokens=True)
             self.assertTrue(engine.crashed)
-            engine = self.start_again(engine)
+            engine = self.restart(engine)
         answer = self.rig.ask("gateway-1", "/stream/crash", "crash-late", tokens=True)
         self.assertEqual(503, answer.status)
         self.assertEqual([], engine.runs)
 
 
-class AtWorkTest(SameIdCase):
+class RestartWhileRunningTest(RestartCase):
     """Work that a replica was running when it restarted."""
 
     STORAGE = 3
 
-    def test_an_item_is_done_by_the_next_start(self) -> None:
+    def test_item_is_run_by_the_restarted_replica(self) -> None:
         engine = self.rig.of_service("engine")[0]
         engine.behaviour = ReplicaBehaviour(event_s=0.5)
         self.assertEqual(202, self.rig.submit("gateway-0", "job", 1).status)
@@ -160,10 +160,10 @@
         wait_until(
             lambda: any(run.events_made for run in engine.runs_of(item)), "an event of the item"
         )
-        again = self.start_again(engine)
+        restarted = self.restart(engine)
         results = self.rig.wait_results("gateway-1", "job", 1)
         self.assertEqual([whole_text(item)], [result["message"] for result in results])
-        self.assertEqual(1, len(again.runs_of(item)))
+        self.assertEqual(1, len(restarted.runs_of(item)))
 
     def test_a_call_that_may_not_be_repeated_runs_once(self) -> None:
         first = self.rig.of_service("application")[0]
@@ -174,6 +174,6 @@
         with ThreadPoolExecutor(1) as executor:
             asked = executor.submit(self.rig.ask, "gateway-0", "/write/x", "once")
             wait_until(lambda: first.runs_of("once"), "the call runs")
-            again = self.start_again(first)
+            restarted = self.restart(first)
             self.assertEqual(502, asked.result().status)
-        self.assertEqual([], again.runs_of("once"))
+        self.assertEqual([], restarted.runs_of("once"))
--- a/tests/test_store_outage.py
+++ b/tests/test_store_outage.py
@@ -33,20 +33,20 @@
 GATEWAYS = 50
 JOBS_EACH = 2
 ITEMS = 12
-AWAY_S = 5.0
+OUTAGE_S = 5.0
 CONFIGURATION_S = Bounds().configuration_ms / MS_PER_S
 ITEM_S = 0.5
 """Time between the ends of two items of a job."""
 
 
-def most_probes(away_s: float, longest_s: float) -> int:
+def max_probes(outage_s: float, max_delay_s: float) -> int:
     """Return the largest number of probes that a gateway makes, with the shortest delays."""
     probes = 0
     pause_s = FIRST_PROBE_DELAY_S
     at = 0.0
-    while (at := at + (1.0 - PROBE_JITTER) * pause_s) < away_s:
+    while (at := at + (1.0 - PROBE_JITTER) * pause_s) < outage_s:
         probes += 1
-        pause_s = min(longest_s, PROBE_GROWTH * pause_s)
+        pause_s = min(max_delay_s, PROBE_GROWTH * pause_s)
     return probes
 
 
@@ -83,18 +83,18 @@
         """Read the configuration as the gateway that reads for all does."""
         self.fleet.gateways["g0"].circuit.get(ObjectKind.CONFIGURATION, "main")
 
-    def test_everybody_is_turned_away(self) -> None:
+    def test_all_gateways_are_refused(self) -> None:
         self.end_items(time.monotonic() + ITEM_S)
         wait_until(self.all_listed, "the first items are listed")
         self.store.calls.clear()
         self.store.refused = frozenset(self.fleet.gateways)
-        self.end_items(time.monotonic() + AWAY_S)
-        away_calls = self.store.calls.total()
+        self.end_items(time.monotonic() + OUTAGE_S)
+        outage_calls = self.store.calls.total()
         # One call of each job and one for each gateway that asks for help may be in progress at
         # the opening.
         before_opening = OPEN_AFTER_FAILURES + JOBS_EACH + MAX_HELPERS_ASKED
-        probes = most_probes(AWAY_S + ITEM_S, self.fleet.longest_probe_s)
-        self.assertLessEqual(away_calls, GATEWAYS * (before_opening + probes))
+        probes = max_probes(OUTAGE_S + ITEM_S, self.fleet.longest_probe_s)
+        self.assertLessEqual(outage_calls, GATEWAYS * (before_opening + probes))
 
         self.store.calls.clear()
         self.store.refused = frozenset()
@@ -109,32 +109,32 @@
         for name in self.jobs:
             self.assertEqual(list(range(self.ended)), sorted(self.fleet.listed(name)))
 
-    def test_one_gateway_is_turned_away(self) -> None:
+    def test_one_gateway_is_refused(self) -> None:
         self.store.refused = frozenset({"g0"})
         began = time.monotonic()
-        self.end_items(began + AWAY_S)
+        self.end_items(began + OUTAGE_S)
         wait_until(
             self.all_listed, "all results are listed, also those of the refused gateway", 2.0
         )
-        probes = most_probes(time.monotonic() - began, self.fleet.longest_probe_s)
+        probes = max_probes(time.monotonic() - began, self.fleet.longest_probe_s)
         most = OPEN_AFTER_FAILURES + JOBS_EACH + probes
         self.assertLessEqual(self.store.calls["g0"], most)
         self.assertFalse(any(self.fleet.gateways[name].circuit.is_open for name in ("g1", "g2")))
 
-    def test_half_of_the_gateways_are_turned_away(self) -> None:
+    def test_half_of_the_gateways_are_refused(self) -> None:
         names = list(self.fleet.gateways)
         self.store.refused = frozenset(names[: GATEWAYS // 2])
-        self.end_items(time.monotonic() + AWAY_S)
+        self.end_items(time.monotonic() + OUTAGE_S)
         wait_until(self.all_listed, "all results are listed", 2 * self.fleet.settle_s)
         appends = len(self.jobs) * self.ended
         refused = sum(self.store.calls[name] for name in self.store.refused)
-        probes = most_probes(AWAY_S + 2 * self.fleet.settle_s, self.fleet.longest_probe_s)
+        probes = max_probes(OUTAGE_S + 2 * self.fleet.settle_s, self.fleet.longest_probe_s)
         most_refused = GATEWAYS / 2 * (OPEN_AFTER_FAILURES + JOBS_EACH + MAX_HELPERS_ASKED + probes)
         self.assertLessEqual(refused, most_refused)
         self.assertLessEqual(self.store.calls.total() - refused, math.ceil(1.1 * appends))
 
 
-class _TurnedAway:
+class _RefusingStore:
     """A store that refuses the calls of one gateway for some kinds of objects.
 
     Attributes
@@ -167,17 +167,19 @@
 
     ITEMS = 12
     SETTLE_S = 1.0
-    LONGEST_PROBE_S = 1.0
+    MAX_PROBE_DELAY_S = 1.0
     """Follows from the bounds of the rig."""
 
     def setUp(self) -> None:
         super().setUp()
         self.slow_engines(0.05, 10)
 
-    def turn_away(self, gateway: str, kinds: Iterable[ObjectKind] = ObjectKind) -> _TurnedAway:
+    def refuse_gateway(
+        self, gateway: str, kinds: Iterable[ObjectKind] = ObjectKind
+    ) -> _RefusingStore:
         """Let the store refuse the calls of one gateway."""
         store = self.rig.gateways[gateway]._circuit_store
-        store._own = _TurnedAway(store._own, frozenset(kinds))
+        store._own = _RefusingStore(store._own, frozenset(kinds))
         return store._own
 
     def all_run(self) -> bool:
@@ -196,18 +198,18 @@
         ("silent", FleetStoreFaults(silent=True)),
         ("late", FleetStoreFaults(late_writes_s=CALL_TIMEOUT_S + 0.5)),
     )
-    def test_results_are_listed_soon_after_the_return(self, _, faults) -> None:
+    def test_results_are_listed_soon_after_the_recovery(self, _, faults) -> None:
         self.rig.submit("gateway-0", "job", self.ITEMS)
         self.rig.wait_results("gateway-1", "job", 1)
         self.rig.store.faults = faults
         wait_until(self.all_run, "all items run")
-        time.sleep(AWAY_S / 2)
+        time.sleep(OUTAGE_S / 2)
         self.rig.store.faults = FleetStoreFaults()
         began = time.monotonic()
         self.check_results("gateway-1")
         # A probe, an earlier call that times out, and the append.
         self.assertLess(
-            time.monotonic() - began, self.LONGEST_PROBE_S + 2 * CALL_TIMEOUT_S + self.SETTLE_S
+            time.monotonic() - began, self.MAX_PROBE_DELAY_S + 2 * CALL_TIMEOUT_S + self.SETTLE_S
         )
         wait_until(
             lambda: not any(one._circuit_store.is_open for one in self.rig.gateways.values()),
@@ -215,12 +217,12 @@
             CONFIGURATION_S,
         )
 
-    def test_calls_while_it_refuses(self) -> None:
+    def test_number_of_calls_while_the_store_refuses(self) -> None:
         self.rig.submit("gateway-0", "job", self.ITEMS)
         self.rig.wait_results("gateway-1", "job", 1)
-        counts = [self.turn_away(gateway, ()) for gateway in self.rig.gateways]
+        counts = [self.refuse_gateway(gateway, ()) for gateway in self.rig.gateways]
         self.rig.store.faults = FleetStoreFaults(down=True)
-        until = time.monotonic() + AWAY_S
+        until = time.monotonic() + OUTAGE_S
         while time.monotonic() < until:
             for gateway in self.rig.gateways:
                 self.rig.read_results(gateway, "job", self.ITEMS)
@@ -230,23 +232,23 @@
         self.check_results("gateway-1")
         # One call each of the job, its ledger and a reader may be in progress at the opening.
         opening = OPEN_AFTER_FAILURES + 3
-        self.assertLessEqual(max(calls), opening + most_probes(AWAY_S, self.LONGEST_PROBE_S))
+        self.assertLessEqual(max(calls), opening + max_probes(OUTAGE_S, self.MAX_PROBE_DELAY_S))
 
-    def test_gateway_that_is_turned_away_alone_lists_by_another(self) -> None:
-        turned_away = self.turn_away("gateway-0")
+    def test_refused_gateway_lists_through_another(self) -> None:
+        refused_store = self.refuse_gateway("gateway-0")
         began = time.monotonic()
         self.rig.submit("gateway-0", "job", self.ITEMS)
         self.check_results("gateway-1")
         self.check_results("gateway-0")
         self.assertTrue(self.rig.gateways["gateway-0"]._circuit_store.is_open)
         self.assertFalse(self.rig.gateways["gateway-1"]._circuit_store.is_open)
-        probes = most_probes(time.monotonic() - began, self.LONGEST_PROBE_S)
+        probes = max_probes(time.monotonic() - began, self.MAX_PROBE_DELAY_S)
         most = OPEN_AFTER_FAILURES + 3 + probes
-        self.assertLessEqual(turned_away.guarded_calls(), most)
+        self.assertLessEqual(refused_store.guarded_calls(), most)
 
-    def test_configuration_comes_into_force_while_appends_are_held_back(self) -> None:
+    def test_configuration_comes_into_force_while_appends_are_rejected(self) -> None:
         for gateway in self.rig.gateways:
-            self.turn_away(gateway, GUARDED_KINDS)
+            self.refuse_gateway(gateway, GUARDED_KINDS)
         self.rig.submit("gateway-0", "job", self.ITEMS)
         wait_until(
             lambda: self.rig.gateways["gateway-0"]._circuit_store.is_open, "the circuit is open"
@@ -258,7 +260,7 @@
             CONFIGURATION_S,
         )
 
-    def test_job_handed_over_meanwhile_runs_nothing_again_that_is_listed(self) -> None:
+    def test_job_handed_over_during_an_outage_repeats_no_listed_item(self) -> None:
         self.rig.submit("gateway-0", "job", self.ITEMS)
         before = self.rig.wait_results("gateway-1", "job", 3)
         self.rig.store.faults = FleetStoreFaults(down=True)
@@ -271,7 +273,7 @@
         for result in before:
             self.assertEqual(1, len(self.runs(result["id"])))
 
-    def test_adoption_reads_no_order_that_was_told(self) -> None:
+    def test_adoption_does_not_read_a_listing_that_it_received(self) -> None:
         self.rig.submit("gateway-0", "job", self.ITEMS)
         self.rig.wait_results("gateway-1", "job", 3)
         with mock.patch.object(ResultPublisher, "_read_listing") as read:
--- a/tests/test_store_reader.py
+++ b/tests/test_store_reader.py
@@ -18,7 +18,7 @@
     def setUp(self):
         self.confirmed_at = time.monotonic()
         self.reads: list[float] = []
-        self.ranks = 0
+        self.rank_calls = 0
         self.reader = StoreReader(self._read, self._age_s, self._rank, INTERVAL_S)
         self.addCleanup(self.reader.stop)
 
@@ -31,7 +31,7 @@
         return time.monotonic() - self.confirmed_at
 
     def _rank(self) -> int:
-        self.ranks += 1
+        self.rank_calls += 1
         return 0
 
     def test_reads_again_once_nobody_has_confirmed_for_the_interval(self):
@@ -40,7 +40,7 @@
         pauses = [late - early for early, late in zip(self.reads, self.reads[1:], strict=False)]
         self.assertGreaterEqual(min(pauses), INTERVAL_S)
 
-    def test_no_rank_is_worked_out_while_others_confirm(self):
+    def test_rank_is_not_computed_while_others_confirm(self):
         """Computing a rank hashes the names of all gateways, too costly for each check."""
         self.reader.start()
         until = time.monotonic() + 5 * INTERVAL_S
@@ -49,9 +49,9 @@
             time.sleep(INTERVAL_S / 30)
         self.assertEqual([], self.reads)
         # One is allowed: a slow machine may delay a confirmation for longer than the interval.
-        self.assertLessEqual(self.ranks, 1)
+        self.assertLessEqual(self.rank_calls, 1)
 
-    def test_the_next_look_is_when_a_read_can_be_due(self):
+    def test_next_check_is_when_a_read_can_be_due(self):
         self.confirmed_at = time.monotonic() - INTERVAL_S / 3
         self.assertAlmostEqual(INTERVAL_S * 2 / 3, self.reader._next_check_s(), delta=0.05)
         self.confirmed_at = float("-inf")
--- a/tests/test_store_sharing.py
+++ b/tests/test_store_sharing.py
@@ -25,14 +25,14 @@
 from quaymill.connection.store_messages import StoreCall
 from quaymill.process.control.store_sharing import SharingStore
 
-PLACE = Endpoint("127.0.0.1", 1)
-PLACES = {"a": PLACE, "b": Endpoint("127.0.0.1", 2)}
-HELPERS = tuple(Member(name, "zone", "region", at, at) for name, at in PLACES.items())
+ENDPOINT = Endpoint("127.0.0.1", 1)
+ENDPOINTS = {"a": ENDPOINT, "b": Endpoint("127.0.0.1", 2)}
+HELPERS = tuple(Member(name, "zone", "region", at, at) for name, at in ENDPOINTS.items())
 REFUSED = StoreRefused("503")
 UNANSWERED = StoreUnanswered("nothing came")
 STORED = StoredObject("name", 7, "spec")
-NO_REPLY = PeerNoReply(PLACE, "nothing came")
-UNREACHABLE = PeerUnreachable(PLACE, "no route")
+NO_REPLY = PeerNoReply(ENDPOINT, "nothing came")
+UNREACHABLE = PeerUnreachable(ENDPOINT, "no route")
 PEER_REFUSED = PeerRefusal("503")
 
 
@@ -65,7 +65,7 @@
 OLD_REFUSAL = msgspec.json.decode(b'{"kind":"PeerRefusal","reason":"503"}', type=PeerRefusal)
 
 
-def helper_says(result):
+def helper_reply(result):
     """Return the reply of a helper whose own write has the given result."""
     peers = _Peers()
     SharingStore(_Store(result), peers, peers, lambda: ())
@@ -82,39 +82,44 @@
         (
             "the store does not answer a helper",
             REFUSED,
-            (helper_says(UNANSWERED), PEER_REFUSED),
+            (helper_reply(UNANSWERED), PEER_REFUSED),
             StoreUnanswered,
         ),
-        ("the store refuses a helper", REFUSED, (helper_says(REFUSED), PEER_REFUSED), StoreRefused),
+        (
+            "the store refuses a helper",
+            REFUSED,
+            (helper_reply(REFUSED), PEER_REFUSED),
+            StoreRefused,
+        ),
         ("helpers run an old build", REFUSED, (OLD_REFUSAL, OLD_REFUSAL), StoreRefused),
-        ("a helper made the write", REFUSED, (NO_REPLY, helper_says(STORED)), StoredObject),
+        ("a helper made the write", REFUSED, (NO_REPLY, helper_reply(STORED)), StoredObject),
         (
             "a helper met a conflict",
             REFUSED,
-            (helper_says(RevisionConflict(STORED)),),
+            (helper_reply(RevisionConflict(STORED)),),
             RevisionConflict,
         ),
     )
-    def test_write(self, _, own, replies, expected) -> None:
+    def test_write(self, _, local_result, replies, expected) -> None:
         peers = _Peers(replies)
-        store = SharingStore(_Store(own), peers, peers, lambda: HELPERS)
+        store = SharingStore(_Store(local_result), peers, peers, lambda: HELPERS)
         result = store.replace(ObjectKind.JOB_LISTINGS, "name", "spec", 6)
         self.assertIsInstance(result, expected)
 
-    def test_helper_that_holds_back_says_for_how_long(self) -> None:
-        refusal = helper_says(StoreRefused("the store is unavailable", 1.2))
+    def test_helper_with_an_open_circuit_returns_its_retry_time(self) -> None:
+        refusal = helper_reply(StoreRefused("the store is unavailable", 1.2))
         self.assertEqual(PeerRefusal("the store is unavailable", 1.2), refusal)
 
-    def test_nobody_is_asked_while_all_hold_back(self) -> None:
-        holds_back = PeerRefusal("the store is unavailable", 60.0)
-        peers = _Peers((holds_back, holds_back))
+    def test_none_is_asked_while_the_circuits_of_all_are_open(self) -> None:
+        open_circuit_refusal = PeerRefusal("the store is unavailable", 60.0)
+        peers = _Peers((open_circuit_refusal, open_circuit_refusal))
         store = SharingStore(_Store(REFUSED), peers, peers, lambda: HELPERS)
         for _ in range(3):
             result = store.replace(ObjectKind.JOB_LISTINGS, "name", "spec", 6)
             self.assertEqual(REFUSED, result)
 
-    def test_who_helped_is_asked_first_the_next_time(self) -> None:
-        done = helper_says(STORED)
+    def test_last_helper_is_asked_first(self) -> None:
+        done = helper_reply(STORED)
         peers = _Peers([PEER_REFUSED] + 5 * [done])
         store = SharingStore(_Store(REFUSED), peers, peers, lambda: HELPERS)
         for _ in range(5):
@@ -122,6 +127,6 @@
         self.assertEqual(1, len(set(peers.asked[1:])))
 
     @params(CallRejected("413"), ObjectUnreadable("torn"))
-    def test_others_are_not_asked_for_what_would_be_so_for_everybody(self, result) -> None:
+    def test_helpers_are_not_asked_after_a_failure_that_they_would_share(self, result) -> None:
         store = SharingStore(_Store(result), _Peers(), _Peers(), lambda: HELPERS)
         self.assertEqual(result, store.replace(ObjectKind.JOB_LISTINGS, "name", "spec", 6))
