--- a/src/quaymill/process/control/store_circuit.py
+++ b/src/quaymill/process/control/store_circuit.py
@@ -128,7 +128,7 @@
 
     Attributes
     ----------
-    longest_probe_s
+    max_probe_delay_s
         Upper bound of the delay between two probes.
     uniform
         Returns a random number between two bounds.
@@ -217,13 +217,13 @@
 
     Attributes
     ----------
-    others_served_age_s
+    last_answer_age_s
         Returns how long ago the store is known to have answered any gateway.
     gateways
         Returns the number of live gateways.
     writes_per_s
         Calls per second that the store accepts from all gateways together.
-    longest_spread_s
+    max_spread_s
         Longest time over which waiting calls are spread.
     """
 
@@ -238,7 +238,7 @@
 
     Attributes
     ----------
-    calls_saved
+    rejected_calls
         Number of calls rejected without reaching the store, since the start.
     """
 
