--- a/src/quaymill/process/job_storage/database.py
+++ b/src/quaymill/process/job_storage/database.py
@@ -1,7 +1,7 @@
-"""Jobs and contents of results in SQLite; a write returns once it is on the disk.
+"""Jobs, results and progress in SQLite; a write returns once it is durable on the disk.
 
-Rows are written once and never changed, apart from two flags of a job that are only raised, and
-the name of who runs it.
+Rows of jobs and results are not updated, except a job's coordinator and two flags that are set
+once. Rows of progress may be replaced.
 """
 
 from __future__ import annotations
@@ -58,41 +58,41 @@
 CREATE TABLE IF NOT EXISTS early_ends (job_id TEXT PRIMARY KEY) WITHOUT ROWID;
 """
 ADDED_JOB_COLUMNS = {"tenant": "TEXT"}
-"""Columns that the table of jobs lacks on disks of earlier versions."""
+"""Columns that databases of earlier versions lack in the table of jobs."""
 PAGE_CACHE_KIB = 2048
 
 
 @attrs.define
 class HeldResults:
-    """Which contents of results of one job are here, also where the job itself is not.
+    """Summary of the stored results of one job, which may itself not be stored here.
 
     Attributes
     ----------
     items
-        Bit mask over the indexes of the items.
+        Bit mask of the indexes of items that have a result.
     digest
-        Stands for the set of contents; 0 for none.
+        Digest of the set of results, independent of their order; 0 if there are none.
     """
 
     items: int = 0
     digest: int = 0
 
     def add(self, index: int, digest: str) -> None:
-        """Count a content that was not here before."""
+        """Add a result that was not stored before."""
         self.items |= 1 << index
         self.digest ^= xxhash.xxh3_64_intdigest(f"{index}/{digest}".encode())
 
 
 @attrs.define
 class JobRecord:
-    """What is kept in memory of each job.
+    """In-memory record of a stored job.
 
     Attributes
     ----------
     sent_at
-        Monotonic time when the job was first sent, as well as it is known.
+        Estimated monotonic time at which the job was first sent.
     results
-        Which contents of results are here.
+        Summary of the stored results.
     """
 
     id: str
@@ -105,12 +105,12 @@
 
 
 class JobDatabase:
-    """The jobs of one storage node; safe to use from any thread.
+    """The database of one storage node; thread-safe.
 
     Parameters
     ----------
     folder
-        Where the database lies; made if it is not there.
+        Folder of the database file; created if it does not exist.
     """
 
     def __init__(self, folder: Path) -> None:
@@ -121,7 +121,7 @@
         self._connection.execute("PRAGMA synchronous = FULL")
         self._connection.executescript(SCHEMA)
         self._add_missing_columns()
-        # Reads have a connection of their own: they go on while a write waits for the disk.
+        # A separate connection lets reads continue while a write waits for the disk.
         self._read_lock = threading.Lock()
         self._reader = _connect(folder / FILE_NAME)
         self.by_id: dict[str, JobRecord] = {}
@@ -129,7 +129,7 @@
         self._load()
 
     def store_job(self, job: Job, coordinator: str, ended: bool = False) -> JobRecord:
-        """Keep a job, unless it is here already; return its record."""
+        """Store a job unless it is stored already; return its record."""
         with self._lock:
             record = self.by_id.get(job.id)
             if record is not None:
@@ -169,7 +169,7 @@
             return record
 
     def store_results(self, job_id: str, results: Iterable[KeyedResult]) -> None:
-        """Keep contents of results; those that are here already stay as they are."""
+        """Store results; those that are stored already are not changed."""
         rows = [
             (
                 job_id,
@@ -192,12 +192,12 @@
                 self._results_by_job[job_id].add(index, digest)
 
     def has_results_beyond(self, job_id: str, items: int) -> bool:
-        """Return whether a result of an item is here that a bit mask of items lacks."""
+        """Return whether a result is stored whose item is not in the bit mask ``items``."""
         held = self._results_by_job.get(job_id)
         return held is not None and bool(held.items & ~items)
 
     def store_progress(self, job_id: str, lineage: str, progress: Iterable[ItemProgress]) -> None:
-        """Keep what runs have brought so far, unless the job is over or not here."""
+        """Store the progress of running items, unless the job is over or not stored here."""
         record = self.by_id.get(job_id)
         if record is None or record.ended or record.complete:
             return
@@ -219,7 +219,7 @@
             )
 
     def progress(self, job_id: str) -> tuple[ItemProgress, ...]:
-        """Return what is known of a job's unfinished items: of each its longest lineage."""
+        """Return the progress of a job's unfinished items; of each item its longest lineage."""
         with self._read_lock:
             rows = self._reader.execute(
                 "SELECT item_index, lineage, first, last_event_id, texts, failures FROM progress"
@@ -239,7 +239,7 @@
         return tuple(longest.values())
 
     def end_job(self, job_id: str) -> JobRecord | None:
-        """Mark a job as ended, also one that is not here yet; return its record."""
+        """Mark a job as ended, even if it is not stored yet; return its record, if any."""
         with self._lock:
             record = self.by_id.get(job_id)
             if record is not None and record.ended:
@@ -256,7 +256,7 @@
             return record
 
     def set_coordinator(self, job_id: str, coordinator: str) -> None:
-        """Note who runs a job now: after a start it tells whose end to look for."""
+        """Store the coordinator that runs a job, so that its end is noticed after a restart."""
         with self._lock:
             record = self.by_id.get(job_id)
             if record is None or record.coordinator == coordinator:
@@ -268,7 +268,7 @@
             record.coordinator = coordinator
 
     def complete_job(self, job_id: str) -> None:
-        """Note that all items of a job are listed."""
+        """Mark a job as complete: all of its items are listed."""
         with self._lock:
             record = self.by_id.get(job_id)
             if record is None or record.complete:
@@ -279,7 +279,7 @@
             record.complete = True
 
     def job(self, job_id: str) -> Job | None:
-        """Return a whole job."""
+        """Return a job with its document; ``None`` if it is not stored."""
         record = self.by_id.get(job_id)
         with self._read_lock:
             row = self._reader.execute(
@@ -298,7 +298,7 @@
         )
 
     def results(self, job_id: str, keys: Iterable[ResultKey]) -> tuple[KeyedResult, ...]:
-        """Return those of the contents asked for that are here."""
+        """Return the results for those of the given keys that are stored."""
         found = []
         with self._read_lock:
             for key in keys:
@@ -313,7 +313,7 @@
         return tuple(found)
 
     def result_keys(self, job_id: str) -> tuple[ResultKey, ...]:
-        """Return the keys of all contents of a job that are here."""
+        """Return the keys of all stored results of a job."""
         with self._read_lock:
             rows = self._reader.execute(
                 "SELECT item_index, digest FROM results WHERE job_id = ?", (job_id,)
@@ -321,14 +321,14 @@
         return tuple(ResultKey(index, digest) for index, digest in rows)
 
     def size_bytes(self) -> int:
-        """Return the space that the database takes on the disk, without its log."""
+        """Return the size of the database file, without its write-ahead log."""
         with self._read_lock:
             (pages,) = self._reader.execute("PRAGMA page_count").fetchone()
             (page_bytes,) = self._reader.execute("PRAGMA page_size").fetchone()
         return pages * page_bytes
 
     def forget(self, job_id: str) -> None:
-        """Remove a job and its results."""
+        """Remove a job with its results and progress."""
         with self._lock, self._transaction():
             self._connection.execute("DELETE FROM jobs WHERE id = ?", (job_id,))
             self._connection.execute("DELETE FROM results WHERE job_id = ?", (job_id,))
@@ -355,7 +355,7 @@
             "SELECT id, total, coordinator, sent_at, ended, complete FROM jobs"
         ).fetchall()
         for job_id, total, coordinator, sent_at, ended, complete in rows:
-            # The time of day may have jumped: a job is never taken for younger than new.
+            # The wall clock may have been set back, which must not make an age negative.
             age_s = max(0.0, now - sent_at)
             self.by_id[job_id] = JobRecord(
                 job_id,
@@ -371,7 +371,7 @@
             self._results_by_job[job_id].add(index, digest)
 
     def _insert_result(self, row: tuple[str, int, str, str, str, str]) -> bool:
-        """Insert a result in the transaction under way; return whether it was not here before."""
+        """Insert a result in the current transaction; return whether it was not stored before."""
         cursor = self._connection.execute(
             "INSERT OR IGNORE INTO results VALUES (?, ?, ?, ?, ?, ?)", row
         )
@@ -382,7 +382,7 @@
 
 
 class _Transaction:
-    """Begins a write, and commits it or takes it back."""
+    """Context manager that begins a transaction and commits it, or rolls it back."""
 
     def __init__(self, connection: sqlite3.Connection) -> None:
         self._connection = connection
@@ -397,7 +397,7 @@
         try:
             self._connection.execute("COMMIT")
         except sqlite3.Error:
-            # The disk failed; without this no later write could begin.
+            # Without a rollback the next transaction could not begin.
             with contextlib.suppress(sqlite3.Error):
                 self._connection.execute("ROLLBACK")
             raise
--- a/src/quaymill/process/job_storage/leases.py
+++ b/src/quaymill/process/job_storage/leases.py
@@ -1,7 +1,7 @@
-"""The leases of coordinators on this storage node, on the monotonic clock.
+"""Leases of coordinators for jobs on this storage node, on the monotonic clock.
 
-A lease says that somebody runs a job. It is kept in memory only: after a start every job
-counts as leased for one full term, so that its coordinator has time to renew.
+A lease means that a coordinator runs the job. Leases are kept in memory only: after a start of the
+node every job counts as leased for one full term, so that its coordinator has time to renew.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class Leases:
-    """When the lease of each job runs out, and who holds it."""
+    """Expiry and holder of the lease of each job; thread-safe."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -24,7 +24,7 @@
         self._first_expiry = boot_clock.now() + LEASE_S
 
     def renew(self, job_ids: Iterable[str], holder: str) -> list[str]:
-        """Start a full term of each job's lease; return the jobs whose lease another has."""
+        """Renew each job's lease for a full term; return the jobs leased to another holder."""
         now = boot_clock.now()
         refused = []
         with self._lock:
@@ -39,46 +39,46 @@
         return refused
 
     def hand_over(self, job_id: str, holder: str, successor: str) -> None:
-        """Give a lease that ``holder`` has to its successor, for a full term."""
+        """Transfer a lease of ``holder`` to its successor for a full term."""
         with self._lock:
             if self._holder_by_job.get(job_id, holder) == holder:
                 self._expires_by_job[job_id] = boot_clock.now() + LEASE_S
                 self._holder_by_job[job_id] = successor
 
     def extend(self, job_id: str, left_s: float) -> None:
-        """Note that the lease still runs elsewhere."""
+        """Set the time left of a lease to that known to another node, in seconds."""
         with self._lock:
             self._expires_by_job[job_id] = boot_clock.now() + left_s
 
     def release(self, job_id: str, holder: str) -> None:
-        """End a lease at once, if ``holder`` has it."""
+        """End a lease at once if ``holder`` has it."""
         with self._lock:
             if self._holder_by_job.get(job_id, holder) == holder:
                 self._expires_by_job[job_id] = 0.0
 
     def forget(self, job_id: str) -> None:
-        """Drop what is known of a job."""
+        """Remove the lease of a job."""
         with self._lock:
             self._expires_by_job.pop(job_id, None)
             self._holder_by_job.pop(job_id, None)
             self._renewed_at_by_job.pop(job_id, None)
 
     def holder(self, job_id: str, recorded: str = "") -> str:
-        """Return who renewed last; ``recorded`` if nobody did since the start."""
+        """Return the holder of a job's lease; ``recorded`` if none is known since the start."""
         return self._holder_by_job.get(job_id, recorded)
 
     def renewed_at(self, job_id: str) -> float:
-        """Return when a lease was renewed last (monotonic); 0 if it was not since the start."""
+        """Return the monotonic time of the last renewal; 0 if there was none since the start."""
         return self._renewed_at_by_job.get(job_id, 0.0)
 
     def left_s(self, job_id: str, ended_holder: str = "") -> float:
-        """Return the time left, in seconds; 0 if there is none.
+        """Return the time left of a job's lease, in seconds; 0 if it has expired.
 
         Parameters
         ----------
         ended_holder
-            Process that had the lease and is known to have ended. Its lease does not count, nor
-            does the term after a start, which only waits for it to renew.
+            Process that held the lease and is known to have ended. Its lease is ignored, and so is
+            the initial term after the start of this node.
         """
         if ended_holder and self.holder(job_id) in ("", ended_holder):
             return 0.0
--- a/src/quaymill/process/job_storage/orphans.py
+++ b/src/quaymill/process/job_storage/orphans.py
@@ -1,8 +1,8 @@
-"""Finds jobs that nobody runs, and gives each to a gateway.
+"""Finds orphaned jobs, which no coordinator runs, and assigns each to a gateway.
 
-Of the storage nodes the one that ranks first for a job acts, and only when no other has
-heard from the coordinator either. A lease need not run out where the process that had it is known
-to have ended: its node runs another process now.
+Only the storage node that ranks first for a job does so, and only if no other storage node has a
+valid lease for it. A lease is ignored if the process that holds it is known to have ended because
+its node runs another process now.
 """
 
 from __future__ import annotations
@@ -28,22 +28,22 @@
 
 CHECK_INTERVAL_S = 0.2
 REPLACED_FOR_S = 0.3
-"""How long a node must have been seen with another process: gossip of a former one is over."""
+"""Time for which a node must have been seen with a new process; outdated gossip ends earlier."""
 ASK_TIMEOUT_S = 0.7
 ADOPT_TIMEOUT_S = 1.0
 
 
 class OrphanWatch:
-    """Looks for jobs whose lease has run out.
+    """Periodically assigns jobs whose lease has expired.
 
     Parameters
     ----------
     storage_nodes, gateways
-        Return the live nodes of each kind, none that is leaving.
+        Return the live nodes of each kind, except those that are leaving.
     is_replaced
-        Whether the node of a process is known to run another process now.
+        Returns whether the node of a process is known to run another process now.
     may_have_ended
-        Whether a process that is not heard may have ended; else its jobs stay its own.
+        Returns whether an unresponsive process may have ended; otherwise it keeps its jobs.
     """
 
     def __init__(
@@ -71,11 +71,11 @@
         self._stopping = threading.Event()
 
     def start(self) -> None:
-        """Begin to look."""
+        """Start the thread."""
         threading.Thread(target=self._watch, name="orphans", daemon=True).start()
 
     def stop(self) -> None:
-        """Look no more."""
+        """Stop checking."""
         self._stopping.set()
 
     def _watch(self) -> None:
@@ -83,7 +83,7 @@
             self.check()
 
     def check(self) -> None:
-        """Give away the jobs that nobody runs."""
+        """Assign the orphaned jobs for which this node is responsible."""
         open_jobs = [
             record
             for record in list(self._database.by_id.values())
@@ -104,7 +104,7 @@
         return self._leases.holder(record.id, record.coordinator)
 
     def _note_replaced(self, coordinators: set[str]) -> None:
-        """Note since when each coordinator's node has been seen with another process."""
+        """Record since when each coordinator's node has been seen with another process."""
         now = boot_clock.now()
         self._replaced_since = {
             name: self._replaced_since.get(name, now)
@@ -118,7 +118,8 @@
     def _has_ended(self, record: JobRecord) -> bool:
         """Return whether the process that runs a job is known to have ended.
 
-        One that has renewed since its node was seen with another process is the newer one.
+        If the lease was renewed after its node was seen with another process, the holder is that
+        newer process.
         """
         since = self._replaced_since.get(self._holder(record))
         if since is None or self._leases.renewed_at(record.id) > since:
@@ -154,7 +155,7 @@
         if job is None or not ranked:
             return
         order = AdoptJob(job, self._database.progress(record.id))
-        # The first may be dead without anybody knowing yet; one try at each of two a round.
+        # The first gateway may have failed unnoticed, so two are tried in each check.
         for member in ranked[:2]:
             reply = self._peer_client.call(member.peer, order, JobAdopted, ADOPT_TIMEOUT_S)
             log_message(
--- a/src/quaymill/process/job_storage/repair.py
+++ b/src/quaymill/process/job_storage/repair.py
@@ -1,8 +1,7 @@
-"""Keeps enough copies: each storage node fetches what it should hold and lacks.
+"""Restores missing copies: each storage node fetches data that it should hold but lacks.
 
-A job belongs on the nodes that rank first for it among the live ones. Nodes compare
-summaries in turn; a node whose disk was lost is whole again after it has compared itself
-with the others.
+A job belongs on the nodes that rank first for it among the live ones. Each node regularly compares
+summaries with every other node, so a node that lost its disk gets all of its data back.
 """
 
 from __future__ import annotations
@@ -35,18 +34,16 @@
 from quaymill.process.job_storage.leases import Leases
 
 COMPARE_INTERVAL_S = 0.5
-"""Least time between two comparisons with the same node."""
+"""Minimum time between two comparisons with the same node."""
 COMPARISONS_PER_S = 16.0
-"""Comparisons that a node begins each second. Up to eight others each has its turn at the interval
-above, of 29 every 1.8 s, which leaves time to fetch within the 4.8 s in which the users' sheets
-want a lost machine made up for. With every other node at that interval 12 idle storage nodes
-spent 9.9 thousandths of a core each, three of them 1.7, and thirty would spend some 30."""
+"""Maximum rate at which a node begins comparisons. Limits the load in large fleets, where each
+other node is compared less often than ``COMPARE_INTERVAL_S`` allows."""
 WORKERS = 4
-"""One may wait for a node that does not answer, or fetch much, while others go on."""
+"""Number of threads, so that an unresponsive node or a large fetch does not block the others."""
 MIN_PAUSE_S = 0.1
-"""Least pause between two looks at what is due: what is due within it goes together."""
+"""Minimum time between two checks for due comparisons."""
 LOOK_INTERVAL_S = 0.25
-"""Time between two looks at which storage nodes there are."""
+"""Time between two updates of the set of storage nodes."""
 CALL_TIMEOUT_S = 1.0
 FETCH_TIMEOUT_S = 3.0
 RESULTS_PER_FETCH = 64
@@ -54,18 +51,18 @@
 
 @attrs.define
 class _Comparison:
-    """What this node knows of its comparisons with another one.
+    """State of this node's comparisons with another storage node.
 
     Attributes
     ----------
     member
-        The other node, as it was at the last look.
+        The other node, as of the last update of the set of nodes.
     digest
-        Digest of the other's summaries after which nothing was missing here; empty if none.
+        Digest of the other node's summaries when nothing was missing here; empty if none.
     due_at
         Monotonic time of the next comparison.
     running
-        Whether a worker is at it, or will be.
+        Whether the comparison is queued for a worker or in progress.
     """
 
     member: Member
@@ -75,12 +72,12 @@
 
 
 class Repair:
-    """Compares this node with every other storage node in turn.
+    """Compares this node with every other storage node and fetches missing data.
 
     Parameters
     ----------
     storage_nodes
-        Returns the live storage nodes, this one included, none that is leaving.
+        Returns the live storage nodes including this one, except those that are leaving.
     """
 
     def __init__(
@@ -105,19 +102,19 @@
         self._due: queue.SimpleQueue[_Comparison | None] = queue.SimpleQueue()
 
     def start(self) -> None:
-        """Begin to compare."""
+        """Start the threads."""
         threading.Thread(target=self._schedule, name="repair-schedule", daemon=True).start()
         for _ in range(WORKERS):
             threading.Thread(target=self._work, name="repair", daemon=True).start()
 
     def stop(self) -> None:
-        """Compare no more."""
+        """Stop comparing."""
         self._stopping.set()
         for _ in range(WORKERS):
             self._due.put(None)
 
     def _schedule(self) -> None:
-        """Hand the workers what is due."""
+        """Queue due comparisons for the workers."""
         while not self._stopping.wait(self._pause_s()):
             for comparison in self._take_due():
                 self._due.put(comparison)
@@ -126,7 +123,7 @@
         while (comparison := self._due.get()) is not None and not self._stopping.is_set():
             try:
                 self._compare(comparison)
-            except Exception as error:  # A bug with one node must not end the copies of all.
+            except Exception as error:  # One failure must not end the worker.
                 log_message(
                     "job:comparison_error", source=comparison.member.name, error=repr(error)
                 )
@@ -134,14 +131,14 @@
                 self._put_back(comparison)
 
     def _pause_s(self) -> float:
-        """Return the time until a comparison is due, or the next look at the nodes."""
+        """Return the time until a comparison or the next update of the nodes is due."""
         with self._lock:
             resting = (one.due_at for one in self._by_node.values() if not one.running)
             pause_s = min(resting, default=math.inf) - boot_clock.now()
         return min(LOOK_INTERVAL_S, max(MIN_PAUSE_S, pause_s))
 
     def _take_due(self) -> list[_Comparison]:
-        """Return the comparisons that are due, the first first, marked as running."""
+        """Mark the due comparisons as running and return them, the longest overdue first."""
         now = boot_clock.now()
         with self._lock:
             if now >= self._next_look:
@@ -153,9 +150,9 @@
         return sorted(due, key=lambda one: one.due_at)
 
     def _note_nodes(self) -> None:
-        """Begin anew with all if a node came or went; the caller holds the lock.
+        """Reset all comparisons if a node joined or left; the caller holds the lock.
 
-        The ranking has changed then: jobs may belong here that did not before.
+        The ranking has then changed, so other jobs may belong on this node.
         """
         others = {node.name: node for node in self._storage_nodes() if node.name != self._name}
         for name, comparison in self._by_node.items():
@@ -183,7 +180,7 @@
             comparison.digest = reply.digest
 
     def _take_all(self, member: Member, summaries: dict[str, JobSummary]) -> bool:
-        """Fetch what belongs here; return whether nothing is missing any more."""
+        """Fetch all data that belongs here; return whether nothing is missing any more."""
         return all([self._take(member, summary) for summary in summaries.values()])
 
     def _take(self, member: Member, summary: JobSummary) -> bool:
--- a/src/quaymill/process/job_storage/retirement.py
+++ b/src/quaymill/process/job_storage/retirement.py
@@ -1,4 +1,4 @@
-"""Empties this storage node when the operator asks for it."""
+"""Empties this storage node on request of the operator."""
 
 from __future__ import annotations
 
@@ -29,22 +29,22 @@
 class Retirement:
     """Carries out a request to empty this node; it may be called again for the same request.
 
-    States of the request: asked for -> active (``begin``) -> leaving (enough others live: nothing
-    new is taken) -> succeeded (all that is here stands on enough others, in enough zones; told to
-    the platform).
-    Without enough others the node goes on as before: nothing could be kept without it.
+    States of the request: requested -> active (``begin``) -> leaving (enough other nodes are live;
+    new data is refused) -> succeeded (all data is stored on enough other nodes in enough zones; the
+    status is written to the platform).
+    Without enough other live nodes the node continues to serve, because it is still needed.
 
     Parameters
     ----------
     storage_nodes, known_storage_nodes
         Return the live storage nodes that are not leaving, and all that are not known to have
-        left for good.
+        left permanently.
     recent_storage_nodes
-        Returns those that live, or have been dead for a short time only.
+        Returns those that are live or have been dead for a short time only.
     announce
-        Tells the other nodes that this one is leaving, so that its copies are made elsewhere.
+        Notifies the other nodes that this one is leaving, so that they copy its data.
     active_status, succeeded_status
-        What the platform is told.
+        Statuses that are written to the platform.
     """
 
     def __init__(
@@ -78,7 +78,7 @@
         self._thread: threading.Thread | None = None
 
     def begin(self) -> None:
-        """Start to empty the node, unless that is under way."""
+        """Start emptying the node, unless that is in progress."""
         if self._thread is not None:
             return
         log_message("retirement:begun", node=self._name, jobs=len(self._database.by_id))
@@ -86,7 +86,7 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop with the process."""
+        """Stop the thread when the process ends."""
         self._stopping.set()
 
     def _run(self) -> None:
@@ -102,7 +102,7 @@
                 return
 
     def _leave(self) -> bool:
-        """Take nothing new from now on, if others enough live; return whether that is so."""
+        """Refuse new data from now on if enough other nodes are live; return whether they are."""
         others = self._others(self._storage_nodes())
         if len(others) < self._rules.needed:
             return False
@@ -111,11 +111,11 @@
         return True
 
     def _missing_copies(self) -> int | None:
-        """Return how many jobs do not stand on enough other nodes; ``None`` if unknown."""
-        # A node that is down for a moment still counts: its absence must not lower the bar.
+        """Return the number of jobs without enough copies on other nodes; ``None`` if unknown."""
+        # A node that is down briefly still counts, so that its absence does not lower the number.
         needed = min(self._rules.needed, len(self._others(self._known_storage_nodes())))
-        # A zone that has been gone for long does not, nor one that is being emptied: else two
-        # nodes that are each the last one of a zone would wait for one another.
+        # Zones that have been unreachable for long or are being emptied do not count: otherwise
+        # two nodes that are each the last one of their zone would wait for each other.
         staying = [one for one in self._others(self._recent_storage_nodes()) if not one.draining]
         zones_needed = self._rules.zones_needed(staying)
         if needed == 0:
@@ -133,7 +133,7 @@
         return [member for member in members if member.name != self._name]
 
     def _summaries_elsewhere(self) -> list[tuple[Member, dict[str, JobSummary]]]:
-        """Return what the other live nodes hold, by the ids of jobs."""
+        """Return the summaries of the other live nodes, by job id."""
         summaries = []
         for member in self._others(self._storage_nodes()):
             reply = self._peer_client.call(
@@ -144,7 +144,10 @@
         return summaries
 
     def _tell(self, status: object) -> bool:
-        """Write the status beside the request; return whether it is certain to stand there."""
+        """Write the status of the request; return whether it is stored or the request is gone.
+
+        Repeated until it succeeds or the process ends.
+        """
         while not self._stopping.is_set():
             held = self._store.get(ObjectKind.RETIREMENTS, self._name)
             if isinstance(held, ObjectMissing):
@@ -164,7 +167,7 @@
 
 
 def _has_all(summary: JobSummary | None, record: JobRecord) -> bool:
-    """Return whether another node has what this one has of a job."""
+    """Return whether another node has the same results of a job and knows of its end, if any."""
     if summary is None or summary.results_digest != record.results.digest:
         return False
     return summary.ended or not record.ended
--- a/src/quaymill/process/job_storage/service.py
+++ b/src/quaymill/process/job_storage/service.py
@@ -1,4 +1,4 @@
-"""Answers the messages about jobs that reach a storage node."""
+"""Handlers of a storage node for messages about jobs."""
 
 from __future__ import annotations
 
@@ -41,11 +41,11 @@
 from quaymill.process.job_storage.leases import Leases as LeaseTable
 
 FULL_SHARE = 0.7
-"""Part of the disk from which on no new jobs are taken: results and the log need room."""
+"""Share of the disk above which new jobs are refused; results and the log need the rest."""
 
 
 class JobStorageService:
-    """The handlers of one storage node.
+    """Registers and implements the message handlers of one storage node.
 
     Parameters
     ----------
@@ -55,7 +55,7 @@
     Attributes
     ----------
     retiring
-        Whether the node is being emptied, so that it takes nothing new.
+        Set while the node is being emptied and refuses new data.
     """
 
     def __init__(
@@ -159,7 +159,7 @@
         return JobsRenewed(tuple(ended), tuple(taken), self._confirmed(message.orders))
 
     def _confirmed(self, orders: tuple[KnownOrder, ...]) -> tuple[str, ...]:
-        """Return the jobs of which no result is here that the coordinator does not know listed."""
+        """Return the jobs whose stored results are all known as listed to the coordinator."""
         return tuple(
             order.job_id
             for order in orders
@@ -199,12 +199,12 @@
 
 
 class Retention:
-    """Forgets jobs whose results need not be readable any more.
+    """Removes jobs whose results need not be readable any more.
 
     Parameters
     ----------
     retention_s
-        How long results stay readable after the job was first sent.
+        Time for which results stay readable after the job was first sent.
     """
 
     def __init__(self, database: JobDatabase, leases: LeaseTable, retention_s: float) -> None:
@@ -213,7 +213,7 @@
         self._retention_s = retention_s
 
     def sweep(self) -> None:
-        """Forget the jobs that are over and past their time."""
+        """Remove the jobs that are complete or ended and older than the retention time."""
         horizon = boot_clock.now() - self._retention_s
         for record in list(self._database.by_id.values()):
             if record.sent_at < horizon and (record.complete or record.ended):
--- a/tests/test_repair.py
+++ b/tests/test_repair.py
@@ -1,4 +1,4 @@
-"""When storage nodes compare what they hold, however many there are."""
+"""How often storage nodes compare their data, in small and large fleets."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Peers:
-    """Answers comparisons; some nodes are silent until the test ends."""
+    """Answers comparisons; ``silent`` nodes do not answer until the test ends."""
 
     def __init__(self) -> None:
         self.asked: Counter[str] = Counter()
@@ -47,7 +47,7 @@
 
 
 class RepairTest(unittest.TestCase):
-    """One node beside others that hold nothing."""
+    """One node that compares itself with others that hold nothing."""
 
     def setUp(self):
         self.nodes = [node(number) for number in range(4)]
@@ -65,7 +65,7 @@
         self.assertEqual(["", "d1", "d1"], self.peers.digests["node-1"][:3])
 
     def test_with_many_nodes_each_has_its_turn_less_often(self):
-        """Thirty nodes, each with each other twice a second, were 1,740 comparisons a second."""
+        """Guards against a load that grows with the square of the number of nodes."""
         self.nodes = [node(number) for number in range(30)]
         self.repair._note_nodes()
         one = self.repair._take_due()[0]
@@ -88,7 +88,7 @@
     def test_bugs_do_not_end_the_comparisons(self):
         self.peers.broken = {"node-1"}
         self.repair.start()
-        # More often than there are workers.
+        # More failures than there are workers.
         eventually(lambda: self.peers.asked["node-1"] > WORKERS, TIMEOUT_S)
         eventually(lambda: self.peers.asked["node-2"] > WORKERS, TIMEOUT_S)
 
--- a/tests/test_retirement.py
+++ b/tests/test_retirement.py
@@ -1,4 +1,4 @@
-"""Emptying a storage node: it leaves only where others enough can keep what comes."""
+"""Emptying a storage node: it leaves only if enough other nodes can store its data."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class LeavingTest(unittest.TestCase):
-    """A node that was asked to be emptied, with others as the test says; two copies are needed."""
+    """A node that is to be emptied while two copies of each job are needed."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -77,10 +77,10 @@
 
 
 class CopiesElsewhereTest(unittest.TestCase):
-    """A node that leaves holds one job; the others live in zones a and b, and hold what is said.
+    """A node that leaves holds one job, and two copies on other nodes are needed.
 
-    Two copies are needed. Names of nodes begin with their zone; what is dead for long is left out
-    of the nodes that are recent.
+    The names of nodes begin with their zone. Nodes that have been dead for long are known but not
+    recent; a name in upper case stands for a node that is being emptied.
     """
 
     def setUp(self) -> None:
@@ -126,10 +126,10 @@
     @params(
         ("in both zones", 2, "a1 a2 b1", "", "", "a1 b1", 0),
         ("in one zone", 2, "a1 a2 b1", "", "", "a1 a2", 1),
-        ("in one zone, where that does not matter", 1, "a1 a2 b1", "", "", "a1 a2", 0),
+        ("in one zone, with one zone needed", 1, "a1 a2 b1", "", "", "a1 a2", 0),
         ("too few, in both zones", 2, "a1 a2 b1", "", "", "a1", 1),
-        ("the other zone has been cut off just now", 2, "a1 a2", "b1", "", "a1 a2", 1),
-        ("the other zone has been gone for long", 2, "a1 a2", "", "b1", "a1 a2", 0),
+        ("the other zone was cut off a moment ago", 2, "a1 a2", "b1", "", "a1 a2", 1),
+        ("the other zone has been unreachable for long", 2, "a1 a2", "", "b1", "a1 a2", 0),
         ("there is one zone", 2, "a1 a2 a3", "", "", "a1 a3", 0),
         ("the other zone is being emptied too", 2, "a1 a2", "B1", "", "a1 a2", 0),
     )
