--- a/src/quaymill/process/job_storage/orphans.py
+++ b/src/quaymill/process/job_storage/orphans.py
@@ -29,7 +29,7 @@
 CHECK_INTERVAL_S = 0.2
 REPLACED_FOR_S = 0.3
 """Time for which a node must have been seen with a new process; outdated gossip ends earlier."""
-ASK_TIMEOUT_S = 0.7
+LEASE_QUERY_TIMEOUT_S = 0.7
 ADOPT_TIMEOUT_S = 1.0
 
 
@@ -89,7 +89,7 @@
             for record in list(self._database.by_id.values())
             if not record.complete and not record.ended
         ]
-        self._note_replaced({self._holder(record) for record in open_jobs})
+        self._update_replaced({self._holder(record) for record in open_jobs})
         orphans = [
             record
             for record in open_jobs
@@ -98,12 +98,12 @@
             and self._acts_for(record.id)
         ]
         for record in self._without_lease_elsewhere(orphans):
-            self._give_away(record)
+            self._assign(record)
 
     def _holder(self, record: JobRecord) -> str:
         return self._leases.holder(record.id, record.coordinator)
 
-    def _note_replaced(self, coordinators: set[str]) -> None:
+    def _update_replaced(self, coordinators: set[str]) -> None:
         """Record since when each coordinator's node has been seen with another process."""
         now = boot_clock.now()
         self._replaced_since = {
@@ -140,7 +140,7 @@
             if member.name == self._name:
                 continue
             reply = self._peer_client.call(
-                member.peer, FetchLeases(job_ids, ended), LeasesMessage, ASK_TIMEOUT_S
+                member.peer, FetchLeases(job_ids, ended), LeasesMessage, LEASE_QUERY_TIMEOUT_S
             )
             if isinstance(reply, LeasesMessage):
                 for job_id, left_s in zip(job_ids, reply.left_s, strict=True):
@@ -149,15 +149,15 @@
                         self._leases.extend(job_id, min(left_s, LEASE_S))
         return [record for record in orphans if record.id not in others]
 
-    def _give_away(self, record: JobRecord) -> None:
+    def _assign(self, record: JobRecord) -> None:
         job = self._database.job(record.id)
         ranked = rank_nodes(record.id, self._gateways())
         if job is None or not ranked:
             return
-        order = AdoptJob(job, self._database.progress(record.id))
+        adoption = AdoptJob(job, self._database.progress(record.id))
         # The first gateway may have failed unnoticed, so two are tried in each check.
         for member in ranked[:2]:
-            reply = self._peer_client.call(member.peer, order, JobAdopted, ADOPT_TIMEOUT_S)
+            reply = self._peer_client.call(member.peer, adoption, JobAdopted, ADOPT_TIMEOUT_S)
             log_message(
                 "job:given_away",
                 job=record.id,
--- a/src/quaymill/process/job_storage/repair.py
+++ b/src/quaymill/process/job_storage/repair.py
@@ -40,9 +40,9 @@
 other node is compared less often than ``COMPARE_INTERVAL_S`` allows."""
 WORKERS = 4
 """Number of threads, so that an unresponsive node or a large fetch does not block the others."""
-MIN_PAUSE_S = 0.1
+MIN_SCHEDULE_INTERVAL_S = 0.1
 """Minimum time between two checks for due comparisons."""
-LOOK_INTERVAL_S = 0.25
+NODE_UPDATE_INTERVAL_S = 0.25
 """Time between two updates of the set of storage nodes."""
 CALL_TIMEOUT_S = 1.0
 FETCH_TIMEOUT_S = 3.0
@@ -98,7 +98,7 @@
         self._stopping = threading.Event()
         self._lock = threading.Lock()
         self._by_node: dict[str, _Comparison] = {}
-        self._next_look = 0.0
+        self._next_node_update = 0.0
         self._due: queue.SimpleQueue[_Comparison | None] = queue.SimpleQueue()
 
     def start(self) -> None:
@@ -115,8 +115,8 @@
 
     def _schedule(self) -> None:
         """Queue due comparisons for the workers."""
-        while not self._stopping.wait(self._pause_s()):
-            for comparison in self._take_due():
+        while not self._stopping.wait(self._schedule_delay_s()):
+            for comparison in self._start_due():
                 self._due.put(comparison)
 
     def _work(self) -> None:
@@ -128,28 +128,28 @@
                     "job:comparison_error", source=comparison.member.name, error=repr(error)
                 )
             finally:
-                self._put_back(comparison)
+                self._reschedule(comparison)
 
-    def _pause_s(self) -> float:
+    def _schedule_delay_s(self) -> float:
         """Return the time until a comparison or the next update of the nodes is due."""
         with self._lock:
-            resting = (one.due_at for one in self._by_node.values() if not one.running)
-            pause_s = min(resting, default=math.inf) - boot_clock.now()
-        return min(LOOK_INTERVAL_S, max(MIN_PAUSE_S, pause_s))
+            waiting = (one.due_at for one in self._by_node.values() if not one.running)
+            pause_s = min(waiting, default=math.inf) - boot_clock.now()
+        return min(NODE_UPDATE_INTERVAL_S, max(MIN_SCHEDULE_INTERVAL_S, pause_s))
 
-    def _take_due(self) -> list[_Comparison]:
+    def _start_due(self) -> list[_Comparison]:
         """Mark the due comparisons as running and return them, the longest overdue first."""
         now = boot_clock.now()
         with self._lock:
-            if now >= self._next_look:
-                self._next_look = now + LOOK_INTERVAL_S
-                self._note_nodes()
+            if now >= self._next_node_update:
+                self._next_node_update = now + NODE_UPDATE_INTERVAL_S
+                self._update_nodes()
             due = [one for one in self._by_node.values() if not one.running and one.due_at <= now]
             for comparison in due:
                 comparison.running = True
         return sorted(due, key=lambda one: one.due_at)
 
-    def _note_nodes(self) -> None:
+    def _update_nodes(self) -> None:
         """Reset all comparisons if a node joined or left; the caller holds the lock.
 
         The ranking has then changed, so other jobs may belong on this node.
@@ -162,7 +162,7 @@
         if known != {name: node.peer for name, node in others.items()}:
             self._by_node = {name: _Comparison(node) for name, node in others.items()}
 
-    def _put_back(self, comparison: _Comparison) -> None:
+    def _reschedule(self, comparison: _Comparison) -> None:
         with self._lock:
             pause_s = max(COMPARE_INTERVAL_S, len(self._by_node) / COMPARISONS_PER_S)
             comparison.due_at = boot_clock.now() + pause_s
@@ -176,14 +176,14 @@
         if not isinstance(reply, JobSummaries) or reply.unchanged:
             return
         summaries = {summary.job_id: summary for summary in reply.jobs}
-        if self._take_all(member, summaries):
+        if self._fetch_all_missing(member, summaries):
             comparison.digest = reply.digest
 
-    def _take_all(self, member: Member, summaries: dict[str, JobSummary]) -> bool:
+    def _fetch_all_missing(self, member: Member, summaries: dict[str, JobSummary]) -> bool:
         """Fetch all data that belongs here; return whether nothing is missing any more."""
-        return all([self._take(member, summary) for summary in summaries.values()])
+        return all([self._fetch_missing(member, summary) for summary in summaries.values()])
 
-    def _take(self, member: Member, summary: JobSummary) -> bool:
+    def _fetch_missing(self, member: Member, summary: JobSummary) -> bool:
         record = self._database.by_id.get(summary.job_id)
         if record is None:
             if not self._belongs_here(summary.job_id):
--- a/src/quaymill/process/job_storage/retirement.py
+++ b/src/quaymill/process/job_storage/retirement.py
@@ -90,18 +90,18 @@
         self._stopping.set()
 
     def _run(self) -> None:
-        self._tell(self._active_status)
+        self._write_status(self._active_status)
         while not self._stopping.wait(CHECK_INTERVAL_S):
-            if not self._service.retiring.is_set() and not self._leave():
+            if not self._service.retiring.is_set() and not self._begin_leaving():
                 continue
             missing = self._missing_copies()
             if missing is None or missing:
                 continue
-            if self._tell(self._succeeded_status):
+            if self._write_status(self._succeeded_status):
                 log_message("retirement:succeeded", node=self._name)
                 return
 
-    def _leave(self) -> bool:
+    def _begin_leaving(self) -> bool:
         """Refuse new data from now on if enough other nodes are live; return whether they are."""
         others = self._others(self._storage_nodes())
         if len(others) < self._rules.needed:
@@ -143,7 +143,7 @@
                 summaries.append((member, {summary.job_id: summary for summary in reply.jobs}))
         return summaries
 
-    def _tell(self, status: object) -> bool:
+    def _write_status(self, status: object) -> bool:
         """Write the status of the request; return whether it is stored or the request is gone.
 
         Repeated until it succeeds or the process ends.
--- a/src/quaymill/process/job_storage/service.py
+++ b/src/quaymill/process/job_storage/service.py
@@ -40,7 +40,7 @@
 from quaymill.process.job_storage.database import JobDatabase
 from quaymill.process.job_storage.leases import Leases as LeaseTable
 
-FULL_SHARE = 0.7
+MAX_DISK_SHARE = 0.7
 """Share of the disk above which new jobs are refused; results and the log need the rest."""
 
 
@@ -88,7 +88,7 @@
     def _store_job(self, message: StoreJob) -> PeerMessage:
         if self.retiring.is_set():
             return PeerRefusal("this node is being emptied")
-        if self._disk_bytes and self._database.size_bytes() > FULL_SHARE * self._disk_bytes:
+        if self._disk_bytes and self._database.size_bytes() > MAX_DISK_SHARE * self._disk_bytes:
             return PeerRefusal("the disk is nearly full")
         known = message.job.id in self._database.by_id
         record = self._database.store_job(message.job, message.coordinator)
--- a/tests/test_repair.py
+++ b/tests/test_repair.py
@@ -58,41 +58,41 @@
         )
         self.addCleanup(self.repair.stop)
 
-    def test_each_other_node_is_compared_with_again_and_again(self):
+    def test_every_other_node_is_compared_repeatedly(self):
         self.repair.start()
         eventually(lambda: all(self.peers.asked[f"node-{n}"] >= 3 for n in (1, 2, 3)), TIMEOUT_S)
         self.assertEqual(0, self.peers.asked["node-0"])
         self.assertEqual(["", "d1", "d1"], self.peers.digests["node-1"][:3])
 
-    def test_with_many_nodes_each_has_its_turn_less_often(self):
+    def test_comparisons_are_less_frequent_with_many_nodes(self):
         """Guards against a load that grows with the square of the number of nodes."""
         self.nodes = [node(number) for number in range(30)]
-        self.repair._note_nodes()
-        one = self.repair._take_due()[0]
-        self.repair._put_back(one)
+        self.repair._update_nodes()
+        one = self.repair._start_due()[0]
+        self.repair._reschedule(one)
         pause_s = one.due_at - time.monotonic()
         self.assertAlmostEqual(29 / repair_module.COMPARISONS_PER_S, pause_s, delta=0.1)
         self.nodes = self.nodes[:4]
-        self.repair._note_nodes()
+        self.repair._update_nodes()
         one = self.repair._by_node["node-1"]
-        self.repair._put_back(one)
+        self.repair._reschedule(one)
         self.assertAlmostEqual(COMPARE_INTERVAL_S, one.due_at - time.monotonic(), delta=0.1)
 
-    def test_node_that_comes_makes_all_due_at_once_from_the_beginning(self):
+    def test_new_node_resets_all_comparisons(self):
         self.repair.start()
         eventually(lambda: self.peers.asked["node-1"] >= 2, TIMEOUT_S)
         self.nodes = [*self.nodes, node(4)]
         eventually(lambda: self.peers.digests["node-1"][1:].count("") == 1, TIMEOUT_S)
         eventually(lambda: self.peers.asked["node-4"] >= 1, TIMEOUT_S)
 
-    def test_bugs_do_not_end_the_comparisons(self):
+    def test_exceptions_do_not_end_the_comparisons(self):
         self.peers.broken = {"node-1"}
         self.repair.start()
         # More failures than there are workers.
         eventually(lambda: self.peers.asked["node-1"] > WORKERS, TIMEOUT_S)
         eventually(lambda: self.peers.asked["node-2"] > WORKERS, TIMEOUT_S)
 
-    def test_silent_nodes_do_not_hold_up_the_others(self):
+    def test_unresponsive_nodes_do_not_delay_the_others(self):
         self.nodes = [node(number) for number in range(8)]
         self.peers.silent = {f"node-{number}" for number in range(1, WORKERS)}
         self.repair.start()
--- a/tests/test_retirement.py
+++ b/tests/test_retirement.py
@@ -61,12 +61,12 @@
         self.announced += 1
 
     @params(([], False), (["a"], False), (["a", "b"], True))
-    def test_it_leaves_once_others_enough_live(self, others, leaves) -> None:
+    def test_node_leaves_once_enough_others_are_live(self, others, leaves) -> None:
         self.others = others
-        self.assertEqual(leaves, self.retirement._leave())
+        self.assertEqual(leaves, self.retirement._begin_leaving())
         self.assertEqual((leaves, int(leaves)), (self.service.retiring.is_set(), self.announced))
 
-    def test_until_then_it_takes_what_comes(self) -> None:
+    def test_node_accepts_data_until_it_leaves(self) -> None:
         self.others = ["a"]
         with mock.patch.object(retirement_module, "CHECK_INTERVAL_S", 0.01):
             self.retirement.begin()
@@ -134,11 +134,11 @@
         ("the other zone is being emptied too", 2, "a1 a2", "B1", "", "a1 a2", 0),
     )
     def test_copies_count_by_zone(
-        self, name, zones, live, dead_just_now, dead_for_long, holders, missing
+        self, name, zones, live, recently_dead, dead_for_long, holders, missing
     ) -> None:
-        self.draining = {one.lower() for one in dead_just_now.split() if one[0].isupper()}
+        self.draining = {one.lower() for one in recently_dead.split() if one[0].isupper()}
         self.live = live.split()
-        self.recent = self.live + dead_just_now.lower().split()
+        self.recent = self.live + recently_dead.lower().split()
         self.known = self.recent + dead_for_long.split()
         self.holders = set(holders.split())
         self.assertEqual(missing, self.missing(zones))
