--- a/src/quaymill/process/configuration/disk_copy.py
+++ b/src/quaymill/process/configuration/disk_copy.py
@@ -1,4 +1,4 @@
-"""The copy of the configuration in a node's data folder, for a start without the platform."""
+"""Copy of the configuration in a node's data folder, used to start without the platform."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def store_copy(folder: Path, configuration: ServingConfiguration, problems: ProblemLog) -> None:
-    """Replace the copy as a whole, so that a crash leaves the old one or the new one."""
+    """Replace the copy atomically, so that a crash leaves either the old or the new one."""
     path = folder / COPY_NAME
     temporary = path.with_suffix(".tmp")
     try:
@@ -32,7 +32,7 @@
 
 
 def load_copy(folder: Path, problems: ProblemLog) -> ServingConfiguration | None:
-    """Return the copy, ``None`` if there is none that may be put in force."""
+    """Return the copy; ``None`` if it is missing, unreadable or invalid."""
     path = folder / COPY_NAME
     try:
         document = path.read_bytes()
--- a/src/quaymill/process/configuration/editor.py
+++ b/src/quaymill/process/configuration/editor.py
@@ -1,4 +1,4 @@
-"""Submits edits to the platform by compare-and-swap and tells what became of them."""
+"""Submits edits to the platform by compare-and-swap and returns their results."""
 
 from __future__ import annotations
 
@@ -40,14 +40,14 @@
 
 
 class StoredTable(msgspec.Struct, frozen=True):
-    """The configuration as the platform holds it; without version if there is none yet."""
+    """The configuration stored on the platform; the version is empty if there is none yet."""
 
     configuration: ServingConfiguration
     resource_version: str = ""
 
 
 class EditAccepted(msgspec.Struct, frozen=True):
-    """The edit is committed as ``generation`` and goes in force everywhere."""
+    """The edit is committed as ``generation`` and will come into force on all nodes."""
 
     generation: int
 
@@ -61,7 +61,7 @@
     def __str__(self) -> str:
         return (
             f"it is not known whether edit {self.edit_id} was committed: {self.reason}; "
-            f"run the same command again with --edit-id {self.edit_id}, which does it at most once"
+            f"run the same command again with --edit-id {self.edit_id}: it is applied at most once"
         )
 
 
@@ -75,7 +75,7 @@
 
 
 class TableSetBack(msgspec.Struct, frozen=True):
-    """The stored table is older than the one in force; an edit to it would never be in force."""
+    """The stored table is older than the one in force, so an edit would never come into force."""
 
     stored_generation: int
     generation_in_force: int
@@ -138,10 +138,10 @@
         return StoredTable(configuration, result.resource_version)
 
     def submit(self, edit: Edit, timeout_s: float = DEFAULT_TIMEOUT_S) -> EditResult:
-        """Commit an edit, or say why it is not committed.
+        """Commit an edit, or return why it is not committed.
 
-        A conflict of versions is resolved by reading again and merging. When an answer is lost,
-        the id of the edit in the document read back tells whether it was committed.
+        A conflict of versions is resolved by reading again and merging. If a response is lost, the
+        document is read again and shows by the id of the edit whether it was committed.
         """
         return self._retry(edit.id, lambda: self._try_edit(edit), timeout_s)
 
@@ -150,14 +150,14 @@
     ) -> EditResult:
         """Store the table in force over one that was set back, deleted or made invalid.
 
-        The new generation is higher than both, so that it goes in force everywhere.
+        The new generation is higher than both, so that it comes into force on all nodes.
         """
         return self._retry(edit_id, lambda: self._try_restore(held, edit_id, author), timeout_s)
 
     def _retry(
         self, edit_id: str, attempt: Callable[[], EditResult | Write], timeout_s: float
     ) -> EditResult:
-        """Make attempts until one is decided or the time is over."""
+        """Repeat attempts until one has a definite result or ``timeout_s`` is over."""
         deadline = boot_clock.now() + timeout_s
         may_have_acted = False
         while True:
@@ -172,7 +172,7 @@
                 time.sleep(RETRY_INTERVAL_S)
 
     def _try_edit(self, edit: Edit) -> EditResult | Write:
-        # The status is read first: a table read later cannot be older unless it was set back.
+        # The status is read first, so a table that is older than it must have been set back.
         in_force = self._generation_in_force()
         stored = self.read()
         if not isinstance(stored, StoredTable):
@@ -208,7 +208,7 @@
         )
 
     def _generation_in_force(self) -> int:
-        """Return the highest generation the nodes have reported; 0 if that cannot be read."""
+        """Return the highest generation reported by the nodes; 0 if the status cannot be read."""
         stored = self.platform.get(STATUSES, STATUS_NAME)
         if not isinstance(stored, PlatformObject):
             return 0
@@ -227,7 +227,7 @@
         else:
             result = self.platform.create(CONFIGURATIONS, CONFIGURATION_NAME, configuration)
         if isinstance(result, AlreadyExists | NotFound):
-            return Conflict(CONFIGURATION_NAME, "the object was created or removed meanwhile")
+            return Conflict(CONFIGURATION_NAME, "the object was created or removed concurrently")
         if isinstance(result, PlatformObject):
             return EditAccepted(configuration.generation)
         return result
@@ -238,9 +238,9 @@
 ) -> EditUnknown | EditNotSent:
     match failure:
         case Conflict():
-            reason = "others kept changing the configuration"
+            reason = "other edits kept changing the configuration"
         case Refused():
-            reason = f"the platform refused it with {failure.status}: {failure.reason}"
+            reason = f"the platform refused the write with {failure.status}: {failure.reason}"
         case _:
             reason = failure.reason
     if may_have_acted:
--- a/src/quaymill/process/configuration/platform_watch.py
+++ b/src/quaymill/process/configuration/platform_watch.py
@@ -1,4 +1,4 @@
-"""Follows the objects of one plural of the platform while this node is a reader of its zone."""
+"""Follows the platform's objects of one kind while this node is a reader of its zone."""
 
 from __future__ import annotations
 
@@ -28,33 +28,33 @@
 
 
 class ObjectFollower(Protocol):
-    """What is done with the objects that are followed."""
+    """Handles the objects that a watch receives."""
 
     def on_list(self, listed: ObjectList) -> None:
-        """Take the whole list."""
+        """Handle the whole list."""
 
     def on_change(self, changed: PlatformObject) -> None:
-        """Take an added or modified object."""
+        """Handle an added or modified object."""
 
     def on_delete(self, deleted: PlatformObject) -> None:
-        """Take the deletion of an object."""
+        """Handle the deletion of an object."""
 
     def is_current(self) -> bool:
-        """Confirm, after a watch without events, that nothing was missed; ``False`` lists anew."""
+        """Return whether no change was missed by a watch without events; ``False`` relists."""
 
 
 class WatchSettings(msgspec.Struct, frozen=True):
-    """Which plural to follow, and how long one watch lasts."""
+    """The plural name of the objects to follow, and the duration of one watch in seconds."""
 
     plural: str
     watch_s: float
 
 
 class PlatformWatch:
-    """One thread that lists and watches while ``is_reader`` says so.
+    """One thread that lists and watches objects while ``is_reader`` returns true.
 
-    A watch lasts a few seconds. One that breaks off or stays silent past its end leads to a new
-    list; one that ended in order is resumed from the last version it showed.
+    A watch lasts a limited time. After one that fails or does not end in time, the objects are
+    listed again; one that ended normally is resumed from its last version.
     """
 
     def __init__(
@@ -74,14 +74,14 @@
         self._thread: threading.Thread | None = None
 
     def start(self) -> None:
-        """Begin to follow; the thread exists only while it is needed."""
+        """Start the thread."""
         self._thread = threading.Thread(
             target=self._follow, name=f"watch-{self._settings.plural}", daemon=True
         )
         self._thread.start()
 
     def stop(self) -> None:
-        """End at the next event or the end of the watch; the thread is not waited for."""
+        """Stop at the next event or at the end of the watch, without waiting for the thread."""
         self._stopping.set()
 
     def _follow(self) -> None:
@@ -102,7 +102,7 @@
             self._watch_from(listed.resource_version)
 
     def _watch_from(self, version: str) -> None:
-        """Watch, again and again, until something calls for a new list."""
+        """Watch repeatedly until the objects must be listed again."""
         while not self._stopping.is_set() and self._is_reader():
             reached = self._watch_once(version)
             if reached is None:
@@ -113,7 +113,7 @@
             version = reached
 
     def _watch_once(self, version: str) -> str | None:
-        """Return the version that one watch reached, ``None`` if events may have been missed."""
+        """Watch once; return the version reached, or ``None`` if events may have been missed."""
         for event in self._platform.watch(self._settings.plural, version, self._settings.watch_s):
             match event:
                 case ObjectChanged():
--- a/src/quaymill/process/configuration/problems.py
+++ b/src/quaymill/process/configuration/problems.py
@@ -1,4 +1,4 @@
-"""What this node refused or could not reach, kept until it is mended, for status."""
+"""Problems of the configuration on this node, kept for the status until they are resolved."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ProblemLog:
-    """The present problems by subject; safe to use from any thread."""
+    """The current problems by subject; thread-safe."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -21,7 +21,10 @@
         self._groups: dict[str, str] = {}
 
     def report(self, subject: str, reason: str, remedy: str, group: str = "") -> None:
-        """Keep a problem; ``group`` names the subject whose ``clear`` ends it."""
+        """Add or replace the problem of a subject; ``clear`` removes it by its ``group``.
+
+        The group is the subject itself if none is given.
+        """
         with self._lock:
             held = self._problems.get(subject)
             if held is not None and held.reason == reason:
@@ -33,13 +36,13 @@
         log_message("configuration:problem", subject=subject, reason=reason, remedy=remedy)
 
     def clear(self, group: str) -> None:
-        """End the problems of a group."""
+        """Remove the problems of a group."""
         with self._lock:
             for subject in [name for name, held in self._groups.items() if held == group]:
                 del self._problems[subject]
                 del self._groups[subject]
 
     def all(self) -> tuple[ConfigurationProblem, ...]:
-        """Return the present problems."""
+        """Return the current problems."""
         with self._lock:
             return tuple(self._problems.values())
--- a/src/quaymill/process/configuration/reader.py
+++ b/src/quaymill/process/configuration/reader.py
@@ -1,4 +1,4 @@
-"""What readers do with the objects they see: check them, and offer them to the holders."""
+"""Checks the objects that reader nodes receive and passes them to the holders."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class ConfigurationFollower:
-    """Puts each newer valid document in force, and reports one that is not."""
+    """Applies each newer valid configuration, and reports invalid, old or missing ones."""
 
     def __init__(
         self, platform: PlatformClient, holder: ConfigurationHolder, problems: ProblemLog
@@ -37,7 +37,7 @@
         self._seen_version = ""
 
     def on_list(self, listed: ObjectList) -> None:
-        """Take the one object that matters."""
+        """Handle the configuration object of a list, or report that it is missing."""
         for item in listed.items:
             if item.name == CONFIGURATION_NAME:
                 self.on_change(item)
@@ -46,7 +46,7 @@
             self._report_missing()
 
     def on_change(self, changed: PlatformObject) -> None:
-        """Check a document and offer it."""
+        """Check a changed configuration object and apply it if it is valid and not older."""
         if changed.name != CONFIGURATION_NAME or changed.resource_version == self._seen_version:
             return
         self._seen_version = changed.resource_version
@@ -67,12 +67,12 @@
         self._holder.offer(decoded)
 
     def on_delete(self, deleted: PlatformObject) -> None:
-        """Keep what is in force when the object is gone."""
+        """Report a deleted configuration object; the configuration in force stays."""
         if deleted.name == CONFIGURATION_NAME:
             self._report_missing()
 
     def is_current(self) -> bool:
-        """Compare the stored version with the one seen last."""
+        """Return whether the stored version is the one seen last."""
         return self._platform.get_version(CONFIGURATIONS, CONFIGURATION_NAME) in (
             self._seen_version,
             "",
@@ -98,12 +98,12 @@
 
 
 class MachineListFollower:
-    """Keeps the machine list of the platform, one offer for each change.
+    """Applies each change of the platform's machine list.
 
-    Versions of the list are the platform's, above an epoch. When the platform goes on for
-    ``SET_BACK_S`` with versions below the one that is held, it was set back to an old copy; a
-    reader then begins the next epoch, so that nodes follow the list again. A list that is
-    older for a shorter time comes from a late read, and is not taken.
+    A version of the list consists of an epoch and the platform's version. If the platform returns
+    versions below the current one for ``SET_BACK_S`` seconds, it was reset to an old copy; a
+    reader then begins the next epoch, so that nodes accept the list again. Older lists are
+    ignored until then, because they may be results of delayed reads.
 
     Parameters
     ----------
@@ -123,7 +123,7 @@
         self._older_since: float | None = None
 
     def on_list(self, listed: ObjectList) -> None:
-        """Take the whole list, unless it is older than the one held."""
+        """Apply a whole list, unless it is older than the current one."""
         if not listed.resource_version.isdigit():
             return
         version = int(listed.resource_version)
@@ -138,31 +138,31 @@
         self._holder.offer(MachineList(epoch * VERSIONS_PER_EPOCH + version, machines))
 
     def on_change(self, changed: PlatformObject) -> None:
-        """Put one machine in."""
+        """Add or replace one machine."""
         machine = self._decode(changed)
         if machine is not None:
             self._offer(changed.resource_version, lambda held: held | {machine.name: machine})
 
     def on_delete(self, deleted: PlatformObject) -> None:
-        """Take one machine out."""
+        """Remove one machine."""
         self._offer(
             deleted.resource_version,
             lambda held: {name: machine for name, machine in held.items() if name != deleted.name},
         )
 
     def is_current(self) -> bool:
-        """Trust a watch that ended in order, unless the list was older than the one held."""
+        """Return whether a watch may be resumed; ``False`` after a list that was too old."""
         return self._older_since is None
 
     def _is_set_back(self, version: int, held_version: int) -> bool:
-        """Return whether the list has been older for so long that it is no late read."""
+        """Return whether the list has been older for longer than a delayed read explains."""
         now = self._clock()
         if self._older_since is None:
             self._older_since = now
         self._problems.report(
             MACHINES,
             f"are listed at version {version}, older than {held_version}, which is kept",
-            f"wait {SET_BACK_S:.0f} s: if the platform was set back, its list is taken then",
+            f"wait {SET_BACK_S:.0f} s: if the platform was reset, its list is applied then",
         )
         return now - self._older_since >= SET_BACK_S
 
@@ -184,7 +184,9 @@
         try:
             machine = msgspec.json.decode(bytes(item.spec), type=Machine)
         except msgspec.MsgspecError as error:
-            self._problems.report(subject, f"is not a machine: {error}", "mend the object")
+            self._problems.report(
+                subject, f"is not a machine: {error}", "correct or remove the object"
+            )
             return None
         self._problems.clear(subject)
         return machine
--- a/src/quaymill/process/configuration/service.py
+++ b/src/quaymill/process/configuration/service.py
@@ -1,8 +1,8 @@
-"""Keeps configuration and machine list of this node current, from the platform or from peers.
+"""Keeps this node's configuration and machine list current, from the platform or from peers.
 
-Two nodes of each zone watch the platform. Everyone tells its versions on the membership's
-datagrams, and who is behind pulls the difference from a peer that is ahead. A node with a
-data folder keeps the configuration on disk, for a start while the platform is down.
+Two nodes of each zone watch the platform. Every node publishes its versions in the membership
+datagrams, and a node that is behind pulls the differences from a peer that is ahead. A node with a
+data folder also keeps a copy on disk, so that it can start while the platform is down.
 """
 
 from __future__ import annotations
@@ -54,10 +54,10 @@
 
 
 class ConfigurationTiming(msgspec.Struct, frozen=True):
-    """How long one watch of the platform lasts, and how often its version is read, in seconds.
+    """Durations of watches of the platform and interval of version checks, in seconds.
 
-    A watch that has died silently is found when it should have ended, so the configuration's
-    bounds how late an edit can be in force when the node that checks the version cannot.
+    A watch whose connection is lost is only noticed when it should have ended. The duration of the
+    configuration's watch therefore limits the delay of an edit if the version check fails too.
     """
 
     version_check_s: float = 1.5
@@ -69,16 +69,16 @@
 
 
 class ConfigurationService:
-    """Feeds the two holders of this node and answers peers that are behind.
+    """Updates the configuration and machine list of this node, and answers pulls of peers.
 
     Parameters
     ----------
     settings
         Zone and data folder of this node.
     holder, machine_list
-        What is kept current; other parts subscribe to them.
+        Holders that are kept current; other components subscribe to them.
     membership
-        Tells who is ahead, and is told what this node holds.
+        Source of the peers' versions; publishes the versions of this node.
     """
 
     def __init__(
@@ -130,7 +130,7 @@
         peer_server.register(GetConfigurationReport, lambda _: self.report())
 
     def start(self) -> None:
-        """Load the copy on disk, then begin to watch and to pull."""
+        """Load the copy on disk, then start watching the platform and pulling from peers."""
         if self._settings.data_folder:
             self._load_copy(Path(self._settings.data_folder))
         self._holder.subscribe(self._on_configuration)
@@ -142,7 +142,7 @@
         self._version_check.start()
 
     def stop(self) -> None:
-        """End all threads."""
+        """Stop all threads."""
         self._stopping.set()
         self._wake.set()
         self._version_check.stop()
@@ -160,7 +160,7 @@
         return bool(ranked) and ranked[0].name == self._membership.local().name
 
     def report(self) -> ConfigurationReport:
-        """Return what this node holds, refused, and has heard of its zone."""
+        """Return the generations known in this node's zone, and the current problems."""
         local = self._membership.local()
         return ConfigurationReport(
             local.name,
@@ -175,12 +175,12 @@
         )
 
     def _present_problems(self) -> tuple[ConfigurationProblem, ...]:
-        """Return what stands now; what a watch showed stands only while this node watches."""
+        """Return the current problems; those found by a watch only while this node watches."""
         if self.is_reader() or self._is_checker():
             return (*self._problems.all(), *self._watch_problems.all())
         return self._problems.all()
 
-    # What changed here.
+    # Local changes.
 
     def _on_configuration(self, configuration: ServingConfiguration) -> None:
         if configuration.generation <= self._last.generation:
@@ -194,7 +194,7 @@
     def _differences_to(
         self, configuration: ServingConfiguration
     ) -> tuple[ConfigurationDifference, ...]:
-        """Return what led to ``configuration``: as it was pulled, else by comparison."""
+        """Return the differences that lead to ``configuration``, pulled or found by comparison."""
         pulled = self._pulled
         if (
             pulled
@@ -230,7 +230,7 @@
                     self._stopping.wait(PULL_RETRY_INTERVAL_S)
 
     def _peer_ahead(self) -> Member | None:
-        """Return a random peer with something newer than this node, nearest first."""
+        """Return a random peer that is ahead, preferably in this zone; ``None`` if none is."""
         generation = self._holder.current().generation
         version = self._machine_list.current().version
         local = self._membership.local()
@@ -248,7 +248,7 @@
         return random.choice(near or ahead) if ahead else None
 
     def _pull_from(self, peer: Member) -> bool:
-        """Take what a peer has; return whether anything came of it."""
+        """Pull newer data from a peer; return whether anything was updated."""
         progressed = False
         if peer.configuration_generation > self._holder.current().generation:
             progressed = self._pull_configuration(peer)
@@ -316,7 +316,7 @@
 
     def _report_platform(self, reason: str) -> None:
         if reason:
-            self._watch_problems.report("platform", reason, "bring the platform's object API back")
+            self._watch_problems.report("platform", reason, "restore the platform's object API")
         else:
             self._watch_problems.clear("platform")
 
--- a/src/quaymill/process/configuration/version_check.py
+++ b/src/quaymill/process/configuration/version_check.py
@@ -1,7 +1,7 @@
-"""One node of the fleet asks the platform for the configuration's version, again and again.
+"""Periodic check of the configuration's version on the platform by one node of the fleet.
 
-Watches of readers can all be dead without a sign. A read of one version every second or two
-by a single node bounds how late that is found, at a cost that does not grow with the fleet.
+The watches of all readers may have failed unnoticed. The check limits the delay until that is
+found, at a cost that does not grow with the fleet.
 """
 
 from __future__ import annotations
@@ -15,12 +15,13 @@
 
 
 class VersionCheck:
-    """Reads the object when its version is not the one that was seen last.
+    """Reads the configuration when its version differs from the one seen last.
 
     Parameters
     ----------
     is_checker
-        Whether this node is the one that checks; others on the far side of a cut check too.
+        Returns whether this node does the check; during a network partition one node on each side
+        does.
     """
 
     def __init__(
@@ -37,11 +38,11 @@
         self._stopping = threading.Event()
 
     def start(self) -> None:
-        """Begin to check."""
+        """Start the thread."""
         threading.Thread(target=self._run, name="version-check", daemon=True).start()
 
     def stop(self) -> None:
-        """End before the next check."""
+        """Stop before the next check."""
         self._stopping.set()
 
     def _run(self) -> None:
--- a/src/quaymill/process/control/__init__.py
+++ b/src/quaymill/process/control/__init__.py
@@ -1,1 +1,1 @@
-"""What a gateway knows of the operator's configuration and of the replicas, kept current."""
+"""A gateway's current view of the configuration and replicas, and its calls to the store."""
--- a/src/quaymill/process/job_storage/__init__.py
+++ b/src/quaymill/process/job_storage/__init__.py
@@ -1,1 +1,1 @@
-"""What a storage node does: keeps jobs and results, repairs copies, finds new coordinators."""
+"""Storage node: stores jobs and results, repairs copies and assigns orphaned jobs."""
--- a/src/quaymill/process/status/__init__.py
+++ b/src/quaymill/process/status/__init__.py
@@ -1,1 +1,1 @@
-"""The status that the system writes beside the operators' cells."""
+"""The status document that the system writes for operators."""
--- a/src/quaymill/process/status/collector.py
+++ b/src/quaymill/process/status/collector.py
@@ -1,4 +1,4 @@
-"""Composes the status document from what this node knows and what readers report."""
+"""Composes the status document from this node's state and the reports of reader nodes."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
 
 
 class StatusCollector:
-    """Gathers generations by zone: one call to one reader of each zone.
+    """Collects reports from one reader node of each zone, and composes the status from them.
 
     Parameters
     ----------
     own_report
-        The report of this node, made without a call.
+        Returns the report of this node.
     """
 
     def __init__(
@@ -53,11 +53,11 @@
         self._providers: list[RowProvider] = []
 
     def add_provider(self, provider: RowProvider) -> None:
-        """Let a part of this node add rows to the status."""
+        """Add a function that provides rows of the status."""
         self._providers.append(provider)
 
     def collect(self) -> None:
-        """Ask one reader of each zone for its report; a zone that is silent keeps its last."""
+        """Fetch the report of one reader of each zone; an unresponsive zone keeps its last one."""
         live = self._membership.live()
         zones = {member.zone for member in live}
         self._reports = {zone: kept for zone, kept in self._reports.items() if zone in zones}
@@ -69,7 +69,7 @@
                     break
 
     def compose(self) -> ServingStatus:
-        """Return the document, without token and writer."""
+        """Return the status document without token and writer."""
         own = self._own_report()
         reports = {own.node: own, **{report.node: report for report in self._reports.values()}}
         generations = Counter[str]()
@@ -112,7 +112,7 @@
 
 
 def without_load(status: ServingStatus) -> ServingStatus:
-    """Return the document without what changes all the time, to tell whether it has news."""
+    """Return the document without fields that change constantly, to detect real changes."""
     return msgspec.structs.replace(
         status,
         written_unix_s=0.0,
@@ -124,7 +124,7 @@
 
 
 def _problems(reports: Iterable[ConfigurationReport]) -> tuple[StatusProblem, ...]:
-    """Return each problem once, with the first node that reports it."""
+    """Return each distinct problem once, with the first node that reports it."""
     found: dict[tuple[str, str], StatusProblem] = {}
     for report in reports:
         for problem in report.problems:
@@ -161,7 +161,7 @@
 
 
 def _listed(nodes: tuple[NodeStatus, ...], highest: int) -> tuple[NodeStatus, ...]:
-    """Return all nodes of a small fleet, of a large one those out of the ordinary first."""
+    """Return the nodes to list, abnormal ones first; in a large fleet only abnormal ones."""
     ordered = sorted(nodes, key=lambda node: (_is_ordinary(node, highest), node.name))
     if len(ordered) > MAX_LISTED_NODES:
         ordered = [node for node in ordered if not _is_ordinary(node, highest)]
--- a/src/quaymill/process/status/service.py
+++ b/src/quaymill/process/status/service.py
@@ -28,13 +28,13 @@
     Attributes
     ----------
     check_interval_s
-        Between two looks at whether this node is the writer, and whether there is news.
+        Between two checks of whether this node is the writer and the status has changed.
     news_interval_s
-        At least this between two writes, and between two collections while nodes lag.
+        Minimum between two writes of changes, and between two collections while nodes lag.
     load_interval_s
-        Between two writes when nothing but the load has changed.
+        Between two writes if only the load has changed.
     collect_interval_s
-        Between two collections while all nodes hold the same.
+        Between two collections while all nodes have the same generation.
     """
 
     check_interval_s: float = 1.0
@@ -45,12 +45,12 @@
 
 
 class StatusService:
-    """Every node runs it; the node that ranks first among the live ones writes.
+    """Runs on every node; the node that ranks first among the live ones writes the status.
 
     Parameters
     ----------
     own_report
-        ``ConfigurationService.report`` of this node.
+        Returns the report of this node (``ConfigurationService.report``).
     """
 
     def __init__(
@@ -73,19 +73,19 @@
         self._stopping = threading.Event()
 
     def add_provider(self, provider: RowProvider) -> None:
-        """Let a part of this node add rows; it is called on the writer, and for ``GET /status``."""
+        """Add a function that provides rows, called on the writer and for ``GET /status``."""
         self._collector.add_provider(provider)
 
     def start(self) -> None:
-        """Begin to stand for election."""
+        """Start the thread, which takes part in the election of the writer."""
         threading.Thread(target=self._run, name="status", daemon=True).start()
 
     def stop(self) -> None:
-        """Stop to write; the lease lapses."""
+        """Stop writing; the lease expires."""
         self._stopping.set()
 
     def document(self) -> ServingStatus:
-        """Return the status as this node alone sees it, for ``GET /status``."""
+        """Return the status as known to this node, for ``GET /status``."""
         local = self._membership.local()
         return msgspec.structs.replace(self._collector.compose(), writer=local.name)
 
--- a/src/quaymill/process/status/status_writer.py
+++ b/src/quaymill/process/status/status_writer.py
@@ -1,4 +1,4 @@
-"""Puts the status document into its object so that an older writer never overwrites a newer."""
+"""Writes the status document so that an older writer never overwrites a newer one."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 
 
 class StatusNotWritten(msgspec.Struct, frozen=True):
-    """The platform did not take the document this time."""
+    """The platform did not store the document."""
 
     reason: str
 
 
 class StatusWriter:
-    """Writes by compare-and-swap from the version that it wrote or read last.
+    """Writes by compare-and-swap, based on the version that it wrote or read last.
 
-    A writer that was paused holds an old version, so its next write conflicts; the document
-    that it then reads carries the newer writer's token and ends its term.
+    The next write of a writer that was paused conflicts. The document that it then reads has the
+    token of the newer writer, so the old writer stops.
     """
 
     def __init__(self, platform: PlatformClient) -> None:
@@ -35,7 +35,7 @@
         self._version: str | None = None
 
     def write(self, status: ServingStatus) -> StatusSuperseded | StatusNotWritten | None:
-        """Store a document; return ``None`` when it is stored."""
+        """Store a document; return ``None`` if it is stored, or else the reason."""
         for _ in range(MAX_TRIES):
             if self._version is None:
                 hindrance = self._read(status.token)
@@ -48,7 +48,7 @@
             self._version = None
             if not isinstance(result, Conflict | AlreadyExists | NotFound):
                 return StatusNotWritten(result.reason)
-        return StatusNotWritten("the object kept changing")
+        return StatusNotWritten("the status object kept changing")
 
     def _put(self, status: ServingStatus) -> object:
         if self._version:
@@ -65,7 +65,7 @@
         try:
             written = msgspec.json.decode(bytes(stored.spec), type=ServingStatus)
         except msgspec.MsgspecError:
-            written = ServingStatus()  # Nobody can read it: any status is better.
+            written = ServingStatus()  # An unreadable document may be overwritten.
         if written.token > token:
             return StatusSuperseded(written.token)
         self._version = stored.resource_version
--- a/src/quaymill/process/status/writer_lease.py
+++ b/src/quaymill/process/status/writer_lease.py
@@ -1,8 +1,8 @@
-"""The lease of the status writer: one object of the platform, taken by compare-and-swap.
+"""The lease of the status writer: an object of the platform, acquired by compare-and-swap.
 
-A holder is valid for ``duration_s`` after it began its last successful renewal, by its own
-monotonic clock. Another node takes the lease when it has seen it unchanged for that long, by
-its own clock; clocks are never compared. Each new holder raises the fencing token.
+The lease is valid for ``duration_s`` after its holder began the last successful renewal, by the
+holder's monotonic clock. Another node acquires it after seeing it unchanged for that long by its
+own clock, so clocks are never compared. Each new holder increments the fencing token.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class LeaseRecord(msgspec.Struct, frozen=True):
-    """The stored lease; ``expires_unix_s`` is for people, no node decides by it."""
+    """The stored lease; ``expires_unix_s`` is informative only."""
 
     holder: str
     token: int
@@ -31,7 +31,7 @@
 
 
 class _Seen(msgspec.Struct, frozen=True):
-    """The lease as read last, and when this node first saw that version."""
+    """The lease as last read, and the monotonic time at which that version was first seen."""
 
     resource_version: str
     record: LeaseRecord
@@ -39,14 +39,14 @@
 
 
 class WriterLease:
-    """One node's side of the lease; used by one thread.
+    """The lease as used by one node; not thread-safe.
 
     Parameters
     ----------
     holder
         Name of this node.
     clock
-        Monotonic seconds.
+        Returns the monotonic time in seconds.
     """
 
     def __init__(
@@ -65,13 +65,13 @@
         self._valid_until = 0.0
 
     def token(self) -> int | None:
-        """Return the fencing token while the lease is held, else ``None``."""
+        """Return the fencing token while this node holds the lease, else ``None``."""
         if self._token is not None and self._clock() >= self._valid_until:
             self._token = None  # Renewals failed for too long; another node may hold it now.
         return self._token
 
     def hold(self) -> int | None:
-        """Take or renew the lease if that is due; return the token while it is held."""
+        """Acquire or renew the lease if that is due; return the token while it is held."""
         token = self.token()
         if token is not None:
             renewal_due = self._valid_until - self._duration_s * (1 - 1 / RENEWALS_PER_LEASE)
@@ -86,9 +86,9 @@
         return self.token()
 
     def release(self) -> None:
-        """Give the lease up, so that the next holder may take it at once.
+        """Release the lease, so that another node may acquire it at once.
 
-        If that does not reach the platform, the next holder waits until the lease has lapsed.
+        If the write fails, the next holder has to wait until the lease expires.
         """
         token = self.token()
         self._token = None
@@ -99,7 +99,7 @@
         self._platform.replace(STATUS_LEASES, STATUS_LEASE_NAME, vacated, version)
 
     def _may_take(self, seen: _Seen) -> bool:
-        # A lease under this node's own name is left from before a restart.
+        # A lease in this node's own name remains from before a restart.
         if not seen.resource_version or seen.record.holder in (NO_HOLDER, self._holder):
             return True
         return self._clock() - seen.since >= self._duration_s
@@ -123,7 +123,7 @@
         self._seen = _Seen(stored.resource_version, record, self._clock())
 
     def _write(self, token: int) -> None:
-        """Store the lease under this node's name if nobody was faster."""
+        """Store the lease in this node's name, unless another node has changed it."""
         began = self._clock()
         record = LeaseRecord(self._holder, token, time.time() + self._duration_s)
         version = self._seen.resource_version if self._seen else ""
@@ -136,5 +136,5 @@
             self._token = token
             self._valid_until = began + self._duration_s
         else:
-            # After a lost answer the lease is read again, under this name, and taken anew.
+            # If only the response was lost, the next read finds this node's name and acquires it.
             self._token = None
