--- a/tests/test_configuration_editor.py
+++ b/tests/test_configuration_editor.py
@@ -1,4 +1,7 @@
-"""Edits against the platform: its faults, and two operators at once."""
+"""Edits of the configuration under faults of the platform and by concurrent operators.
+
+Guards against edits that are lost, applied twice, or made to an outdated table.
+"""
 
 from __future__ import annotations
 
@@ -46,7 +49,7 @@
 
 
 class EditorCase(PlatformCase):
-    """An editor over the platform of the class."""
+    """An editor that uses the platform of the test class."""
 
     def setUp(self):
         super().setUp()
@@ -57,7 +60,7 @@
 
 
 class PlatformClientTest(EditorCase):
-    """Each answer of the platform has its type."""
+    """Each kind of response of the platform is returned as its own type."""
 
     def test_objects_are_created_replaced_and_listed(self):
         self.assertEqual(self.client.get("machines", "m"), NotFound("m"))
@@ -112,7 +115,7 @@
 
 
 class EditorFaultTest(EditorCase):
-    """An edit is committed once, or not at all, and the operator is told which."""
+    """An edit is committed once or not at all, and its result says which."""
 
     @params(
         {"lose_answer_probability": 0.6, "seed": 3},
@@ -136,7 +139,7 @@
 
     def test_lost_answer_and_then_an_outage_is_unknown_and_may_be_repeated(self):
         class DownAfterWrite(PlatformClient):
-            """Loses the answer of the first write, and the platform with it."""
+            """Loses the response of the first write; the platform is down afterwards."""
 
             def create(client, *arguments, **options):  # noqa: N805
                 super().create(*arguments, **options)
@@ -194,7 +197,7 @@
 
 
 class RestoreTest(EditorCase):
-    """A stored table that was set back is never edited as if it were in force."""
+    """A stored table that was set back to an older one is not edited, but may be restored."""
 
     def setUp(self):
         super().setUp()
--- a/tests/test_configuration_faults.py
+++ b/tests/test_configuration_faults.py
@@ -1,4 +1,4 @@
-"""An accepted configuration is in force everywhere and never reverts, whatever fails."""
+"""An accepted configuration comes into force on all nodes and never reverts under faults."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
         self.expect_in_force()
 
     def edit(self) -> None:
-        """Have an edit accepted."""
+        """Submit an edit and check that it is accepted."""
         cell = EditedCell("tuning/batch_reserve", self.generation + 1, self.generation + 2)
         result = ConfigurationEditor(self.client).submit(Edit(new_edit_id(), "ana", (cell,)))
         self.generation += 1
@@ -75,7 +75,7 @@
 
 
 class PlatformFaultTest(FleetCase):
-    """The platform fails in every way it can."""
+    """Faults of the platform: delays, errors, lost connections, outages and old data."""
 
     @params(
         {"delay_s": 0.5},
@@ -162,7 +162,7 @@
 
 
 class SilentWatchTest(FleetCase):
-    """Watches that last long die without a sign."""
+    """Long watches whose connections fail unnoticed."""
 
     options = ControlNodeOptions(ConfigurationTiming(0.3, 60.0, 60.0))
 
@@ -173,7 +173,7 @@
 
 
 class NodeFaultTest(FleetCase):
-    """Nodes and links fail."""
+    """Failures of nodes and network partitions."""
 
     def test_both_readers_of_a_zone_killed(self):
         readers = self.readers("a")
@@ -199,7 +199,7 @@
         cut = self.fleet.in_zone("b")
         self.fleet.cut(cut)
         eventually(
-            lambda: len(cut[0].membership.live()) == 3, why="the other zone is held for dead"
+            lambda: len(cut[0].membership.live()) == 3, why="the other zone is considered dead"
         )
         for _ in range(3):
             self.edit()
@@ -243,7 +243,7 @@
 
 
 class MachineListTest(FleetCase):
-    """The machine list spreads as the configuration does, and decides nothing about members."""
+    """The machine list reaches all nodes, and does not change the membership."""
 
     def machine(self, name: str, port: int, **fields: object) -> Machine:
         return Machine(name, MachineRole.NODE, "a", Endpoint("127.0.0.1", port), **fields)
@@ -279,7 +279,7 @@
 
 
 class MachineListVersionTest(unittest.TestCase):
-    """Late reads are not taken; a platform that was set back is followed after a while."""
+    """Results of delayed reads are ignored; a platform that was set back is followed later."""
 
     def setUp(self):
         self.now = 0.0
--- a/tests/test_status_writer.py
+++ b/tests/test_status_writer.py
@@ -1,4 +1,4 @@
-"""One elected writer at a time; an older one never overwrites a newer status."""
+"""Election of the status writer; an older writer never overwrites a newer status."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 class Clock:
-    """Monotonic seconds that a test moves."""
+    """Monotonic clock that a test advances."""
 
     def __init__(self) -> None:
         self.now = 100.0
@@ -52,7 +52,7 @@
 
 
 class AnswerLost(PlatformClient):
-    """Creates objects and loses the answers."""
+    """Creates objects, but reports their responses as lost."""
 
     def create(self, *arguments, **options):
         super().create(*arguments, **options)
@@ -60,7 +60,7 @@
 
 
 class LeaseTest(PlatformCase):
-    """Two nodes contend; each has a clock of its own."""
+    """Two nodes compete for the lease, each with its own clock."""
 
     def setUp(self):
         super().setUp()
@@ -86,13 +86,13 @@
         self.assertIsNone(self.second.hold())
         self.advance(LEASE_S + 1)
         self.assertEqual(self.second.hold(), 2)
-        self.assertIsNone(self.first.token(), "the thawed holder knows by its own clock")
+        self.assertIsNone(self.first.token(), "the resumed holder still considers its lease valid")
         self.assertIsNone(self.first.hold())
 
     def test_wait_begins_when_the_version_is_first_seen(self):
         self.first.hold()
         self.advance(LEASE_S * 5)
-        self.assertIsNone(self.second.hold(), "it saw the lease only now")
+        self.assertIsNone(self.second.hold(), "the lease was first seen at this moment")
         self.advance(LEASE_S)
         self.assertEqual(self.second.hold(), 2)
 
@@ -145,7 +145,7 @@
 
 
 class FencingTest(PlatformCase):
-    """Writes with tokens, in the orders that pauses bring about."""
+    """Writes of an older and a newer writer, in the orders that pauses of a writer cause."""
 
     def written(self) -> ServingStatus:
         return msgspec.json.decode(self.client.get(STATUSES, STATUS_NAME).spec, type=ServingStatus)
@@ -182,7 +182,7 @@
 
 
 class StatusFleetTest(PlatformCase):
-    """Four nodes of which one writes."""
+    """Four nodes, one of which writes the status."""
 
     def setUp(self):
         super().setUp()
@@ -268,7 +268,7 @@
 
 
 class CountingPlatform(PlatformClient):
-    """Counts the writes of one client."""
+    """A platform client that counts its writes."""
 
     def __init__(self, endpoint: Endpoint) -> None:
         super().__init__(endpoint)
@@ -284,7 +284,7 @@
 
 
 class ListedNodesTest(unittest.TestCase):
-    """A large fleet lists the nodes that an operator has to see."""
+    """Which nodes the status of a large fleet lists."""
 
     def test_large_fleet_lists_those_out_of_the_ordinary(self):
         nodes = [NodeStatus(f"n{n}", "a", MemberState.ALIVE, 9) for n in range(330)]
