--- a/src/quaymill/process/configuration/editor.py
+++ b/src/quaymill/process/configuration/editor.py
@@ -167,7 +167,7 @@
             if isinstance(result, PlatformUnavailable):
                 may_have_acted = may_have_acted or result.may_have_acted
             if boot_clock.now() >= deadline or isinstance(result, Refused):
-                return _given_up(edit_id, result, may_have_acted)
+                return _undecided_result(edit_id, result, may_have_acted)
             if isinstance(result, PlatformUnavailable):
                 time.sleep(RETRY_INTERVAL_S)
 
@@ -233,7 +233,7 @@
         return result
 
 
-def _given_up(
+def _undecided_result(
     edit_id: str, failure: Conflict | Refused | PlatformUnavailable, may_have_acted: bool
 ) -> EditUnknown | EditNotSent:
     match failure:
--- a/src/quaymill/process/configuration/reader.py
+++ b/src/quaymill/process/configuration/reader.py
@@ -22,7 +22,7 @@
 
 CONFIGURATION_OBJECT = f"{CONFIGURATIONS}/{CONFIGURATION_NAME}"
 VERSIONS_PER_EPOCH = 2**40
-SET_BACK_S = 30.0
+SET_BACK_DELAY_S = 30.0
 
 
 class ConfigurationFollower:
@@ -101,7 +101,7 @@
     """Applies each change of the platform's machine list.
 
     A version of the list consists of an epoch and the platform's version. If the platform returns
-    versions below the current one for ``SET_BACK_S`` seconds, it was reset to an old copy; a
+    versions below the current one for ``SET_BACK_DELAY_S`` seconds, it was reset to an old copy; a
     reader then begins the next epoch, so that nodes accept the list again. Older lists are
     ignored until then, because they may be results of delayed reads.
 
@@ -162,9 +162,9 @@
         self._problems.report(
             MACHINES,
             f"are listed at version {version}, older than {held_version}, which is kept",
-            f"wait {SET_BACK_S:.0f} s: if the platform was reset, its list is applied then",
+            f"wait {SET_BACK_DELAY_S:.0f} s: if the platform was reset, its list is applied then",
         )
-        return now - self._older_since >= SET_BACK_S
+        return now - self._older_since >= SET_BACK_DELAY_S
 
     def _offer(
         self,
--- a/src/quaymill/process/configuration/service.py
+++ b/src/quaymill/process/configuration/service.py
@@ -101,8 +101,8 @@
         self._watch_problems = ProblemLog()
         self._differences = DifferenceLog()
         self._machine_changes = MachineListLog()
-        self._last = EMPTY_CONFIGURATION
-        self._pulled: tuple[ConfigurationDifference, ...] = ()
+        self._last_configuration = EMPTY_CONFIGURATION
+        self._pulled_differences: tuple[ConfigurationDifference, ...] = ()
         self._wake = threading.Event()
         self._stopping = threading.Event()
         follower = ConfigurationFollower(platform_client, holder, self._watch_problems)
@@ -171,10 +171,10 @@
                 for member in self._membership.members()
                 if member.zone == local.zone and member.state is not MemberState.DEAD
             ),
-            self._present_problems(),
+            self._current_problems(),
         )
 
-    def _present_problems(self) -> tuple[ConfigurationProblem, ...]:
+    def _current_problems(self) -> tuple[ConfigurationProblem, ...]:
         """Return the current problems; those found by a watch only while this node watches."""
         if self.is_reader() or self._is_checker():
             return (*self._problems.all(), *self._watch_problems.all())
@@ -183,10 +183,10 @@
     # Local changes.
 
     def _on_configuration(self, configuration: ServingConfiguration) -> None:
-        if configuration.generation <= self._last.generation:
+        if configuration.generation <= self._last_configuration.generation:
             return
         self._differences.add(self._differences_to(configuration))
-        self._last = configuration
+        self._last_configuration = configuration
         self._membership.publish(configuration_generation=configuration.generation)
         if self._settings.data_folder:
             store_copy(Path(self._settings.data_folder), configuration, self._problems)
@@ -195,14 +195,14 @@
         self, configuration: ServingConfiguration
     ) -> tuple[ConfigurationDifference, ...]:
         """Return the differences that lead to ``configuration``, pulled or found by comparison."""
-        pulled = self._pulled
+        pulled = self._pulled_differences
         if (
             pulled
-            and pulled[0].base_generation <= self._last.generation
+            and pulled[0].base_generation <= self._last_configuration.generation
             and pulled[-1].generation == configuration.generation
         ):
             return pulled
-        return (find_difference(self._last, configuration),)
+        return (find_difference(self._last_configuration, configuration),)
 
     def _on_machine_list(self, machine_list: MachineList) -> None:
         if not machine_list.version:
@@ -272,7 +272,7 @@
                     held = apply_difference(held, difference)
                     if held is None:
                         return self._pull_whole(peer)
-                self._pulled = reply.differences
+                self._pulled_differences = reply.differences
                 return self._offer(held)
         return False
 
--- a/src/quaymill/process/status/collector.py
+++ b/src/quaymill/process/status/collector.py
@@ -36,7 +36,7 @@
 
     Parameters
     ----------
-    own_report
+    local_report
         Returns the report of this node.
     """
 
@@ -44,11 +44,11 @@
         self,
         membership: Membership,
         peer_client: PeerClient,
-        own_report: Callable[[], ConfigurationReport],
+        local_report: Callable[[], ConfigurationReport],
     ) -> None:
         self._membership = membership
         self._peer_client = peer_client
-        self._own_report = own_report
+        self._local_report = local_report
         self._reports: dict[str, ConfigurationReport] = {}
         self._providers: list[RowProvider] = []
 
@@ -70,8 +70,11 @@
 
     def compose(self) -> ServingStatus:
         """Return the status document without token and writer."""
-        own = self._own_report()
-        reports = {own.node: own, **{report.node: report for report in self._reports.values()}}
+        local_report = self._local_report()
+        reports = {
+            local_report.node: local_report,
+            **{report.node: report for report in self._reports.values()},
+        }
         generations = Counter[str]()
         for report in reports.values():
             for held in (*report.held_in_zone,):
@@ -104,7 +107,7 @@
 
     def _report_of(self, reader: Member) -> ConfigurationReport | None:
         if reader.name == self._membership.local().name:
-            return self._own_report()
+            return self._local_report()
         reply = self._peer_client.call(
             reader.peer, GetConfigurationReport(), ConfigurationReport, REPORT_TIMEOUT_S
         )
@@ -162,9 +165,9 @@
 
 def _listed(nodes: tuple[NodeStatus, ...], highest: int) -> tuple[NodeStatus, ...]:
     """Return the nodes to list, abnormal ones first; in a large fleet only abnormal ones."""
-    ordered = sorted(nodes, key=lambda node: (_is_ordinary(node, highest), node.name))
+    ordered = sorted(nodes, key=lambda node: (_is_normal(node, highest), node.name))
     if len(ordered) > MAX_LISTED_NODES:
-        ordered = [node for node in ordered if not _is_ordinary(node, highest)]
+        ordered = [node for node in ordered if not _is_normal(node, highest)]
     return tuple(ordered[:MAX_LISTED_NODES])
 
 
@@ -172,5 +175,5 @@
     return node.state in (MemberState.ALIVE, MemberState.SUSPECT)
 
 
-def _is_ordinary(node: NodeStatus, highest: int) -> bool:
+def _is_normal(node: NodeStatus, highest: int) -> bool:
     return node.state is MemberState.ALIVE and node.generation == highest
--- a/src/quaymill/process/status/service.py
+++ b/src/quaymill/process/status/service.py
@@ -49,7 +49,7 @@
 
     Parameters
     ----------
-    own_report
+    local_report
         Returns the report of this node (``ConfigurationService.report``).
     """
 
@@ -58,12 +58,12 @@
         membership: Membership,
         platform_client: PlatformClient,
         peer_client: PeerClient,
-        own_report: Callable[[], ConfigurationReport],
+        local_report: Callable[[], ConfigurationReport],
         timing: StatusTiming | None = None,
     ) -> None:
         self._membership = membership
         self._timing = timing or StatusTiming()
-        self._collector = StatusCollector(membership, peer_client, own_report)
+        self._collector = StatusCollector(membership, peer_client, local_report)
         name = membership.local().name
         self._lease = WriterLease(platform_client, name, self._timing.lease_duration_s)
         self._writer = StatusWriter(platform_client)
@@ -99,7 +99,7 @@
             if not self.is_candidate():
                 self._lease.release()
                 continue
-            token = self._lease.hold()
+            token = self._lease.acquire_or_renew()
             if token is not None:
                 self._write_if_due(token)
 
@@ -108,8 +108,8 @@
         status = msgspec.structs.replace(
             self._collector.compose(), token=token, writer=self._membership.local().name
         )
-        news = without_load(status) != without_load(self._written)
-        interval_s = self._timing.news_interval_s if news else self._timing.load_interval_s
+        has_changes = without_load(status) != without_load(self._written)
+        interval_s = self._timing.news_interval_s if has_changes else self._timing.load_interval_s
         now = boot_clock.now()
         if now - self._written_at < interval_s or self._lease.token() != token:
             return
--- a/src/quaymill/process/status/status_writer.py
+++ b/src/quaymill/process/status/status_writer.py
@@ -38,9 +38,9 @@
         """Store a document; return ``None`` if it is stored, or else the reason."""
         for _ in range(MAX_TRIES):
             if self._version is None:
-                hindrance = self._read(status.token)
-                if hindrance is not None:
-                    return hindrance
+                failure = self._read(status.token)
+                if failure is not None:
+                    return failure
             result = self._put(status)
             if isinstance(result, PlatformObject):
                 self._version = result.resource_version
--- a/src/quaymill/process/status/writer_lease.py
+++ b/src/quaymill/process/status/writer_lease.py
@@ -70,7 +70,7 @@
             self._token = None  # Renewals failed for too long; another node may hold it now.
         return self._token
 
-    def hold(self) -> int | None:
+    def acquire_or_renew(self) -> int | None:
         """Acquire or renew the lease if that is due; return the token while it is held."""
         token = self.token()
         if token is not None:
@@ -81,7 +81,7 @@
         self._read()
         if self._seen is None:
             return None
-        if self._may_take(self._seen):
+        if self._may_acquire(self._seen):
             self._write(self._seen.record.token + 1)
         return self.token()
 
@@ -94,11 +94,11 @@
         self._token = None
         if token is None or self._seen is None:
             return
-        vacated = LeaseRecord(NO_HOLDER, token, time.time())
+        released = LeaseRecord(NO_HOLDER, token, time.time())
         version = self._seen.resource_version
-        self._platform.replace(STATUS_LEASES, STATUS_LEASE_NAME, vacated, version)
+        self._platform.replace(STATUS_LEASES, STATUS_LEASE_NAME, released, version)
 
-    def _may_take(self, seen: _Seen) -> bool:
+    def _may_acquire(self, seen: _Seen) -> bool:
         # A lease in this node's own name remains from before a restart.
         if not seen.resource_version or seen.record.holder in (NO_HOLDER, self._holder):
             return True
@@ -109,11 +109,11 @@
         if isinstance(result, NotFound):
             self._seen = _Seen("", LeaseRecord(NO_HOLDER, 0, 0.0), self._clock())
         elif isinstance(result, PlatformObject):
-            self._note(result)
+            self._record_seen(result)
         else:
             self._seen = None
 
-    def _note(self, stored: PlatformObject) -> None:
+    def _record_seen(self, stored: PlatformObject) -> None:
         if self._seen is not None and self._seen.resource_version == stored.resource_version:
             return
         try:
@@ -132,7 +132,7 @@
         else:
             result = self._platform.create(STATUS_LEASES, STATUS_LEASE_NAME, record)
         if isinstance(result, PlatformObject):
-            self._note(result)
+            self._record_seen(result)
             self._token = token
             self._valid_until = began + self._duration_s
         else:
--- a/tests/test_configuration_editor.py
+++ b/tests/test_configuration_editor.py
@@ -84,7 +84,7 @@
         ({"delay_s": 1.0}, True),
         ({"truncate_probability": 1.0}, True),
     )
-    def test_fault_of_a_write_leaves_its_fate_open(self, faults, may_have_acted):
+    def test_faulty_write_may_have_been_applied(self, faults, may_have_acted):
         set_faults(self.platform, **faults)
         result = self.client.create("storegroups", "g", {"a": 1}, timeout_s=0.3)
         self.assertIsInstance(result, PlatformUnavailable, result)
@@ -94,20 +94,20 @@
     def test_unreachable_platform_was_sent_nothing(self):
         self.links.set_blocked(frozenset((self.client.endpoint,)))
         blocked = self.client.create("storegroups", "g", {}, timeout_s=0.1)
-        nobody = PlatformClient(Endpoint("127.0.0.1", 1))
-        refused = nobody.create("storegroups", "g", {})
+        unreachable = PlatformClient(Endpoint("127.0.0.1", 1))
+        refused = unreachable.create("storegroups", "g", {})
         for result in (blocked, refused):
             self.assertIsInstance(result, PlatformUnavailable)
             self.assertFalse(result.may_have_acted)
 
-    def test_silent_watch_ends_as_silent_and_an_ordered_one_does_not(self):
+    def test_only_an_unresponsive_watch_ends_as_silent(self):
         watch = self.client.watch("storegroups", "0", timeout_s=1)
         self.assertEqual(list(watch)[-1], WatchEnded("the platform ended the watch", silent=False))
         set_faults(self.platform, watch_silent=True)
         last = list(self.client.watch("storegroups", "0", timeout_s=1))[-1]
         self.assertTrue(last.silent, last)
 
-    def test_watch_shows_changes_as_they_come(self):
+    def test_watch_yields_changes_at_once(self):
         watch = self.client.watch("storegroups", "0", timeout_s=5)
         created = self.client.create("storegroups", "g", {"a": 1})
         self.assertEqual(next(watch), ObjectChanged(created))
@@ -131,13 +131,13 @@
         self.assertEqual(accepted, [EditAccepted(n) for n in range(1, 5)])
         self.assertEqual((self.stored().generation, self.stored().tuning.batch_reserve), (4, 5))
 
-    def test_platform_down_before_the_edit_says_that_nothing_was_changed(self):
+    def test_edit_while_the_platform_is_down_is_not_sent(self):
         set_faults(self.platform, down=True)
         self.assertIsInstance(self.editor.submit(edit(RESERVE, 1, 2), 0.3), EditNotSent)
         set_faults(self.platform)
         self.assertEqual(self.stored().generation, 0)
 
-    def test_lost_answer_and_then_an_outage_is_unknown_and_may_be_repeated(self):
+    def test_edit_with_a_lost_response_is_unknown_and_may_be_repeated(self):
         class DownAfterWrite(PlatformClient):
             """Loses the response of the first write; the platform is down afterwards."""
 
@@ -156,18 +156,18 @@
         self.assertEqual(self.editor.submit(lost), EditAccepted(1))
         self.assertEqual(self.stored().tuning.batch_reserve, 7, "the repetition changed nothing")
 
-    def test_two_operators_on_one_cell(self):
-        results = self._at_once(edit(RESERVE, 1, 2, "ana"), edit(RESERVE, 1, 3, "bo"))
+    def test_concurrent_edits_of_one_cell_conflict(self):
+        results = self._submit_concurrently(edit(RESERVE, 1, 2, "ana"), edit(RESERVE, 1, 3, "bo"))
         self.assertEqual({type(result) for result in results}, {EditAccepted, EditConflict})
         conflict = next(result for result in results if isinstance(result, EditConflict))
         winner = {2: "ana", 3: "bo"}[self.stored().tuning.batch_reserve]
         self.assertEqual((conflict.found, conflict.author), ({"ana": 2, "bo": 3}[winner], winner))
 
-    def test_many_operators_on_cells_of_a_row_all_merge(self):
+    def test_concurrent_edits_of_different_cells_merge(self):
         columns = ("requests_per_s", "tokens_per_s", "concurrency")
         edits = [edit("tenants/a/concurrency", None, 1)]
         self.editor.submit(edits[0])
-        results = self._at_once(
+        results = self._submit_concurrently(
             *(
                 edit(f"tenants/a/{column}", n and 0.0, 5)
                 for n, column in enumerate(columns, 1)
@@ -182,7 +182,7 @@
         self.assertIsInstance(self.editor.submit(edit(RESERVE, 1, -2)), EditInvalid)
         self.assertEqual(self.stored().generation, 0)
 
-    def _at_once(self, *edits: Edit) -> list:
+    def _submit_concurrently(self, *edits: Edit) -> list:
         results: list = [None] * len(edits)
 
         def submit(index: int) -> None:
--- a/tests/test_configuration_faults.py
+++ b/tests/test_configuration_faults.py
@@ -20,7 +20,7 @@
 from quaymill.process.configuration.disk_copy import COPY_NAME, load_copy
 from quaymill.process.configuration.editor import ConfigurationEditor, EditAccepted
 from quaymill.process.configuration.problems import ProblemLog
-from quaymill.process.configuration.reader import SET_BACK_S, MachineListFollower
+from quaymill.process.configuration.reader import SET_BACK_DELAY_S, MachineListFollower
 from quaymill.process.configuration.service import ConfigurationTiming
 from quaymill.process.machine_list import MachineListHolder
 from quaymill.process.membership.ranking import reader_nodes
@@ -84,7 +84,7 @@
         {"truncate_probability": 0.5, "seed": 1},
         {"watch_silent": True},
     )
-    def test_edit_is_in_force_although_the_platform_fails(self, faults):
+    def test_edit_comes_into_force_despite_platform_faults(self, faults):
         set_faults(self.platform, **faults)
         self.edit()
         self.expect_in_force()
@@ -98,7 +98,7 @@
         self.expect_in_force()
         eventually(lambda: not self.problems(), why=str(self.problems()))
 
-    def test_version_that_is_gone_is_listed_anew(self):
+    def test_objects_are_listed_again_when_the_history_is_gone(self):
         set_faults(self.platform, watch_silent=True)
         self.edit()
         control(self.platform, "forget-history")
@@ -149,7 +149,7 @@
         self.expect_in_force()
         eventually(lambda: not self.problems(), why=str(self.problems()))
 
-    def test_every_node_restarted_while_the_platform_is_down(self):
+    def test_all_nodes_restart_while_the_platform_is_down(self):
         set_faults(self.platform, down=True)
         for node in self.fleet.nodes:
             node.stop()
@@ -166,7 +166,7 @@
 
     options = ControlNodeOptions(ConfigurationTiming(0.3, 60.0, 60.0))
 
-    def test_check_of_the_version_finds_what_the_watches_miss(self):
+    def test_version_check_finds_an_edit_that_the_watches_miss(self):
         set_faults(self.platform, watch_silent=True)
         self.edit()
         self.expect_in_force()
@@ -175,7 +175,7 @@
 class NodeFaultTest(FleetCase):
     """Failures of nodes and network partitions."""
 
-    def test_both_readers_of_a_zone_killed(self):
+    def test_edit_comes_into_force_after_both_readers_of_a_zone_stop(self):
         readers = self.readers("a")
         rest = [node for node in self.fleet.nodes if node not in readers]
         for reader in readers:
@@ -184,7 +184,7 @@
         self.expect_in_force(rest)
         eventually(lambda: any(node.service.is_reader() for node in rest[:1]))
 
-    def test_readers_cut_off_from_the_platform_get_it_from_peers(self):
+    def test_readers_without_the_platform_pull_from_peers(self):
         for reader in self.readers("a"):
             reader.links.set_blocked(frozenset((reader.platform.endpoint,)))
         self.edit()
@@ -209,7 +209,7 @@
         self.expect_in_force()
         eventually(lambda: all(len(node.membership.live()) == 6 for node in self.fleet.nodes))
 
-    def test_node_that_missed_many_generations_takes_the_whole(self):
+    def test_node_without_known_differences_pulls_the_whole_configuration(self):
         cut = self.fleet.nodes[5]
         self.fleet.cut([cut])
         for _ in range(3):
@@ -226,7 +226,7 @@
         self.expect_in_force()
 
     @params(b"", b'{"generation":9,"tuning":{"batch_reserve":-1}}', b'{"generation":')
-    def test_spoilt_copy_on_disk_is_reported_and_not_put_in_force(self, content):
+    def test_invalid_copy_on_disk_is_reported_and_not_applied(self, content):
         node = self.fleet.nodes[0]
         copy = Path(node.settings.data_folder) / COPY_NAME
         eventually(copy.exists)
@@ -264,14 +264,14 @@
             lambda: all(draining in node.machines.current().machines for node in self.fleet.nodes)
         )
 
-    def test_list_that_names_dead_nodes_and_misses_live_ones_changes_no_member(self):
+    def test_machine_list_does_not_change_the_membership(self):
         self.client.create("machines", "ghost", self.machine("ghost", 1))
         self.client.create("machines", "node-0", self.machine("node-0", 1, draining=True))
         eventually(lambda: self.names_everywhere("ghost", "node-0"))
         names = {member.name for member in self.fleet.nodes[3].membership.live()}
         self.assertEqual(names, {node.settings.name for node in self.fleet.nodes})
 
-    def test_entry_that_is_no_machine_is_reported_and_the_rest_holds(self):
+    def test_invalid_machine_is_reported_and_the_others_are_applied(self):
         self.client.create("machines", "m1", self.machine("m1", 1))
         self.client.create("machines", "odd", {"role": "toaster"})
         eventually(lambda: self.names_everywhere("m1"))
@@ -298,7 +298,7 @@
     def names(self) -> list[str]:
         return [machine.name for machine in self.holder.current().machines]
 
-    def test_late_read_changes_nothing(self):
+    def test_delayed_read_changes_nothing(self):
         self.follower.on_list(self.listed(7, "a"))
         self.follower.on_change(self.item(8, "c"))
         self.assertEqual(self.names(), ["a", "b"])
@@ -308,10 +308,10 @@
         self.assertTrue(self.follower.is_current())
         self.assertEqual(self.problems.all(), ())
 
-    def test_list_that_stays_older_begins_a_new_epoch(self):
+    def test_list_that_stays_older_starts_a_new_epoch(self):
         before = self.holder.current().version
         self.follower.on_list(self.listed(5, "a"))
-        self.now = SET_BACK_S
+        self.now = SET_BACK_DELAY_S
         self.follower.on_list(self.listed(6, "c"))
         self.assertEqual(self.names(), ["c"])
         self.assertGreater(self.holder.current().version, before)
--- a/tests/test_status_writer.py
+++ b/tests/test_status_writer.py
@@ -74,74 +74,76 @@
         for clock in self.clocks:
             clock.now += seconds
 
-    def test_holder_renews_and_the_other_waits(self):
-        self.assertEqual(self.first.hold(), 1)
+    def test_holder_renews_and_the_other_node_waits(self):
+        self.assertEqual(self.first.acquire_or_renew(), 1)
         for _ in range(10):
             self.advance(LEASE_S / 2)
-            self.assertEqual(self.first.hold(), 1)
-            self.assertIsNone(self.second.hold())
+            self.assertEqual(self.first.acquire_or_renew(), 1)
+            self.assertIsNone(self.second.acquire_or_renew())
 
-    def test_lease_lapses_when_the_holder_is_paused_and_the_token_rises(self):
-        self.first.hold()
-        self.assertIsNone(self.second.hold())
+    def test_lease_of_a_paused_holder_expires_and_the_token_rises(self):
+        self.first.acquire_or_renew()
+        self.assertIsNone(self.second.acquire_or_renew())
         self.advance(LEASE_S + 1)
-        self.assertEqual(self.second.hold(), 2)
+        self.assertEqual(self.second.acquire_or_renew(), 2)
         self.assertIsNone(self.first.token(), "the resumed holder still considers its lease valid")
-        self.assertIsNone(self.first.hold())
+        self.assertIsNone(self.first.acquire_or_renew())
 
     def test_wait_begins_when_the_version_is_first_seen(self):
-        self.first.hold()
+        self.first.acquire_or_renew()
         self.advance(LEASE_S * 5)
-        self.assertIsNone(self.second.hold(), "the lease was first seen at this moment")
+        self.assertIsNone(self.second.acquire_or_renew(), "the lease was first seen at this moment")
         self.advance(LEASE_S)
-        self.assertEqual(self.second.hold(), 2)
+        self.assertEqual(self.second.acquire_or_renew(), 2)
 
-    def test_holder_that_cannot_renew_gives_up_by_its_own_clock(self):
-        self.first.hold()
+    def test_holder_that_cannot_renew_loses_the_lease_by_its_own_clock(self):
+        self.first.acquire_or_renew()
         set_faults(self.platform, down=True)
         self.advance(LEASE_S * 0.9)
-        self.first.hold()
+        self.first.acquire_or_renew()
         self.advance(LEASE_S * 0.2)
-        self.assertIsNone(self.first.hold())
+        self.assertIsNone(self.first.acquire_or_renew())
 
     def test_released_lease_is_taken_at_once_with_a_higher_token(self):
-        self.first.hold()
-        self.assertIsNone(self.second.hold())
+        self.first.acquire_or_renew()
+        self.assertIsNone(self.second.acquire_or_renew())
         self.first.release()
-        self.assertEqual(self.second.hold(), 2)
+        self.assertEqual(self.second.acquire_or_renew(), 2)
         self.first.release()
-        self.assertEqual(self.second.hold(), 2, "a release without the lease changes nothing")
-        self.assertIsNone(self.first.hold())
+        self.assertEqual(
+            self.second.acquire_or_renew(), 2, "a release without the lease changes nothing"
+        )
+        self.assertIsNone(self.first.acquire_or_renew())
 
-    def test_release_that_does_not_reach_the_platform_leaves_the_wait(self):
-        self.first.hold()
+    def test_next_holder_waits_after_a_failed_release(self):
+        self.first.acquire_or_renew()
         set_faults(self.platform, down=True)
         self.first.release()
         set_faults(self.platform)
         self.assertIsNone(self.first.token())
-        self.assertIsNone(self.second.hold())
+        self.assertIsNone(self.second.acquire_or_renew())
         self.advance(LEASE_S)
-        self.assertEqual(self.second.hold(), 2)
+        self.assertEqual(self.second.acquire_or_renew(), 2)
 
-    def test_restarted_holder_takes_its_lease_anew_with_a_higher_token(self):
-        self.first.hold()
-        again = WriterLease(self.client, "n1", LEASE_S, self.clocks[0])
-        self.assertEqual(again.hold(), 2)
+    def test_restarted_holder_acquires_its_lease_with_a_higher_token(self):
+        self.first.acquire_or_renew()
+        restarted = WriterLease(self.client, "n1", LEASE_S, self.clocks[0])
+        self.assertEqual(restarted.acquire_or_renew(), 2)
 
     def test_lost_answer_leaves_one_holder(self):
         losing = AnswerLost(self.client.endpoint)
         self.addCleanup(losing.close)
-        unlucky = WriterLease(losing, "n1", LEASE_S, self.clocks[0])
-        self.assertIsNone(unlucky.hold())
-        self.assertIsNone(self.second.hold())
-        self.assertEqual(unlucky.hold(), 2)
+        lease = WriterLease(losing, "n1", LEASE_S, self.clocks[0])
+        self.assertIsNone(lease.acquire_or_renew())
+        self.assertIsNone(self.second.acquire_or_renew())
+        self.assertEqual(lease.acquire_or_renew(), 2)
 
-    def test_of_two_that_see_it_lapsed_one_takes_it(self):
-        self.first.hold()
+    def test_one_of_two_nodes_acquires_an_expired_lease(self):
+        self.first.acquire_or_renew()
         third = WriterLease(self.client, "n3", LEASE_S, self.clocks[1])
-        self.assertEqual((self.second.hold(), third.hold()), (None, None))
+        self.assertEqual((self.second.acquire_or_renew(), third.acquire_or_renew()), (None, None))
         self.advance(LEASE_S)
-        self.assertEqual([self.second.hold(), third.hold()], [2, None])
+        self.assertEqual([self.second.acquire_or_renew(), third.acquire_or_renew()], [2, None])
 
 
 class FencingTest(PlatformCase):
@@ -168,7 +170,7 @@
         self.assertEqual(self.written().token, 2)
 
     @params({"down": True}, {"lose_answer_probability": 1.0}, {"error_probability": 1.0})
-    def test_platform_fault_is_no_end_of_the_term(self, faults):
+    def test_writer_continues_after_a_platform_fault(self, faults):
         writer = StatusWriter(self.client)
         set_faults(self.platform, **faults)
         self.assertIsInstance(writer.write(ServingStatus(token=1)), StatusNotWritten)
@@ -176,7 +178,7 @@
         self.assertIsNone(writer.write(ServingStatus(token=1, generation=5)))
         self.assertEqual(self.written().generation, 5)
 
-    def test_document_that_nobody_can_read_is_overwritten(self):
+    def test_unreadable_document_is_overwritten(self):
         self.client.create(STATUSES, STATUS_NAME, "nonsense")
         self.assertIsNone(StatusWriter(self.client).write(ServingStatus(token=1)))
 
@@ -208,7 +210,7 @@
         cell = EditedCell("tuning/batch_reserve", value - 1, value)
         ConfigurationEditor(self.client).submit(Edit(new_edit_id(), "ana", (cell,)))
 
-    def test_status_shows_generations_and_the_rows_of_other_parts(self):
+    def test_status_shows_generations_and_rows_of_providers(self):
         for service in self.services:
             service.add_provider(
                 lambda: StatusRows(
@@ -286,7 +288,7 @@
 class ListedNodesTest(unittest.TestCase):
     """Which nodes the status of a large fleet lists."""
 
-    def test_large_fleet_lists_those_out_of_the_ordinary(self):
+    def test_large_fleet_lists_only_abnormal_nodes(self):
         nodes = [NodeStatus(f"n{n}", "a", MemberState.ALIVE, 9) for n in range(330)]
         nodes[7] = NodeStatus("n7", "a", MemberState.ALIVE, 8)
         nodes[8] = NodeStatus("n8", "a", MemberState.SUSPECT, 9)
