--- a/src/quaymill/process/configuration/reader.py
+++ b/src/quaymill/process/configuration/reader.py
@@ -108,7 +108,7 @@
     Parameters
     ----------
     clock
-        Monotonic seconds.
+        Returns the monotonic time in seconds.
     """
 
     def __init__(
