--- a/src/quaymill/process/control/store_circuit.py
+++ b/src/quaymill/process/control/store_circuit.py
@@ -146,7 +146,7 @@
     probe_at: float = math.inf
     _answered_at: float = -math.inf
     _failed_at: float = -math.inf
-    _pause_s: float = FIRST_PROBE_DELAY_S
+    _next_delay_s: float = FIRST_PROBE_DELAY_S
     _probe_advanced: bool = False
 
     def may_call(self, now: float) -> bool:
@@ -171,7 +171,7 @@
         self._answered_at = now
         self.failures = 0
         self.probe_at = math.inf
-        self._pause_s = min(FIRST_PROBE_DELAY_S, self.longest_probe_s)
+        self._next_delay_s = min(FIRST_PROBE_DELAY_S, self.longest_probe_s)
         self._probe_advanced = False
 
     def record_failure(self, began: float, now: float) -> None:
@@ -193,8 +193,8 @@
         if was_closed:
             self.opened_at = now
         jitter = self.uniform(1.0 - PROBE_JITTER, 1.0)
-        self.probe_at = now + self._pause_s * jitter
-        self._pause_s = min(self.longest_probe_s, PROBE_GROWTH * self._pause_s)
+        self.probe_at = now + self._next_delay_s * jitter
+        self._next_delay_s = min(self.longest_probe_s, PROBE_GROWTH * self._next_delay_s)
 
     def record_answer_elsewhere(self, at: float, now: float, spread_s: float) -> None:
         """Record that the store answered another gateway at the time ``at``.
