--- a/src/quaymill/process/control/state.py
+++ b/src/quaymill/process/control/state.py
@@ -1,8 +1,8 @@
-"""The configuration in force and the replicas, from the platform's store or from peers.
+"""The configuration in force and the list of replicas, from the platform's store or from peers.
 
-A configuration is taken whole and only if its version is higher than the one in force, so
-nothing goes back within a process's life, whatever the source. What this gateway holds is
-told with the membership's datagrams; one that is behind pulls from one that is ahead.
+A configuration is applied as a whole and only if its version is higher than the one in force, so
+the version never decreases while the process runs, whatever the source. Membership datagrams
+publish the versions that this gateway has; a gateway that is behind pulls from one that is ahead.
 """
 
 from __future__ import annotations
@@ -41,19 +41,19 @@
 PULL_TIMEOUT_S = 0.8
 PULL_RETRY_S = 0.1
 MAX_PULLS_AT_ONCE = 4
-"""Gateways answered at the same time: a large configuration spreads as from hand to hand."""
+"""Pulls answered concurrently; further gateways pull from those that have been answered."""
 
 
 @attrs.frozen
 class ControlProtocol:
-    """How the operator's document and replicas' entries are read.
+    """Parsers of the operator's configuration document and of replica entries.
 
     Attributes
     ----------
     configuration_name
         Name of the object that holds the configuration.
     read_configuration, read_replica
-        Return what is read, or a value with a ``reason`` if it cannot be understood.
+        Return the parsed value, or a value with a ``reason`` if parsing failed.
     """
 
     configuration_name: str
@@ -62,20 +62,20 @@
 
 
 OUTAGE_S = 2.5
-"""Time without any gateway's read of the store after which entries may have lapsed: reads come
-every second or two, and an entry lives for three heartbeats of about a second."""
-LAPSED_ENTRIES_S = 2.2
-"""How long after an outage replicas that the list lacks are kept: by the platform's word their
-entries are back within about two seconds."""
+"""Time without a successful read of the store by any gateway after which replica entries may
+have expired; an entry lasts for three heartbeats of about a second."""
+MISSING_KEPT_S = 2.2
+"""Time for which replicas missing from the list are kept after an outage; according to the
+platform, their entries are back within about two seconds."""
 
 
 class ControlPlaneView:
-    """What this gateway knows; safe to read from any thread.
+    """A gateway's view of the control plane; safe to read from any thread.
 
     Attributes
     ----------
     routes
-        The configuration in force; version 0 while none is known.
+        The configuration in force; its version is 0 while none is known.
     """
 
     def __init__(
@@ -96,7 +96,7 @@
         self._lock = threading.Lock()
         self._document: Any = None
         self._read_revision = 0
-        self._lapsed_until = 0.0
+        self._keep_missing_until = 0.0
         self._entries = EntryReader(protocol.read_replica, table.listed_entry)
         self._pulls = threading.Semaphore(MAX_PULLS_AT_ONCE)
         self._wake = threading.Event()
@@ -114,18 +114,18 @@
         return self.routes.version > 0 and self._table.revision > 0
 
     def subscribe(self, listener: Callable[[RequestRoutes], None]) -> None:
-        """Call ``listener`` with each configuration that comes into force."""
+        """Call ``listener`` with each new configuration when it comes into force."""
         self._listeners.append(listener)
 
     def start(self) -> None:
-        """Begin to follow the store, and peers that are ahead."""
+        """Start reading the store and pulling from peers that are ahead."""
         self._membership.subscribe(self._wake.set)
-        self._membership.on_confirmation(self._take_confirmation)
+        self._membership.on_confirmation(self._handle_confirmation)
         self._reader.start()
         threading.Thread(target=self._pull_loop, name="control-pull", daemon=True).start()
 
     def stop(self) -> None:
-        """Follow no more."""
+        """Stop reading the store and pulling from peers."""
         self._stopping.set()
         self._wake.set()
         self._reader.stop()
@@ -133,7 +133,7 @@
     # From the store.
 
     def _read_store(self) -> str:
-        """Read everything; return why that failed, or an empty text."""
+        """Read configuration and replicas; return the reason of a failure, or an empty string."""
         began = boot_clock.now()
         unconfirmed_s = self._membership.confirmed_age_s()
         stored = self._store.get(ObjectKind.CONFIGURATION, self._protocol.configuration_name)
@@ -144,29 +144,29 @@
         listing = self._store.list(ObjectKind.REPLICAS)
         if not isinstance(listing, Listing):
             return listing.reason
-        # One that cannot be read leaves the earlier one in force.
+        # An unreadable configuration leaves the earlier one in force.
         if isinstance(stored, StoredObject) and stored.revision != self._read_revision:
             self._offer_configuration(stored.spec, "store")
             self._read_revision = stored.revision
-        self._take_replicas(listing, unconfirmed_s)
-        self._tell_versions()
+        self._apply_replicas(listing, unconfirmed_s)
+        self._publish_versions()
         self._membership.confirm_versions(began)
         self._membership.send_notice(self._other_gateways())
         return ""
 
-    def _take_replicas(self, listing: Listing, unconfirmed_s: float) -> None:
-        """Take a list; right after an outage replicas that it lacks are not given up yet.
+    def _apply_replicas(self, listing: Listing, unconfirmed_s: float) -> None:
+        """Apply a list of replicas; right after an outage keep those that are missing from it.
 
-        Entries lapse while replicas cannot write them, and are back soon after the store is. Who
-        pulls the list from this gateway gets those that are kept with it.
+        Entries expire while replicas cannot write them, and return soon after the store recovers.
+        Gateways that pull the list from this one also receive the replicas that were kept.
         """
         now = boot_clock.now()
         if unconfirmed_s > OUTAGE_S:
-            self._lapsed_until = now + LAPSED_ENTRIES_S
+            self._keep_missing_until = now + MISSING_KEPT_S
         kept = self._table.replace_all(
             self._entries.read(listing, now),
             listing.revision,
-            keep_missing=now < self._lapsed_until,
+            keep_missing=now < self._keep_missing_until,
         )
         if kept:
             log_message("control:lapsed_kept", replicas=kept, unconfirmed_s=round(unconfirmed_s, 2))
@@ -182,8 +182,8 @@
         live = self._membership.live()
         return [member for member in live if not member.has_disk and member.name != name]
 
-    def _take_confirmation(self, version: int, revision: int, at: float) -> None:
-        """Take what another gateway knows of the newest versions."""
+    def _handle_confirmation(self, version: int, revision: int, at: float) -> None:
+        """Handle another gateway's report of the newest versions in the store."""
         if self.routes.version >= version and self._table.revision >= revision:
             self._membership.confirm_versions(at)
         else:
@@ -209,13 +209,13 @@
         )
         for listener in self._listeners:
             listener(routes)
-        self._tell_versions()
+        self._publish_versions()
 
-    def _tell_versions(self) -> None:
+    def _publish_versions(self) -> None:
         local = self._membership.local()
-        held = (self.routes.version, self._table.revision)
-        if held != (local.configuration_generation, local.machine_list_version):
-            self._membership.publish(*held)
+        versions = (self.routes.version, self._table.revision)
+        if versions != (local.configuration_generation, local.machine_list_version):
+            self._membership.publish(*versions)
 
     # From peers.
 
@@ -229,7 +229,7 @@
                 self._wake.set()
 
     def _peer_ahead(self) -> Member | None:
-        """Return a random peer with something newer than this gateway."""
+        """Return a random peer with a newer configuration or list of replicas; ``None`` if none."""
         local = self._membership.local()
         ahead = [
             member
@@ -244,7 +244,7 @@
         return random.choice(ahead) if ahead else None
 
     def _pull_from(self, peer: Member) -> bool:
-        """Take what a peer has; return whether it answered."""
+        """Pull newer data from a peer and apply it; return whether the peer answered."""
         message = PullControl(self.routes.version, self._table.revision)
         reply = self._peer_client.call(peer.peer, message, ControlState, PULL_TIMEOUT_S)
         if not isinstance(reply, ControlState):
@@ -255,13 +255,13 @@
             entries = [_entry(record) for record in reply.replicas]
             self._table.replace_from_peer(entries, reply.replicas_revision)
             log_message("control:replicas_pulled", peer=peer.name, revision=reply.replicas_revision)
-            self._tell_versions()
+            self._publish_versions()
         return True
 
     def _answer_pull(self, message: PullControl) -> ControlState | PeerRefusal:
-        """Give what is newer; who finds this gateway busy asks another that has it by then."""
+        """Answer a pull with newer data; refuse if too many are being answered already."""
         if not self._pulls.acquire(blocking=False):
-            return PeerRefusal("others are being answered")
+            return PeerRefusal("too many pulls are being answered; retry with another gateway")
         try:
             return self._newer_than(message)
         finally:
--- a/src/quaymill/process/control/store_helpers.py
+++ b/src/quaymill/process/control/store_helpers.py
@@ -1,8 +1,8 @@
-"""Which gateways may be asked to make a call of the platform's store for this one.
+"""Chooses the gateways that are asked to make a call to the platform's store for this one.
 
-Load answered: where the store is away for all, each gateway asking others would multiply the
-calls that cannot succeed. Where it turns only some machines away, the gateway that could help
-once is asked first again.
+If the store is unavailable to all gateways, asking others would multiply the calls that cannot
+succeed, so gateways that could not help are left out for a while. If the store refuses only some
+machines, the gateway that helped last is asked first.
 """
 
 from __future__ import annotations
@@ -15,61 +15,64 @@
 
 from quaymill.connection.member import Member
 
-MOST_ASKED = 2
-"""Gateways asked for one call: a second one in case that the first is turned away as well."""
-UNABLE_S = 0.5
-"""Time for which a gateway is not asked again that could not help and did not tell for how long."""
+MAX_HELPERS_ASKED = 2
+"""Maximum number of gateways asked for one call; the store may refuse the first one as well."""
+HELPER_RETRY_S = 0.5
+"""Time for which a gateway that could not help is left out if it did not say for how long."""
 
 
 @attrs.define
 class StoreHelpers:
-    """What this gateway knows of those that could help; to be used under a lock.
+    """Which gateways were able to help recently; the caller must hold a lock.
 
     All times are monotonic, in seconds.
 
     Attributes
     ----------
     sample
-        Draws some of the members.
-    served_by
-        Name of the gateway that made the last call for this one; empty if none could since.
+        Returns a random selection of the members, of the given size.
+    last_helper
+        Name of the gateway that made the last shared call; empty if it has failed to help since.
     """
 
     sample: Callable[[Sequence[Member], int], list[Member]] = random.sample
-    served_by: str = ""
+    last_helper: str = ""
     _unable_until_by_name: dict[str, float] = attrs.field(factory=dict)
-    _nobody_until: float = -math.inf
+    _none_able_until: float = -math.inf
 
     def choose(self, members: Sequence[Member], now: float) -> list[Member]:
-        """Return whom to ask for a call, in this order; nobody where all were unable just now."""
-        if now < self._nobody_until:
+        """Return the members to ask for a call, in order; none if all of them failed recently."""
+        if now < self._none_able_until:
             return []
-        self._forget_past(now)
-        first = [member for member in members if member.name == self.served_by]
+        self._drop_expired(now)
+        first = [member for member in members if member.name == self.last_helper]
         able = [
             member
             for member in members
-            if member.name != self.served_by and member.name not in self._unable_until_by_name
+            if member.name != self.last_helper and member.name not in self._unable_until_by_name
         ]
-        wanted = min(MOST_ASKED - len(first), len(able))
+        wanted = min(MAX_HELPERS_ASKED - len(first), len(able))
         return first + self.sample(able, wanted)
 
-    def note_served(self, name: str) -> None:
-        """Note who made a call for this gateway."""
-        self.served_by = name
-        self._nobody_until = -math.inf
+    def record_helped(self, name: str) -> None:
+        """Record that the gateway ``name`` made a call for this one."""
+        self.last_helper = name
+        self._none_able_until = -math.inf
 
-    def note_unable(self, name: str, retry_after_s: float, now: float) -> None:
-        """Note who could not make a call, and for how long that is likely to last."""
-        self._unable_until_by_name[name] = now + (retry_after_s or UNABLE_S)
-        if self.served_by == name:
-            self.served_by = ""
+    def record_unable(self, name: str, retry_after_s: float, now: float) -> None:
+        """Record that the gateway ``name`` could not make a call.
 
-    def note_nobody_served(self, now: float) -> None:
-        """Note that all who were asked were unable: nobody is asked until one may be again."""
-        self._nobody_until = min(self._unable_until_by_name.values(), default=now)
+        It is left out for ``retry_after_s``, or for ``HELPER_RETRY_S`` if that is 0.
+        """
+        self._unable_until_by_name[name] = now + (retry_after_s or HELPER_RETRY_S)
+        if self.last_helper == name:
+            self.last_helper = ""
 
-    def _forget_past(self, now: float) -> None:
+    def record_none_able(self, now: float) -> None:
+        """Record that no gateway could help: none is asked until the first of them may be again."""
+        self._none_able_until = min(self._unable_until_by_name.values(), default=now)
+
+    def _drop_expired(self, now: float) -> None:
         self._unable_until_by_name = {
             name: until for name, until in self._unable_until_by_name.items() if until > now
         }
--- a/src/quaymill/process/control/store_sharing.py
+++ b/src/quaymill/process/control/store_sharing.py
@@ -1,8 +1,8 @@
-"""Calls of the platform's store by way of other gateways, while it turns this one away.
+"""Calls to the platform's store through other gateways, while the store refuses this one.
 
-Only single objects go this way: listings of jobs, ledgers of quotas, barred requests. A write is
-bound to a revision, so that one which was done although its answer was lost does no harm when it
-is made again by another.
+Only calls for single objects are shared: listings of jobs, ledgers of quotas, barred requests.
+Each write is conditional on a revision, so it is safe to repeat a write through another gateway
+when its response was lost.
 """
 
 from __future__ import annotations
@@ -33,92 +33,91 @@
 from quaymill.connection.peer_link import PeerClient, PeerNoReply, PeerRefusal
 from quaymill.connection.peer_server import PeerServer
 from quaymill.connection.store_messages import SharedObject, StoreAnswer, StoreCall
-from quaymill.process.control.store_circuit import HELD_BACK_KINDS
+from quaymill.process.control.store_circuit import GUARDED_KINDS
 from quaymill.process.control.store_helpers import StoreHelpers
 
 HELP_TIMEOUT_S = 2.0
-LOOK_WAIT_S = 0.3
-"""Time that a caller waits for another that looks for a gateway which can help: a peer that is
-held up by nothing has answered by then."""
+HELPER_SEARCH_WAIT_S = 0.3
+"""Time for which a caller waits while another one searches for a gateway that can help."""
 
 
 class SharingStore:
-    """An ``ObjectStore`` that asks other gateways when its own calls fail.
+    """An ``ObjectStore`` that makes a failed call again through other gateways.
 
     Parameters
     ----------
     helpers
-        Returns the gateways that may be asked.
+        Returns the gateways that may be asked for help.
     """
 
     def __init__(
         self,
-        own: ObjectStore,
+        wrapped: ObjectStore,
         peer_client: PeerClient,
         peer_server: PeerServer,
         helpers: Callable[[], tuple[Member, ...]],
     ) -> None:
-        self._own = own
+        self._wrapped = wrapped
         self._peer_client = peer_client
         self._helpers = helpers
         self._lock = threading.Lock()
-        self._looking = threading.Lock()
+        self._search_lock = threading.Lock()
         self._choice = StoreHelpers()
         peer_server.register(StoreCall, self._answer)
 
     def list(self, kind: ObjectKind) -> Listing | StoreFailure:
         """Return all objects of a kind."""
-        return self._own.list(kind)
+        return self._wrapped.list(kind)
 
     def watch(
         self, kind: ObjectKind, revision: int, wait_s: float
     ) -> Changes | HistoryGone | StoreFailure:
         """Wait for changes."""
-        return self._own.watch(kind, revision, wait_s)
+        return self._wrapped.watch(kind, revision, wait_s)
 
     def get(
         self, kind: ObjectKind, name: str, *, allow_stale: bool = False
     ) -> StoredObject | ObjectMissing | StoreFailure:
-        """Return one object; an old one is not worth a call of another gateway."""
+        """Return one object; other gateways are not asked if a stale one is acceptable."""
         if allow_stale:
-            return self._own.get(kind, name, allow_stale=True)
-        result = self._own.get(kind, name)
-        return self._or_by_others(result, StoreCall(kind.name, name))
+            return self._wrapped.get(kind, name, allow_stale=True)
+        result = self._wrapped.get(kind, name)
+        return self._or_through_helpers(result, StoreCall(kind.name, name))
 
     def create(self, kind: ObjectKind, name: str, spec: Any) -> WriteResult:
-        """Make an object; a conflict if it exists."""
-        result = self._own.create(kind, name, spec)
-        return self._or_by_others(result, StoreCall(kind.name, name, spec))
+        """Create an object; a conflict if it exists."""
+        result = self._wrapped.create(kind, name, spec)
+        return self._or_through_helpers(result, StoreCall(kind.name, name, spec))
 
     def replace(self, kind: ObjectKind, name: str, spec: Any, revision: int) -> WriteResult:
         """Replace an object's ``spec`` if ``revision`` is still the object's."""
-        result = self._own.replace(kind, name, spec, revision)
-        return self._or_by_others(result, StoreCall(kind.name, name, spec, revision))
+        result = self._wrapped.replace(kind, name, spec, revision)
+        return self._or_through_helpers(result, StoreCall(kind.name, name, spec, revision))
 
     def replace_status(
         self, kind: ObjectKind, name: str, status: Any, revision: int
     ) -> WriteResult:
         """Replace an object's ``status``."""
-        return self._own.replace_status(kind, name, status, revision)
+        return self._wrapped.replace_status(kind, name, status, revision)
 
     def delete(self, kind: ObjectKind, name: str) -> WriteResult:
         """Remove an object."""
-        return self._own.delete(kind, name)
+        return self._wrapped.delete(kind, name)
 
-    def _or_by_others(self, result: Any, call: StoreCall) -> Any:
+    def _or_through_helpers(self, result: Any, call: StoreCall) -> Any:
         if not is_store_unavailable(result):
             return result
-        if ObjectKind[call.object_kind] not in HELD_BACK_KINDS:
+        if ObjectKind[call.object_kind] not in GUARDED_KINDS:
             return result
-        # While nobody is known to be able to help, one caller looks, and the others with it.
-        looks = not self._choice.served_by
-        if looks and not self._looking.acquire(timeout=LOOK_WAIT_S):
+        # While no helping gateway is known, only one caller at a time searches for one.
+        searches = not self._choice.last_helper
+        if searches and not self._search_lock.acquire(timeout=HELPER_SEARCH_WAIT_S):
             return result
         try:
             return self._ask_helpers(result, call)
         finally:
-            if looks:
-                self._looking.release()
+            if searches:
+                self._search_lock.release()
 
     def _ask_helpers(self, result: Any, call: StoreCall) -> Any:
         with self._lock:
@@ -127,33 +126,33 @@
             reply = self._peer_client.call(member.peer, call, StoreAnswer, HELP_TIMEOUT_S)
             if isinstance(reply, StoreAnswer) and not reply.unanswered:
                 with self._lock:
-                    self._choice.note_served(member.name)
+                    self._choice.record_helped(member.name)
                 log_message("control:store_call_shared", name=call.name, peer=member.name)
                 return _result(reply)
             if isinstance(reply, StoreAnswer):
                 result = StoreUnanswered(reply.unanswered)
             elif isinstance(reply, PeerNoReply):
-                # The other gateway may have made the call: "refused" would say that nobody did.
+                # The other gateway may have made the call, so the result must not be "refused".
                 result = StoreUnanswered(reply.reason)
             retry_after_s = reply.retry_after_s if isinstance(reply, PeerRefusal) else 0.0
             with self._lock:
-                self._choice.note_unable(member.name, retry_after_s, boot_clock.now())
+                self._choice.record_unable(member.name, retry_after_s, boot_clock.now())
         if asked:
             with self._lock:
-                self._choice.note_nobody_served(boot_clock.now())
+                self._choice.record_none_able(boot_clock.now())
         return result
 
     def _answer(self, call: StoreCall) -> StoreAnswer | PeerRefusal:
-        """Make a call for another gateway; with no help of a third one."""
+        """Make a call for another gateway, without asking a third one."""
         kind = ObjectKind[call.object_kind]
-        if kind not in HELD_BACK_KINDS:
-            return PeerRefusal(f"calls about {call.object_kind} are not made for others")
+        if kind not in GUARDED_KINDS:
+            return PeerRefusal(f"calls for {call.object_kind} are not made for other gateways")
         if call.spec is None:
-            result = self._own.get(kind, call.name)
+            result = self._wrapped.get(kind, call.name)
         elif call.revision:
-            result = self._own.replace(kind, call.name, call.spec, call.revision)
+            result = self._wrapped.replace(kind, call.name, call.spec, call.revision)
         else:
-            result = self._own.create(kind, call.name, call.spec)
+            result = self._wrapped.create(kind, call.name, call.spec)
         if isinstance(result, StoreRefused):
             return PeerRefusal(result.reason, result.retry_after_s)
         if isinstance(result, StoreUnanswered):
@@ -172,6 +171,6 @@
 def _result(answer: StoreAnswer) -> StoredObject | RevisionConflict | ObjectMissing:
     if answer.missing:
         return ObjectMissing()
-    held = answer.object
-    stored = None if held is None else StoredObject(held.name, held.revision, held.spec)
+    shared = answer.object
+    stored = None if shared is None else StoredObject(shared.name, shared.revision, shared.spec)
     return RevisionConflict(stored) if answer.conflict or stored is None else stored
--- a/src/quaymill/process/gateway_node.py
+++ b/src/quaymill/process/gateway_node.py
@@ -255,7 +255,7 @@
                 storage=storage,
                 listings=listings,
                 is_live=lambda name: self.network.process(name) is not None,
-                await_store=self._circuit_store.await_turn,
+                await_store=self._circuit_store.wait_for_retry,
             ),
             leases,
             LISTING_VALID_SHARE * settings.bounds.settle_ms / MS_PER_S,
@@ -376,7 +376,7 @@
             "zones_unreachable": lambda: self.network.zone_reachability.unreachable_zones,
             "replica_connections_opened": lambda: self._connections.opened_count,
             "store_calls": self._store_calls,
-            "store_calls_saved": lambda: self._circuit_store.calls_saved,
+            "store_calls_saved": lambda: self._circuit_store.rejected_calls,
             "store_circuit_open": lambda: self._circuit_store.is_open,
             "log_lines_dropped": self._context.log_lines_dropped,
         }
--- a/src/quaymill/process/gateway_parts.py
+++ b/src/quaymill/process/gateway_parts.py
@@ -7,9 +7,9 @@
 from quaymill.connection.object_store import ObjectStore
 from quaymill.process.control.store_circuit import (
     CircuitStore,
-    ReturnRules,
+    RecoveryRules,
     StoreCircuit,
-    longest_probe_s,
+    max_probe_delay_s,
 )
 from quaymill.process.limits.fleet import GatewayFleet
 from quaymill.process.limits.limiter import TenantLimiter
@@ -25,14 +25,14 @@
     """Return the platform's store wrapped in a circuit breaker that keeps the operator's bounds."""
     bounds = settings.bounds
     settle_s = bounds.settle_ms / MS_PER_S
-    longest_s = longest_probe_s(
+    longest_s = max_probe_delay_s(
         bounds.contact_ms / MS_PER_S, settle_s, bounds.configuration_ms / MS_PER_S
     )
-    rules = ReturnRules(
-        others_served_age_s=network.membership.confirmed_age_s,
+    rules = RecoveryRules(
+        last_answer_age_s=network.membership.confirmed_age_s,
         gateways=lambda: len(network.gateways()),
         writes_per_s=settings.store_writes_per_s,
-        longest_spread_s=settle_s,
+        max_spread_s=settle_s,
     )
     return CircuitStore(store, StoreCircuit(longest_s), rules)
 
--- a/src/quaymill/process/job_storage/orphans.py
+++ b/src/quaymill/process/job_storage/orphans.py
@@ -1,8 +1,8 @@
-"""Finds jobs that nobody runs, and gives each to a gateway.
+"""Finds orphaned jobs, which no coordinator runs, and assigns each to a gateway.
 
-Of the storage nodes the one that ranks first for a job acts, and only when no other has
-heard from the coordinator either. A lease need not run out where the process that had it is known
-to have ended: its node runs another process now.
+Only the storage node that ranks first for a job does so, and only if no other storage node has a
+valid lease for it. A lease is ignored if the process that holds it is known to have ended because
+its node runs another process now.
 """
 
 from __future__ import annotations
@@ -28,22 +28,22 @@
 
 CHECK_INTERVAL_S = 0.2
 REPLACED_FOR_S = 0.3
-"""How long a node must have been seen with another process: gossip of a former one is over."""
-ASK_TIMEOUT_S = 0.7
+"""Time for which a node must have been seen with a new process; outdated gossip ends earlier."""
+LEASE_QUERY_TIMEOUT_S = 0.7
 ADOPT_TIMEOUT_S = 1.0
 
 
 class OrphanWatch:
-    """Looks for jobs whose lease has run out.
+    """Periodically assigns jobs whose lease has expired.
 
     Parameters
     ----------
     storage_nodes, gateways
-        Return the live nodes of each kind, none that is leaving.
+        Return the live nodes of each kind, except those that are leaving.
     is_replaced
-        Whether the node of a process is known to run another process now.
+        Returns whether the node of a process is known to run another process now.
     may_have_ended
-        Whether a process that is not heard may have ended; else its jobs stay its own.
+        Returns whether an unresponsive process may have ended; otherwise it keeps its jobs.
     """
 
     def __init__(
@@ -71,11 +71,11 @@
         self._stopping = threading.Event()
 
     def start(self) -> None:
-        """Begin to look."""
+        """Start the thread."""
         threading.Thread(target=self._watch, name="orphans", daemon=True).start()
 
     def stop(self) -> None:
-        """Look no more."""
+        """Stop checking."""
         self._stopping.set()
 
     def _watch(self) -> None:
@@ -83,28 +83,28 @@
             self.check()
 
     def check(self) -> None:
-        """Give away the jobs that nobody runs."""
+        """Assign the orphaned jobs for which this node is responsible."""
         open_jobs = [
             record
             for record in list(self._database.by_id.values())
             if not record.complete and not record.ended
         ]
-        self._note_replaced({self._holder(record) for record in open_jobs})
+        self._update_replaced({self._holder(record) for record in open_jobs})
         orphans = [
             record
             for record in open_jobs
             if self._has_no_lease(record)
             and self._may_have_ended(self._holder(record))
-            and self._acts_for(record.id)
+            and self._is_responsible_for(record.id)
         ]
         for record in self._without_lease_elsewhere(orphans):
-            self._give_away(record)
+            self._assign(record)
 
     def _holder(self, record: JobRecord) -> str:
         return self._leases.holder(record.id, record.coordinator)
 
-    def _note_replaced(self, coordinators: set[str]) -> None:
-        """Note since when each coordinator's node has been seen with another process."""
+    def _update_replaced(self, coordinators: set[str]) -> None:
+        """Record since when each coordinator's node has been seen with another process."""
         now = boot_clock.now()
         self._replaced_since = {
             name: self._replaced_since.get(name, now)
@@ -118,14 +118,15 @@
     def _has_ended(self, record: JobRecord) -> bool:
         """Return whether the process that runs a job is known to have ended.
 
-        One that has renewed since its node was seen with another process is the newer one.
+        If the lease was renewed after its node was seen with another process, the holder is that
+        newer process.
         """
         since = self._replaced_since.get(self._holder(record))
         if since is None or self._leases.renewed_at(record.id) > since:
             return False
         return boot_clock.now() - since >= REPLACED_FOR_S
 
-    def _acts_for(self, job_id: str) -> bool:
+    def _is_responsible_for(self, job_id: str) -> bool:
         ranked = self._rules.rank(job_id, self._storage_nodes())
         return bool(ranked) and ranked[0].name == self._name
 
@@ -139,7 +140,7 @@
             if member.name == self._name:
                 continue
             reply = self._peer_client.call(
-                member.peer, FetchLeases(job_ids, ended), LeasesMessage, ASK_TIMEOUT_S
+                member.peer, FetchLeases(job_ids, ended), LeasesMessage, LEASE_QUERY_TIMEOUT_S
             )
             if isinstance(reply, LeasesMessage):
                 for job_id, left_s in zip(job_ids, reply.left_s, strict=True):
@@ -148,15 +149,15 @@
                         self._leases.extend(job_id, min(left_s, LEASE_S))
         return [record for record in orphans if record.id not in others]
 
-    def _give_away(self, record: JobRecord) -> None:
+    def _assign(self, record: JobRecord) -> None:
         job = self._database.job(record.id)
         ranked = rank_nodes(record.id, self._gateways())
         if job is None or not ranked:
             return
-        order = AdoptJob(job, self._database.progress(record.id))
-        # The first may be dead without anybody knowing yet; one try at each of two a round.
+        adoption = AdoptJob(job, self._database.progress(record.id))
+        # The first gateway may have failed unnoticed, so two are tried in each check.
         for member in ranked[:2]:
-            reply = self._peer_client.call(member.peer, order, JobAdopted, ADOPT_TIMEOUT_S)
+            reply = self._peer_client.call(member.peer, adoption, JobAdopted, ADOPT_TIMEOUT_S)
             log_message(
                 "job:given_away",
                 job=record.id,
--- a/src/quaymill/process/status/collector.py
+++ b/src/quaymill/process/status/collector.py
@@ -1,4 +1,4 @@
-"""Composes the status document from what this node knows and what readers report."""
+"""Composes the status document from this node's state and the reports of reader nodes."""
 
 from __future__ import annotations
 
@@ -32,32 +32,32 @@
 
 
 class StatusCollector:
-    """Gathers generations by zone: one call to one reader of each zone.
+    """Collects reports from one reader node of each zone, and composes the status from them.
 
     Parameters
     ----------
-    own_report
-        The report of this node, made without a call.
+    local_report
+        Returns the report of this node.
     """
 
     def __init__(
         self,
         membership: Membership,
         peer_client: PeerClient,
-        own_report: Callable[[], ConfigurationReport],
+        local_report: Callable[[], ConfigurationReport],
     ) -> None:
         self._membership = membership
         self._peer_client = peer_client
-        self._own_report = own_report
+        self._local_report = local_report
         self._reports: dict[str, ConfigurationReport] = {}
         self._providers: list[RowProvider] = []
 
     def add_provider(self, provider: RowProvider) -> None:
-        """Let a part of this node add rows to the status."""
+        """Add a function that provides rows of the status."""
         self._providers.append(provider)
 
     def collect(self) -> None:
-        """Ask one reader of each zone for its report; a zone that is silent keeps its last."""
+        """Fetch the report of one reader of each zone; an unresponsive zone keeps its last one."""
         live = self._membership.live()
         zones = {member.zone for member in live}
         self._reports = {zone: kept for zone, kept in self._reports.items() if zone in zones}
@@ -69,9 +69,12 @@
                     break
 
     def compose(self) -> ServingStatus:
-        """Return the document, without token and writer."""
-        own = self._own_report()
-        reports = {own.node: own, **{report.node: report for report in self._reports.values()}}
+        """Return the status document without token and writer."""
+        local_report = self._local_report()
+        reports = {
+            local_report.node: local_report,
+            **{report.node: report for report in self._reports.values()},
+        }
         generations = Counter[str]()
         for report in reports.values():
             for held in (*report.held_in_zone,):
@@ -104,7 +107,7 @@
 
     def _report_of(self, reader: Member) -> ConfigurationReport | None:
         if reader.name == self._membership.local().name:
-            return self._own_report()
+            return self._local_report()
         reply = self._peer_client.call(
             reader.peer, GetConfigurationReport(), ConfigurationReport, REPORT_TIMEOUT_S
         )
@@ -112,7 +115,7 @@
 
 
 def without_load(status: ServingStatus) -> ServingStatus:
-    """Return the document without what changes all the time, to tell whether it has news."""
+    """Return the document without fields that change constantly, to detect real changes."""
     return msgspec.structs.replace(
         status,
         written_unix_s=0.0,
@@ -124,7 +127,7 @@
 
 
 def _problems(reports: Iterable[ConfigurationReport]) -> tuple[StatusProblem, ...]:
-    """Return each problem once, with the first node that reports it."""
+    """Return each distinct problem once, with the first node that reports it."""
     found: dict[tuple[str, str], StatusProblem] = {}
     for report in reports:
         for problem in report.problems:
@@ -161,10 +164,10 @@
 
 
 def _listed(nodes: tuple[NodeStatus, ...], highest: int) -> tuple[NodeStatus, ...]:
-    """Return all nodes of a small fleet, of a large one those out of the ordinary first."""
-    ordered = sorted(nodes, key=lambda node: (_is_ordinary(node, highest), node.name))
+    """Return the nodes to list, abnormal ones first; in a large fleet only abnormal ones."""
+    ordered = sorted(nodes, key=lambda node: (_is_normal(node, highest), node.name))
     if len(ordered) > MAX_LISTED_NODES:
-        ordered = [node for node in ordered if not _is_ordinary(node, highest)]
+        ordered = [node for node in ordered if not _is_normal(node, highest)]
     return tuple(ordered[:MAX_LISTED_NODES])
 
 
@@ -172,5 +175,5 @@
     return node.state in (MemberState.ALIVE, MemberState.SUSPECT)
 
 
-def _is_ordinary(node: NodeStatus, highest: int) -> bool:
+def _is_normal(node: NodeStatus, highest: int) -> bool:
     return node.state is MemberState.ALIVE and node.generation == highest
--- a/tests/store_rig.py
+++ b/tests/store_rig.py
@@ -24,7 +24,7 @@
     StoreRefused,
 )
 from quaymill.connection.peer_link import PeerUnreachable
-from quaymill.process.control.store_circuit import CircuitStore, ReturnRules, StoreCircuit
+from quaymill.process.control.store_circuit import CircuitStore, RecoveryRules, StoreCircuit
 from quaymill.process.control.store_sharing import SharingStore
 from quaymill.process.jobs.coordinated_job import CoordinatedJob
 from quaymill.process.jobs.listing import JobListings
@@ -108,17 +108,21 @@
         self.name = name
         self.member = Member(name, "zone", "region", Endpoint(name, 1), Endpoint(name, 1))
         self.handlers: dict[type, Callable[[Any], Any]] = {}
-        rules = ReturnRules(
+        rules = RecoveryRules(
             lambda: boot_clock.now() - fleet.store.served_at,
             lambda: len(fleet.gateways),
             fleet.writes_per_s,
             fleet.settle_s,
         )
         own = _GatewayStore(fleet.store, name)
-        self.circuit = CircuitStore(own, StoreCircuit(fleet.longest_probe_s), rules)
+        self.circuit = CircuitStore(own, StoreCircuit(fleet.max_probe_delay_s), rules)
         shared = SharingStore(self.circuit, fleet, self, lambda: fleet.others(name))
         parts = PublisherParts(
-            name, _StorageNodes(), JobListings(shared), lambda other: True, self.circuit.await_turn
+            name,
+            _StorageNodes(),
+            JobListings(shared),
+            lambda other: True,
+            self.circuit.wait_for_retry,
         )
         self.publisher = ResultPublisher(parts, lambda: None, lambda job_id: None)
 
@@ -135,12 +139,12 @@
         gateways: int,
         writes_per_s: float = 400.0,
         settle_s: float = 1.0,
-        longest_probe_s: float = 1.5,
+        max_probe_delay_s: float = 1.5,
     ) -> None:
         self.store = MemoryStore()
         self.writes_per_s = writes_per_s
         self.settle_s = settle_s
-        self.longest_probe_s = longest_probe_s
+        self.max_probe_delay_s = max_probe_delay_s
         self.gateways: dict[str, ListingGateway] = {}
         for number in range(gateways):
             self.gateways[f"g{number}"] = ListingGateway(f"g{number}", self)
--- a/tests/test_empty_pages.py
+++ b/tests/test_empty_pages.py
@@ -93,9 +93,9 @@
     def replace_store(self, gateway: Any, make: Callable[[Any], Any]) -> Any:
         """Replace the store of one gateway's jobs, without help by other gateways."""
         shared = gateway.jobs._reader._listings._store
-        shared._own = make(shared._own)
+        shared._wrapped = make(shared._wrapped)
         shared._helpers = lambda: ()
-        return shared._own
+        return shared._wrapped
 
     def block_link(self, source: Any, target: Any) -> None:
         """Block one direction between two gateways; both reach all other processes."""
@@ -135,7 +135,7 @@
         before = self.rig.wait_results("gateway-1", "job", 2)
         self.slow_engines(30.0)
         shared = self.second.jobs._reader._listings._store
-        own = shared._own
+        own = shared._wrapped
         self.replace_store(self.second, lambda _: _UnresponsiveStore())
         self.rig.gateways.pop("gateway-0").kill()
         name = self.second.coordinator.name
@@ -144,7 +144,7 @@
             "the second gateway has the leases",
         )
         self.check_never_empty("gateway-1", 0)
-        shared._own = own
+        shared._wrapped = own
         after = wait_until(lambda: self.read("gateway-1", 0), "the order is read")
         self.assertEqual(before, after[: len(before)])
 
--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -17,7 +17,7 @@
 
 from fleet_rig import FleetRig, wait_until
 from quaymill.connection.object_store import StoreRefused
-from quaymill.process.control.state import LAPSED_ENTRIES_S, OUTAGE_S
+from quaymill.process.control.state import MISSING_KEPT_S, OUTAGE_S
 from quaymill.process.jobs.listing import Listing
 from quaymill.process.jobs.result_publisher import ResultPublisher
 from quaymill_bench.fleet_world import HOST, ROUTES, configuration, item_id, route, whole_text
@@ -208,7 +208,7 @@
             self.rig.store.remove("servers", name)
         self.rig.store.faults = FleetStoreFaults()
         wait_until(lambda: age_s() < 1.0, "the store is read again")
-        until = time.monotonic() + LAPSED_ENTRIES_S / 2
+        until = time.monotonic() + MISSING_KEPT_S / 2
         for number in itertools.count():
             for each in self.rig.gateways:
                 answer = self.rig.ask(each, "/stream/x", f"r-{each}-{number}", tokens=True)
@@ -219,7 +219,7 @@
         wait_until(
             lambda: not names & {entry.id for entry in gateway._table.entries()},
             "the replicas are taken for gone",
-            LAPSED_ENTRIES_S + 3.0,
+            MISSING_KEPT_S + 3.0,
         )
 
     def test_version_never_goes_back(self) -> None:
@@ -274,7 +274,7 @@
 
     def test_results_are_listed_by_way_of_another_gateway(self) -> None:
         listings = self.rig.gateways["gateway-0"].jobs._reader._listings
-        listings._store._own = _RefusingStore()
+        listings._store._wrapped = _RefusingStore()
         self.assertEqual(202, self.rig.submit("gateway-0", "job", 4).status)
         results = self.rig.wait_results("gateway-1", "job", 4)
         self.assertEqual(4, len({result["id"] for result in results}))
@@ -514,7 +514,7 @@
             self.assertTrue(json.loads(self.rig.read_results("gateway-1", "job").data)["results"])
 
     def test_adopted_job_is_unknown_while_the_store_cannot_be_read(self) -> None:
-        self.other.jobs._reader._listings._store._own = _RefusingStore()
+        self.other.jobs._reader._listings._store._wrapped = _RefusingStore()
         self.other.jobs._reader._listings._store._helpers = lambda: ()
         with mock.patch.object(ResultPublisher, "follow"):
             self.other.coordinator.adopt(self.job)
--- a/tests/test_job_progress.py
+++ b/tests/test_job_progress.py
@@ -215,7 +215,7 @@
             may_have_ended=lambda name: name not in self.unreachable_processes,
         )
         # Otherwise the job's id decides which of the two storage nodes acts.
-        patch = mock.patch.object(self.watch, "_acts_for", lambda job_id: True)
+        patch = mock.patch.object(self.watch, "_is_responsible_for", lambda job_id: True)
         patch.start()
         self.addCleanup(patch.stop)
 
--- a/tests/test_retirement.py
+++ b/tests/test_retirement.py
@@ -1,4 +1,4 @@
-"""Emptying a storage node: it leaves only where others enough can keep what comes."""
+"""Emptying a storage node: it leaves only if enough other nodes can store its data."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class LeavingTest(unittest.TestCase):
-    """A node that was asked to be emptied, with others as the test says; two copies are needed."""
+    """A node that is to be emptied while two copies of each job are needed."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -61,12 +61,12 @@
         self.announced += 1
 
     @params(([], False), (["a"], False), (["a", "b"], True))
-    def test_it_leaves_once_others_enough_live(self, others, leaves) -> None:
+    def test_node_leaves_once_enough_others_are_live(self, others, leaves) -> None:
         self.others = others
-        self.assertEqual(leaves, self.retirement._leave())
+        self.assertEqual(leaves, self.retirement._begin_leaving())
         self.assertEqual((leaves, int(leaves)), (self.service.retiring.is_set(), self.announced))
 
-    def test_until_then_it_takes_what_comes(self) -> None:
+    def test_node_accepts_data_until_it_leaves(self) -> None:
         self.others = ["a"]
         with mock.patch.object(retirement_module, "CHECK_INTERVAL_S", 0.01):
             self.retirement.begin()
@@ -77,10 +77,10 @@
 
 
 class CopiesElsewhereTest(unittest.TestCase):
-    """A node that leaves holds one job; the others live in zones a and b, and hold what is said.
+    """A node that leaves holds one job, and two copies on other nodes are needed.
 
-    Two copies are needed. Names of nodes begin with their zone; what is dead for long is left out
-    of the nodes that are recent.
+    The names of nodes begin with their zone. Nodes that have been dead for long are known but not
+    recent; a name in upper case stands for a node that is being emptied.
     """
 
     def setUp(self) -> None:
@@ -126,19 +126,19 @@
     @params(
         ("in both zones", 2, "a1 a2 b1", "", "", "a1 b1", 0),
         ("in one zone", 2, "a1 a2 b1", "", "", "a1 a2", 1),
-        ("in one zone, where that does not matter", 1, "a1 a2 b1", "", "", "a1 a2", 0),
+        ("in one zone, with one zone needed", 1, "a1 a2 b1", "", "", "a1 a2", 0),
         ("too few, in both zones", 2, "a1 a2 b1", "", "", "a1", 1),
-        ("the other zone has been cut off just now", 2, "a1 a2", "b1", "", "a1 a2", 1),
-        ("the other zone has been gone for long", 2, "a1 a2", "", "b1", "a1 a2", 0),
+        ("the other zone was cut off a moment ago", 2, "a1 a2", "b1", "", "a1 a2", 1),
+        ("the other zone has been unreachable for long", 2, "a1 a2", "", "b1", "a1 a2", 0),
         ("there is one zone", 2, "a1 a2 a3", "", "", "a1 a3", 0),
         ("the other zone is being emptied too", 2, "a1 a2", "B1", "", "a1 a2", 0),
     )
     def test_copies_count_by_zone(
-        self, name, zones, live, dead_just_now, dead_for_long, holders, missing
+        self, name, zones, live, recently_dead, dead_for_long, holders, missing
     ) -> None:
-        self.draining = {one.lower() for one in dead_just_now.split() if one[0].isupper()}
+        self.draining = {one.lower() for one in recently_dead.split() if one[0].isupper()}
         self.live = live.split()
-        self.recent = self.live + dead_just_now.lower().split()
+        self.recent = self.live + recently_dead.lower().split()
         self.known = self.recent + dead_for_long.split()
         self.holders = set(holders.split())
         self.assertEqual(missing, self.missing(zones))
