--- a/src/quaymill/connection/slot_messages.py
+++ b/src/quaymill/connection/slot_messages.py
@@ -8,7 +8,7 @@
 
 
 class ItemsAt(msgspec.Struct, frozen=True, array_like=True):
-    """A number of batch items at one replica."""
+    """A number of batch items, or of online requests, at one replica."""
 
     replica_id: str
     items: int
@@ -129,9 +129,9 @@
 class OnlineInFlight(PeerMessage, frozen=True, omit_defaults=True):
     """Reports a gateway's online requests at a pool's engines to the slot allocator.
 
-    Answered by ``PoolLoads``. It arrives before an engine's own report includes the requests, so
-    that batch items are preempted before online requests have waited for long. The counts are
-    absolute, so a lost message is corrected by the next one.
+    Answered by ``PoolLoads``. This message arrives before an engine's own report includes the
+    requests, so that batch items are preempted before online requests have waited for long. Each
+    message contains all counts, so a lost message is corrected by the next one.
 
     Attributes
     ----------
@@ -151,7 +151,7 @@
 
 
 class ReplicaLoad(msgspec.Struct, frozen=True, array_like=True):
-    """Requests of all gateways at one replica."""
+    """Online requests and batch items of all gateways at one replica."""
 
     replica_id: str
     online: int
@@ -294,7 +294,10 @@
 
 
 class GrantsAccepted(PeerMessage, tag="TurnsTaken", frozen=True):
-    """Tickets of the requests that are dispatched; the others no longer wait at the gateway."""
+    """Tickets of the requests that are dispatched.
+
+    The other requests no longer wait at the gateway, or it does not know the granted replica.
+    """
 
     tickets: tuple[str, ...]
 
--- a/src/quaymill/process/jobs/allocator_calls.py
+++ b/src/quaymill/process/jobs/allocator_calls.py
@@ -118,7 +118,7 @@
             self._ensure_sender()
 
     def wake(self, coordinator: str) -> None:
-        """Notify a coordinator of free slots; if the message is lost, it still claims soon."""
+        """Notify a coordinator of free slots; if the message is lost, its next claim finds them."""
         if coordinator == self._process_name:
             self._claim_slots()
             return
--- a/src/quaymill/process/jobs/batch_quota.py
+++ b/src/quaymill/process/jobs/batch_quota.py
@@ -41,7 +41,8 @@
 RECONCILE_INTERVAL_S = 0.4
 """Interval at which changes of this gateway's jobs are looked for."""
 RECONCILE_PAUSE_S = 0.2
-"""Maximum first pause after conflicts of a reconciliation; no client waits for it."""
+"""Maximum of the first pause after write conflicts in a reconciliation. It may be longer than in an
+admission, because no client waits for a reconciliation."""
 ALLOWANCE_RENEWAL_S = 20.0
 """Interval at which an allowance is renewed; shorter than its term."""
 ALLOWANCE_TERM_S = 30.0
@@ -58,7 +59,7 @@
 SMALL_CHANGE_SHARE = 0.02
 """Share of the quota by which a running job's entry must differ before it is updated."""
 ENTER_ALL_FROM_SHARE = 0.5
-"""Share of the quota from which on every change is entered, however small."""
+"""If jobs hold more than this share of the quota, every change is entered, however small."""
 DEFAULT_OVERRUN_SHARE = 0.1
 """Tolerated overrun of a quota if the settings do not give one."""
 MIN_RETRY_AFTER_S = 0.3
@@ -269,8 +270,9 @@
     def _tracked_ledgers(
         self, route: str, routes: RequestRoutes, jobs_by_ledger: Mapping[str, object]
     ) -> frozenset[str]:
-        """Return the ledgers of a route to reconcile; of tenants only those with recent jobs here.
+        """Return the ledgers of a route to reconcile.
 
+        If there are tenants, these are the ledgers with recent jobs here and those to sweep here.
         Otherwise every gateway would have to renew an allowance for each of thousands of tenants.
         """
         if routes.tenants is None:
@@ -363,7 +365,7 @@
         return self._ledgers.newer(ledger, state.ledger)
 
     def _next_allowance(self, state: RouteQuota, document: LedgerDocument, quota: int) -> int:
-        """Return the allowance to write, and lower what is left of the current one to it.
+        """Return the allowance to write; lower the rest of the current one to it if that is larger.
 
         Jobs that are counted during the write must fit both the old and the new allowance.
         """
--- a/src/quaymill/process/jobs/coordinated_job.py
+++ b/src/quaymill/process/jobs/coordinated_job.py
@@ -22,10 +22,10 @@
 from quaymill.version.request_routes import RequestRoute
 
 LISTING_VALID_SHARE = 0.9
-"""Share of the time allowed for a listed position to reach all readers, during which a confirmed
-listing counts as the newest."""
+"""A listed position must be visible to all readers within a certain time. A confirmed listing
+counts as the newest for this share of that time."""
 DEFAULT_LISTING_VALID_S = LISTING_VALID_SHARE * 1.0
-"""For positions that every reader must see one second after the first read."""
+"""Used if a listed position must be visible to all readers within one second."""
 MAX_PAGE_BYTES = 1024 * 1024
 """Maximum total text of a page of results; a single larger result still makes a page."""
 
@@ -229,7 +229,7 @@
             self.changed.notify_all()
 
     def put_back(self, item: CoordinatedItem, pause_s: float = 0.0) -> None:
-        """Return an item to the waiting ones after a run without a result.
+        """Let an item wait to be run again, after a run without a result.
 
         Parameters
         ----------
@@ -263,8 +263,8 @@
         Parameters
         ----------
         as_of
-            Monotonic time when the store call that returned it began. It contains everything
-            that was listed by then.
+            Monotonic time when the store call that returned the listing began. The listing
+            contains everything that was listed by then.
         """
         with self.changed:
             if len(listing.document.results) < len(self.listing.document.results):
--- a/src/quaymill/process/jobs/coordinator.py
+++ b/src/quaymill/process/jobs/coordinator.py
@@ -200,7 +200,6 @@
         unlisted_before: frozenset[str] = frozenset()
         while True:
             self._renew_soon.wait(RENEW_INTERVAL_S)
-            # Jobs often arrive in bursts: a short delay renews them in one call.
             if self._stopping.wait(RENEWAL_DELAY_S):
                 return
             self._renew_soon.clear()
--- a/src/quaymill/process/jobs/item_dispatcher.py
+++ b/src/quaymill/process/jobs/item_dispatcher.py
@@ -98,7 +98,7 @@
     Parameters
     ----------
     open_jobs
-        Returns the unfinished jobs.
+        Returns the jobs that are not stopped.
     """
 
     def __init__(
@@ -157,7 +157,7 @@
             services = self._services_of(job)
             self._give_up_late(job)
             if services and job.has_work():
-                # With several services, a job's items go to the one furthest behind its weight.
+                # If the route has several services, one is chosen according to their weights.
                 service = self._parts.choose_service(job.route)
                 jobs_by_service.setdefault(service, []).append(job)
         for service, claiming in jobs_by_service.items():
@@ -240,7 +240,7 @@
                 self._start_item(one.job, one.item, replica)
 
     def _time_left_s(self, job: CoordinatedJob, item: CoordinatedItem, now: float) -> float:
-        """Return the time until an item is due; ``INFEASIBLE_DUE_S`` if it cannot meet that."""
+        """Return the time until an item is due, ``INFEASIBLE_DUE_S`` if it will be late."""
         return time_left_s(job, item, now, self._paces.of(_route_name(job)))
 
     def _running_at(self, running: list[_Running]) -> tuple[RunningAt, ...]:
--- a/src/quaymill/process/jobs/item_run.py
+++ b/src/quaymill/process/jobs/item_run.py
@@ -53,7 +53,7 @@
 
 @attrs.frozen
 class ItemCut:
-    """The run ended without a complete answer.
+    """The run ended without a usable answer, and the item can be run again.
 
     Attributes
     ----------
@@ -86,7 +86,7 @@
 
 @attrs.frozen
 class ItemProtocol:
-    """How to build requests to replicas from items."""
+    """The protocol of replicas, and how to get the headers of an item's request."""
 
     replica: ReplicaProtocol
     item_headers: Callable[[JobItem, str], Headers]
@@ -147,7 +147,7 @@
     began = boot_clock.now()
     if not _begins_in_time(exchange, replica, began):
         exchange.abandon_unresponsive()
-        return ItemCut(f"nothing came for {boot_clock.now() - began:.2f} s")
+        return ItemCut(f"the replica sent nothing for {boot_clock.now() - began:.2f} s")
     failure = exchange.read_head(EVENT_GAP_TIMEOUT_S)
     if failure is not None:
         return _cut(failure)
@@ -162,7 +162,7 @@
         return ItemCut(f"the replica answered {head.status}, not run", blames_replica=False)
     if head.request_id != request.id:
         exchange.abandon()
-        return ItemCut(f"the answer belongs to request {head.request_id or 'without an id'}")
+        return ItemCut(f"the answer has another request id: {head.request_id or 'none'}")
     if head.status != 200:
         exchange.abandon()
         return _error_outcome(head.status)
@@ -175,10 +175,9 @@
 
 
 def _begins_in_time(exchange: Exchange, replica: Replica, began: float) -> bool:
-    """Wait for the answer to begin; return whether it did before the run should be given up.
+    """Wait for the answer to begin; return ``False`` if the replica sends nothing for too long.
 
-    An item can resume at any other replica, so it does not spend the time until it is due on a
-    replica that sends nothing.
+    The item can then be run at another replica before it is due.
     """
     while (waited_s := boot_clock.now() - began) < FIRST_EVENT_TIMEOUT_S:
         if exchange.wait_readable(SILENCE_CHECK_INTERVAL_S):
--- a/src/quaymill/process/jobs/listing.py
+++ b/src/quaymill/process/jobs/listing.py
@@ -2,7 +2,7 @@
 
 There is one object for each job, and it is the only state about a job that gateways agree on.
 A coordinator appends to the listing that it has read. After a conflict it appends to the newer
-listing, leaving out the items which that one contains. After an unanswered write it reads the
+listing, without the items that are listed there already. After an unanswered write it reads the
 listing to find out whether it was written.
 """
 
@@ -70,7 +70,7 @@
         return frozenset(result.index for result in self.document.results)
 
     def with_results(self, results: Iterable[ListedResult], coordinator: str) -> Listing:
-        """Return the listing with the results appended whose items are not listed yet."""
+        """Append those results whose items are not listed yet; return the new listing."""
         listed = self.indexes
         added = tuple(result for result in results if result.index not in listed)
         document = ListingDocument(coordinator, self.document.total, self.document.results + added)
--- a/src/quaymill/process/jobs/online_reporter.py
+++ b/src/quaymill/process/jobs/online_reporter.py
@@ -86,12 +86,12 @@
     loads_changed
         Called when an allocator has returned the loads of a pool.
     reachable
-        Returns the reachable ones of some gateways.
+        Returns those of the given gateways that are in reachable zones; see ``ReachableOf``.
     allocator_lost
         Called when an allocator does not answer; requests in its queue are then decided locally.
     dispatch_granted
         Dispatches a queued request that was granted a slot, by its ticket and the replica's id;
-        returns whether the request was still waiting.
+        returns whether it was dispatched.
     """
 
     def __init__(
@@ -146,7 +146,7 @@
         """Ask the allocator to place a request in a replica's pool.
 
         Returns ``None`` if it does not answer in time. The allocator counts the request at the
-        returned replica; ``began`` is to be called here once it is being sent.
+        returned replica: call ``began`` when the request is sent there, ``release_slot`` if not.
         """
         answer = self._request_placement(first, constraints, None)
         return answer if isinstance(answer, Replica) else None
@@ -227,7 +227,7 @@
         self._report_now.set()
 
     def withdraw(self, service: str, ticket: str) -> None:
-        """Report with the next message for a service that a request no longer waits."""
+        """Record that a queued request no longer waits, for the next message about its service."""
         with self._lock:
             self._withdrawn_by_service.setdefault(service, []).append(ticket)
             self._changed = True
--- a/src/quaymill/process/jobs/parallel_calls.py
+++ b/src/quaymill/process/jobs/parallel_calls.py
@@ -143,9 +143,9 @@
     def _hedge(self, replies: list[tuple[Member, Any]], needed: int) -> None:
         """Call more members because replies are slow.
 
-        A zone may be unreachable. So as many members as replies are missing are called at once,
-        starting with those in the local zone and in zones that have replied. If only another zone
-        is missing, members of other zones come first.
+        A zone may be unreachable. So one member is called for each missing reply, starting with
+        those in the local zone and in zones that have replied. If enough members but too few zones
+        have replied, one member is called, from another zone if possible.
         """
         if self._zones is None:
             self._start_next()
--- a/src/quaymill/process/jobs/pool_counts.py
+++ b/src/quaymill/process/jobs/pool_counts.py
@@ -16,7 +16,9 @@
 
 @attrs.define
 class RunningItems:
-    """Items of a coordinator at a replica, including starts and preemptions since its claim.
+    """Running items of a coordinator at a replica that are due at the same time.
+
+    Items to be preempted are subtracted once the coordinator is asked to preempt them.
 
     Attributes
     ----------
@@ -92,7 +94,8 @@
     Attributes
     ----------
     online, batch
-        Requests by replica, including slot grants that have not been answered yet.
+        Online requests and batch items by replica. ``online`` includes slot grants that have not
+        been answered yet.
     unanswered_grants
         Number of slot grants that have not been answered yet.
     claims
@@ -135,7 +138,7 @@
         self.online[replica_id] += 1
 
     def end_grant(self, replica_id: str) -> None:
-        """Stop counting a slot grant, after its answer or after no answer arrived in time."""
+        """Stop counting a slot grant, because it was answered or timed out."""
         self.unanswered_grants -= 1
         self.online[replica_id] -= 1
 
@@ -181,7 +184,7 @@
         return self.online[replica.id] + self.batch[replica.id]
 
     def online_load(self, replica: Replica) -> float:
-        """Return how busy a replica is for an online request."""
+        """Return the load of a replica in online requests; a batch item counts as a part of one."""
         return online_load(self.online[replica.id], self.batch[replica.id])
 
     def loads(self, replicas: Iterable[Replica]) -> tuple[ReplicaLoad, ...]:
--- a/src/quaymill/process/jobs/pool_queue.py
+++ b/src/quaymill/process/jobs/pool_queue.py
@@ -20,10 +20,10 @@
 
 GRANT_LATENCY_S = 0.02
 """Time from the release of a slot to the start of the next request: three messages between peers.
-A request with less time left is already late."""
+A request with less time left than this and the time to its first byte will miss its target."""
 REFUSAL_FACTOR = 1.5
-"""A request is refused once its expected wait is this many times its caller's remaining time. The
-margin is needed because the expected wait is computed from averages."""
+"""A request is refused if its expected wait is more than this many times its caller's remaining
+time. The margin is needed because the expected wait is computed from averages."""
 
 
 @attrs.frozen(eq=False)
--- a/src/quaymill/process/jobs/quota_ledger.py
+++ b/src/quaymill/process/jobs/quota_ledger.py
@@ -114,7 +114,7 @@
         return LedgerDocument(jobs, self.allowances)
 
     def with_allowance(self, gateway: str, tokens: int) -> LedgerDocument:
-        """Return the ledger with a gateway's allowance renewed; without it if it is 0."""
+        """Return the ledger with a gateway's allowance renewed; without it if ``tokens`` is 0."""
         allowances = dict(self.allowances)
         known = allowances.pop(gateway, Allowance(0))
         if tokens:
@@ -142,10 +142,10 @@
 ) -> float:
     """Return the pause in seconds after a number of conflicts in a row.
 
-    Many gateways may change one ledger at once, for example after an outage of the store. The
-    first of each two conflicts returned the current revision, so retrying without a pause has the
-    best chance. After the second one, a random pause keeps the gateways from retrying at the same
-    time. Its maximum grows up to ``MAX_CONFLICT_PAUSE_S``.
+    Many gateways may change one ledger at once, for example after an outage of the store. A
+    conflict returns the current revision, so the best chance is to retry without a pause. After
+    every second conflict, a random pause keeps the gateways from retrying at the same time.
+    Its maximum grows up to ``MAX_CONFLICT_PAUSE_S``.
     """
     if conflicts % 2:
         return 0.0
@@ -224,7 +224,7 @@
         change: Callable[[LedgerDocument], LedgerDocument],
         first_pause_s: float = FIRST_CONFLICT_PAUSE_S,
     ) -> Ledger | LedgerUnknown:
-        """Change a ledger, again on top of the newer one after each conflict.
+        """Change a ledger; after each conflict, apply the change to the newer ledger.
 
         Parameters
         ----------
--- a/src/quaymill/process/jobs/quota_sweep.py
+++ b/src/quaymill/process/jobs/quota_sweep.py
@@ -27,7 +27,13 @@
 
 @attrs.define
 class _SeenEntry:
-    """The last seen change counter of an entry, and the monotonic time since which it is so."""
+    """The last seen change counter of an entry.
+
+    Attributes
+    ----------
+    since
+        Monotonic time when the counter was first seen, or when the job was last checked.
+    """
 
     changes: int
     since: float
--- a/src/quaymill/process/jobs/result_reader.py
+++ b/src/quaymill/process/jobs/result_reader.py
@@ -105,10 +105,10 @@
     ) -> ResultsPage | Unsure:
         """Return the page again, from a listing that is known to be recent enough.
 
-        The position may already be listed in the store, and clients may have read it there: by an
-        append of this process that is not answered yet, by the previous coordinator, or by a
-        second one. Leases do not rule this out. Only the store does, or a check that no storage
-        node has a result which is missing in the known listing.
+        The position may already be listed in the store, and clients may have read it there. It may
+        have been listed by this process, in a write that is not answered yet, by the previous
+        coordinator, or by a second one. Leases do not rule this out. Only the store does, or a
+        check that no storage node has a result which is missing in the known listing.
         """
         if not coordinated.listing_is_current():
             began = boot_clock.now()
--- a/src/quaymill/process/jobs/route_quota.py
+++ b/src/quaymill/process/jobs/route_quota.py
@@ -126,9 +126,10 @@
         return not self.charged and not self.withdrawn and not any(self.entered.values())
 
     def release_jobs_over(self, outstanding: dict[str, int], handed_over: frozenset[str]) -> None:
-        """Return the tokens of jobs that are over to the allowance.
+        """Give the tokens of charged jobs that are over back to the allowance.
 
-        A job that was handed to another gateway stays counted, because that gateway may not have
+        ``outstanding`` has the unfinished tokens of the jobs that run here. A
+        job that was handed to another gateway stays counted, because that gateway may not have
         entered it yet.
         """
         self.seen_running |= self.charged.keys() & outstanding.keys()
--- a/src/quaymill/process/jobs/slot_allocator.py
+++ b/src/quaymill/process/jobs/slot_allocator.py
@@ -43,6 +43,7 @@
 from quaymill.process.replica_set.table import ReplicaTable
 
 CLAIM_LIFETIME_S = 1.0
+"""How long a coordinator's claim is valid; several times the interval at which it claims."""
 ONLINE_LIFETIME_S = 1.0
 """How long a gateway's load report is valid: four times the interval at which it is repeated."""
 EXPIRY_INTERVAL_S = 0.1
@@ -70,8 +71,8 @@
     Parameters
     ----------
     preempt_items
-        Asks a coordinator to preempt items immediately; without it, the request is part of the
-        answer to the coordinator's next claim.
+        Asks a coordinator to preempt items immediately; without it, the items to preempt are part
+        of the answer to the coordinator's next claim.
     wake
         Notifies a coordinator that there are free slots for its items.
     send_grant
@@ -128,7 +129,10 @@
         return SlotsGranted(_items_at(starts), _items_at(to_preempt), self._paces.averages())
 
     def record_online(self, message: OnlineInFlight) -> PoolLoads:
-        """Count a gateway's online requests, preempt batch items, and return the pool's loads."""
+        """Count a gateway's online requests, and return the loads of the pool.
+
+        Preempts batch items if an engine has too many requests, and grants slots that are free.
+        """
         self._record_slowness(message.slowness_reports)
         pool = EnginePool(message.service, message.pool, message.pools)
         with self._lock:
@@ -298,8 +302,8 @@
     def _first_to_wake(self, counts: PoolCounts, replicas: list[Replica]) -> str:
         """Return the coordinator to notify of free slots: the one whose items are due first.
 
-        Empty if no slot is free, or if all with waiting items have claimed or been notified within
-        ``WAKE_INTERVAL_S``.
+        Empty if no slot is free, or if every coordinator with waiting items has claimed slots or
+        been notified within ``WAKE_INTERVAL_S``.
         """
         now = boot_clock.now()
         claims = counts.claims
@@ -359,7 +363,10 @@
         message: ClaimSlots,
         replicas: list[Replica],
     ) -> Counter[str]:
-        """Grant starts to a claim, leaving slots for items of others that are due earlier."""
+        """Return the items that a claim may start, by replica, and count them as running.
+
+        Slots are left free for items of other coordinators that are due earlier.
+        """
         starts: Counter[str] = Counter()
         now = boot_clock.now()
         for wanted in message.wanted:
--- a/src/quaymill/process/jobs/slot_claims.py
+++ b/src/quaymill/process/jobs/slot_claims.py
@@ -32,7 +32,7 @@
     gateways
         Returns the live gateways, including this one.
     reachable
-        Returns the reachable ones of some gateways.
+        Returns those of the given gateways that are in reachable zones; see ``ReachableOf``.
     """
 
     def __init__(
@@ -58,7 +58,7 @@
         return None
 
     def avoid(self, service: str, member: Member) -> None:
-        """Skip a gateway that did not answer for ``AVOID_ALLOCATOR_S``."""
+        """Skip a gateway for the next ``AVOID_ALLOCATOR_S``, because it did not answer."""
         log_message("batch:keeper_silent", service=service, keeper=member.name)
         self._avoided_until_by_name[member.name] = boot_clock.now() + AVOID_ALLOCATOR_S
 
@@ -75,7 +75,7 @@
     gateways
         Returns the live gateways, including this one.
     reachable
-        Returns the reachable ones of some gateways.
+        Returns those of the given gateways that are in reachable zones; see ``ReachableOf``.
     """
 
     def __init__(
@@ -92,7 +92,10 @@
         self._allocator_choice = AllocatorChoice(gateways, reachable)
 
     def claim(self, claim: ClaimSlots) -> SlotsGranted | None:
-        """Send a claim to the allocator of its pool; ``None`` if it does not answer."""
+        """Send a claim to the allocator of its pool; ``None`` if it does not answer.
+
+        This process's own allocator is used if no other gateway can be asked.
+        """
         member = self._allocator_choice.allocator_of(claim.service, claim.pool)
         if member is None or member.name == self._own_name:
             return self._local_allocator.claim(claim)
--- a/src/quaymill/process/jobs/slot_grants.py
+++ b/src/quaymill/process/jobs/slot_grants.py
@@ -137,7 +137,7 @@
         return grant
 
     def record_answer(self, grant: SlotGrant, counts: PoolCounts, *, accepted: bool) -> None:
-        """Stop counting a grant, or count an accepted one as a request of its gateway.
+        """Stop counting a grant; if it was accepted, count a request of its gateway instead.
 
         Does nothing for a grant that has been answered before.
         """
--- a/src/quaymill/process/jobs/submission_relay.py
+++ b/src/quaymill/process/jobs/submission_relay.py
@@ -77,7 +77,10 @@
     def submit(
         self, job: Job, submit_locally: Callable[[], SubmissionOutcome]
     ) -> SubmissionOutcome:
-        """Return the first acceptance, or the merged outcome if all attempts fail.
+        """Submit a job locally and, if that takes long, through other gateways.
+
+        Returns the local outcome if it is known within ``RELAY_AFTER_S``, even a failure. Otherwise
+        returns the first acceptance, or the merged outcome if all attempts fail.
 
         Parameters
         ----------
--- a/tests/test_allocator_queue.py
+++ b/tests/test_allocator_queue.py
@@ -1,4 +1,4 @@
-"""One queue for all gateways: the allocator, its gateways, and requests when either of them fails.
+"""Online requests of all gateways share one queue, also while the allocator or a gateway fails.
 
 Uses the real components. Messages are encoded as JSON on fake connections, on which each side can
 be unresponsive or an older build.
@@ -100,7 +100,7 @@
 
 
 def without(encoded: bytes, *names: str) -> bytes:
-    """Return an encoded message without some fields, as a build that does not know them has it."""
+    """Return an encoded message without some fields, as an older build would send or read it."""
     fields = msgspec.json.decode(encoded)
     return msgspec.json.encode({name: value for name, value in fields.items() if name not in names})
 
