--- a/src/quaymill/process/jobs/allocator_calls.py
+++ b/src/quaymill/process/jobs/allocator_calls.py
@@ -64,7 +64,7 @@
         Preempts items of this process's coordinator.
     claim_slots
         Makes this process's coordinator claim slots immediately.
-    process
+    member_of_process
         Returns the member that a process runs on; ``None`` if the process has ended.
     accept_grants
         Dispatches queued requests of this process; returns the tickets of those it dispatched.
@@ -80,7 +80,7 @@
         claim_slots: Callable[[], None],
         client: PeerClient,
         server: PeerServer,
-        process: Callable[[str], Member | None],
+        member_of_process: Callable[[str], Member | None],
         accept_grants: Callable[[tuple[OnlineGrant, ...]], tuple[str, ...]] = lambda grants: (),
         grant_answered: Callable[[SlotGrant, bool | None], None] = lambda grant, accepted: None,
     ) -> None:
@@ -88,11 +88,11 @@
         self._preempt_items = preempt_items
         self._claim_slots = claim_slots
         self._client = client
-        self._process = process
+        self._member_of_process = member_of_process
         self._accept_grants = accept_grants
         self._grant_answered = grant_answered
         self._changed = threading.Condition()
-        self._waiting: dict[str, _Pending] = {}
+        self._pending_by_process: dict[str, _Pending] = {}
         self._being_called: set[str] = set()
         self._senders = 0
         self._idle_senders = 0
@@ -113,7 +113,7 @@
             self._preempt_items(items)
             return
         with self._changed:
-            to_preempt = self._waiting.setdefault(coordinator, _Pending()).to_preempt
+            to_preempt = self._pending_by_process.setdefault(coordinator, _Pending()).to_preempt
             to_preempt.update({one.replica_id: one.items for one in items})
             self._ensure_sender()
 
@@ -123,19 +123,19 @@
             self._claim_slots()
             return
         with self._changed:
-            self._waiting.setdefault(coordinator, _Pending()).slots_freed = True
+            self._pending_by_process.setdefault(coordinator, _Pending()).slots_freed = True
             self._ensure_sender()
 
     def send_grant(self, grant: SlotGrant) -> None:
         """Send a grant to its gateway; ``grant_answered`` is called with the result."""
         with self._changed:
-            self._waiting.setdefault(grant.process, _Pending()).grants.append(grant)
+            self._pending_by_process.setdefault(grant.process, _Pending()).grants.append(grant)
             self._ensure_sender()
 
     def _ensure_sender(self) -> None:
         """Wake an idle sending thread, and start another one if needed; the lock is held."""
         self._changed.notify()
-        ready = sum(name not in self._being_called for name in self._waiting)
+        ready = sum(name not in self._being_called for name in self._pending_by_process)
         if ready > self._idle_senders and self._senders < MAX_SENDERS and not self._stopping:
             self._senders += 1
             threading.Thread(target=self._send_pending, name="allocator-calls", daemon=True).start()
@@ -169,13 +169,15 @@
                 self._senders -= 1
                 return None
             self._being_called.add(process_name)
-            return process_name, self._waiting.pop(process_name)
+            return process_name, self._pending_by_process.pop(process_name)
 
     def _next_ready(self) -> str | None:
-        return next((name for name in self._waiting if name not in self._being_called), None)
+        return next(
+            (name for name in self._pending_by_process if name not in self._being_called), None
+        )
 
     def _deliver(self, process_name: str, pending: _Pending) -> None:
-        member = self._process(process_name)
+        member = self._member_of_process(process_name)
         if pending.grants:
             self._deliver_grants(member, pending.grants)
         if member is None:
--- a/src/quaymill/process/jobs/batch_quota.py
+++ b/src/quaymill/process/jobs/batch_quota.py
@@ -297,15 +297,15 @@
         if state is None and not outstanding:
             return  # This gateway only sweeps the ledger.
         state = state or self._state_of(ledger)
-        self._forget_jobs_over(state, outstanding, handed_over)
+        self._forget_finished_jobs(state, outstanding, handed_over)
         if self._must_write(state, quota, outstanding):
             self._write(ledger, state, quota, outstanding)
 
-    def _forget_jobs_over(
+    def _forget_finished_jobs(
         self, state: RouteQuota, outstanding: dict[str, int], handed_over: frozenset[str]
     ) -> None:
         with self._lock:
-            state.release_jobs_over(outstanding, handed_over)
+            state.release_finished_jobs(outstanding, handed_over)
             for job_id in [
                 entered_id for entered_id in state.entered if entered_id not in outstanding
             ]:
@@ -316,7 +316,7 @@
         enter_all_changes = state.ledger.document.job_tokens > ENTER_ALL_FROM_SHARE * quota
         min_change = 1 if enter_all_changes else SMALL_CHANGE_SHARE * quota
         with self._lock:
-            if state.has_many_charged() or state.withdrawn or state.quota > quota:
+            if state.must_enter_charged() or state.withdrawn or state.quota > quota:
                 return True
             for job_id, tokens in outstanding.items():
                 if job_id in state.charged:
@@ -327,15 +327,15 @@
                 if entered and not tokens:
                     return True
         now = boot_clock.now()
-        may_take_first = now >= self._first_allowance_at
-        return may_take_first and now - state.renewed_at >= ALLOWANCE_RENEWAL_S
+        may_take_allowance = now >= self._first_allowance_at
+        return may_take_allowance and now - state.renewed_at >= ALLOWANCE_RENEWAL_S
 
     def _write(
         self, ledger: str, state: RouteQuota, quota: int, outstanding: dict[str, int]
     ) -> None:
         """Write the entries of this gateway's jobs and its allowance in one change."""
         began = boot_clock.now()
-        may_take = began >= self._first_allowance_at
+        may_take_allowance = began >= self._first_allowance_at
         with self._lock:
             pending = PendingEntries(dict(state.charged), dict(state.withdrawn))
         granted = 0
@@ -343,7 +343,7 @@
         def enter_all(document: LedgerDocument) -> LedgerDocument:
             nonlocal granted
             document = pending.apply_to(document, outstanding)
-            granted = self._next_allowance(state, document, quota) if may_take else 0
+            granted = self._next_allowance(state, document, quota) if may_take_allowance else 0
             return document.with_allowance(self._name, granted)
 
         newer = self._ledger_to_change(ledger, state)
--- a/src/quaymill/process/jobs/coordinator.py
+++ b/src/quaymill/process/jobs/coordinator.py
@@ -192,8 +192,8 @@
 
     def _forget_old_jobs(self) -> None:
         """Remove the oldest stopped jobs from memory; storage nodes have their results."""
-        over = [job for job in self._jobs_by_id.values() if job.stopped]
-        for job in over[: max(0, len(over) - RETAINED_JOBS)]:
+        stopped = [job for job in self._jobs_by_id.values() if job.stopped]
+        for job in stopped[: max(0, len(stopped) - RETAINED_JOBS)]:
             del self._jobs_by_id[job.id]
 
     def _renew(self) -> None:
@@ -210,8 +210,8 @@
             if not open_jobs and not complete:
                 continue
             began = boot_clock.now()
-            orders = tuple(job.known_listing() for job in jobs)
-            outcome = self._leases.renew(RenewJobs(self.name, open_jobs, complete, orders=orders))
+            listings = tuple(job.known_listing() for job in jobs)
+            outcome = self._leases.renew(RenewJobs(self.name, open_jobs, complete, orders=listings))
             for job_id in outcome.ended:
                 self.end(job_id)
             self._confirm(outcome.confirmed, began)
--- a/src/quaymill/process/jobs/engine_loads.py
+++ b/src/quaymill/process/jobs/engine_loads.py
@@ -44,7 +44,7 @@
 
 
 @attrs.define
-class _Poll:
+class _PollState:
     """The last report of one engine, and what it may not include yet.
 
     Attributes
@@ -79,7 +79,7 @@
         self._connections = connections
         self._protocol = protocol
         self._lock = threading.Lock()
-        self._polls_by_replica: dict[str, _Poll] = {}
+        self._polls_by_replica: dict[str, _PollState] = {}
         self._polled: set[str] = set()
         self._wanted: frozenset[str] = frozenset()
         self._stopping = threading.Event()
@@ -160,7 +160,7 @@
         ):
             report = None if replica.unreachable else self._fetch_report(replica)
             with self._lock:
-                poll = self._polls_by_replica.setdefault(replica.id, _Poll())
+                poll = self._polls_by_replica.setdefault(replica.id, _PollState())
                 if report is not None:
                     poll.report = report
                     poll.received_at = boot_clock.now()
--- a/src/quaymill/process/jobs/item_dispatcher.py
+++ b/src/quaymill/process/jobs/item_dispatcher.py
@@ -155,7 +155,7 @@
         jobs_by_service: dict[str, list[CoordinatedJob]] = {}
         for job in jobs:
             services = self._services_of(job)
-            self._give_up_late(job)
+            self._give_up_unstarted(job)
             if services and job.has_work():
                 # If the route has several services, one is chosen according to their weights.
                 service = self._parts.choose_service(job.route)
@@ -283,7 +283,7 @@
         job.routed_at = boot_clock.now()
         return tuple(part.service for part in route.services)
 
-    def _give_up_late(self, job: CoordinatedJob) -> None:
+    def _give_up_unstarted(self, job: CoordinatedJob) -> None:
         reason = self._reason_to_give_up(job)
         if reason:
             for item in job.unstarted():
--- a/src/quaymill/process/jobs/item_run.py
+++ b/src/quaymill/process/jobs/item_run.py
@@ -122,7 +122,7 @@
         replica.record_failure(2.0)
         return ItemCut(exchange.reason)
     if isinstance(exchange, OutcomeUnknown):
-        return _cut(exchange)
+        return _cut_outcome(exchange)
     item.cancel = exchange.cancel
     try:
         if item.being_preempted:
@@ -150,7 +150,7 @@
         return ItemCut(f"the replica sent nothing for {boot_clock.now() - began:.2f} s")
     failure = exchange.read_head(EVENT_GAP_TIMEOUT_S)
     if failure is not None:
-        return _cut(failure)
+        return _cut_outcome(failure)
     replica.record_received()
     head = protocol.read_answer_head(exchange)
     if head.load is not None:
@@ -187,7 +187,7 @@
     return False
 
 
-def _cut(failure: OutcomeUnknown) -> ItemCut:
+def _cut_outcome(failure: OutcomeUnknown) -> ItemCut:
     return ItemCut(failure.reason, connection_closed=failure.connection_closed)
 
 
@@ -207,7 +207,7 @@
     while True:
         block = exchange.read_block()
         if isinstance(block, OutcomeUnknown):
-            return _cut(block)
+            return _cut_outcome(block)
         replica.record_received()
         if not block:
             break
--- a/src/quaymill/process/jobs/lease_renewal.py
+++ b/src/quaymill/process/jobs/lease_renewal.py
@@ -80,8 +80,8 @@
 
     def renew(self, message: RenewJobs) -> RenewalOutcome:
         """Renew, complete, release and hand over the leases of the jobs named in a message."""
-        holders = self._result_holders()
-        asked = tuple(member for member in holders if member.state is not MemberState.DEAD)
+        possible_holders = self._result_holders()
+        asked = tuple(member for member in possible_holders if member.state is not MemberState.DEAD)
         node_messages = list(self._node_messages(message, self._storage_nodes(), asked))
         node_replies: list[_NodeReply] = []
         threads = [
@@ -95,7 +95,7 @@
         for thread in threads:
             thread.join(RENEW_TIMEOUT_S)
         outcome = _merge(list(node_replies), len(node_messages))
-        all_asked = bool(holders) and len(asked) == len(holders)
+        all_asked = bool(possible_holders) and len(asked) == len(possible_holders)
         return outcome if all_asked else attrs.evolve(outcome, confirmed=frozenset())
 
     def _renew_at(
@@ -139,14 +139,16 @@
     ended = {job_id for node_reply in node_replies for job_id in node_reply.reply.ended_jobs}
     taken = {job_id for node_reply in node_replies for job_id in node_reply.reply.taken_jobs}
     unlisted = {
-        order.job_id
+        listed_items.job_id
         for node_reply in node_replies
-        for order in node_reply.node_message.orders
-        if order.job_id not in node_reply.reply.confirmed_jobs
+        for listed_items in node_reply.node_message.orders
+        if listed_items.job_id not in node_reply.reply.confirmed_jobs
     }
     confirmed = set()
     if node_replies and len(node_replies) == messages_sent:
-        confirmed = {order.job_id for order in node_replies[0].node_message.orders} - unlisted
+        confirmed = {
+            listed_items.job_id for listed_items in node_replies[0].node_message.orders
+        } - unlisted
     return RenewalOutcome(
         frozenset(ended), frozenset(taken), frozenset(unlisted), frozenset(confirmed)
     )
--- a/src/quaymill/process/jobs/pool_counts.py
+++ b/src/quaymill/process/jobs/pool_counts.py
@@ -159,13 +159,13 @@
         running.items -= items
         self.batch[running.replica_id] -= items
 
-    def drop_before(self, online_since: float, claims_since: float) -> None:
+    def drop_before(self, online_until: float, claims_until: float) -> None:
         """Drop the load reports and claims received at or before these monotonic times."""
         for gateway, known in list(self._online_by_gateway.items()):
-            if known.received_at <= online_since:
+            if known.received_at <= online_until:
                 self._drop_online(gateway)
         for coordinator, claim in list(self.claims.items()):
-            if claim.received_at <= claims_since:
+            if claim.received_at <= claims_until:
                 self._drop_claim(coordinator)
 
     def _drop_online(self, gateway: str) -> None:
--- a/src/quaymill/process/jobs/pool_queue.py
+++ b/src/quaymill/process/jobs/pool_queue.py
@@ -162,7 +162,7 @@
 
 def _sort_key(queued: QueuedRequest, now: float) -> tuple[bool, int, float, float]:
     terms = queued.message.terms
-    needs_s = terms.first_byte_s + GRANT_LATENCY_S
+    min_left_s = terms.first_byte_s + GRANT_LATENCY_S
     return dispatch_order(
-        queued.target_at, terms.rank, queued.arrived_at, needs_s, now, queued.start_tag
+        queued.target_at, terms.rank, queued.arrived_at, min_left_s, now, queued.start_tag
     )
--- a/src/quaymill/process/jobs/route_quota.py
+++ b/src/quaymill/process/jobs/route_quota.py
@@ -125,7 +125,9 @@
         """Whether there is nothing left to enter in the ledger."""
         return not self.charged and not self.withdrawn and not any(self.entered.values())
 
-    def release_jobs_over(self, outstanding: dict[str, int], handed_over: frozenset[str]) -> None:
+    def release_finished_jobs(
+        self, outstanding: dict[str, int], handed_over: frozenset[str]
+    ) -> None:
         """Give the tokens of charged jobs that are over back to the allowance.
 
         ``outstanding`` has the unfinished tokens of the jobs that run here. A
@@ -143,7 +145,7 @@
             self.entered[job_id] = 0  # It was never in the ledger.
         self.seen_running &= self.charged.keys()
 
-    def has_many_charged(self) -> bool:
+    def must_enter_charged(self) -> bool:
         """Return whether enough tokens are charged to the allowance to enter their jobs."""
         return sum(self.charged.values()) > ENTER_FROM_SHARE * self.granted
 
--- a/src/quaymill/process/jobs/slot_allocator.py
+++ b/src/quaymill/process/jobs/slot_allocator.py
@@ -118,8 +118,8 @@
             self._preempt_excess(counts, replicas)
             to_preempt = self._to_preempt_by_coordinator.pop(message.coordinator, Counter())
             reachable = [replica for replica in replicas if replica.id not in message.avoided]
-            starts = self._grant_items(counts, message, reachable)
-            grants = self._grant_slots(pool, counts, replicas)
+            starts = self._grant_slots_to_items(counts, message, reachable)
+            grants = self._grant_slots_to_queue(pool, counts, replicas)
             preemptions = self._take_preemptions()
             to_wake = self._first_to_wake(counts, replicas)
         self._send_grants(grants)
@@ -141,7 +141,7 @@
             counts.set_online(message.gateway, in_flight, boot_clock.now())
             self.queues.withdraw(pool, message.withdrawn)
             replicas = pool.members(self._table)
-            grants = self._grant_slots(pool, counts, replicas)
+            grants = self._grant_slots_to_queue(pool, counts, replicas)
             self._preempt_excess(counts, [one for one in replicas if one.id in in_flight])
             preemptions = self._take_preemptions()
             loads = counts.loads(replicas)
@@ -222,7 +222,7 @@
         if all(one.id in message.excluded for one in replicas):
             return OnlinePlaced("", counts.loads(replicas), self._reported_queue_length(pool)), []
         queued = self.queues.join(pool, message, now)
-        grants = self._grant_slots(pool, counts, replicas)
+        grants = self._grant_slots_to_queue(pool, counts, replicas)
         own_grant = next((grant for grant in grants if grant.ticket == queued.ticket), None)
         if own_grant is not None:
             self.queues.record_answer(own_grant, counts, accepted=True)
@@ -257,12 +257,12 @@
                 dropped = self.queues.drop_process(grant.process)
                 log_message("line:gateway_gone", gateway=grant.gateway, dropped=dropped)
             replicas = grant.pool.members(self._table)
-            grants = [] if accepted else self._grant_slots(grant.pool, counts, replicas)
+            grants = [] if accepted else self._grant_slots_to_queue(grant.pool, counts, replicas)
             preemptions = self._take_preemptions()
         self._send_grants(grants)
         self._send_preemptions(preemptions)
 
-    def _grant_slots(
+    def _grant_slots_to_queue(
         self, pool: EnginePool, counts: PoolCounts, replicas: list[Replica]
     ) -> list[SlotGrant]:
         """Grant free slots to queued requests, and preempt batch items; the lock is held."""
@@ -357,7 +357,7 @@
                 excess -= share
                 self._loads.record_preemption(replica)
 
-    def _grant_items(
+    def _grant_slots_to_items(
         self,
         counts: PoolCounts,
         message: ClaimSlots,
@@ -372,8 +372,8 @@
         for wanted in message.wanted:
             due_at = now + wanted.due_in_s
             free = sum(self._startable_items(counts, replica, wanted) for replica in replicas)
-            most_items = _fair_share(counts.claims, message.coordinator, free, due_at)
-            for _ in range(min(wanted.items, most_items)):
+            max_items = _fair_share(counts.claims, message.coordinator, free, due_at)
+            for _ in range(min(wanted.items, max_items)):
                 replica = self._most_free(counts, message.zone, replicas, wanted)
                 if replica is None:
                     break
@@ -414,13 +414,13 @@
     items due at about the same time share the rest evenly.
     """
     others = [claim for name, claim in claims.items() if name != coordinator]
-    earlier = sum(
+    earlier_items = sum(
         one.items for claim in others for one in claim.waiting if one.due_at < due_at - SAME_DUE_S
     )
-    alike = sum(
+    competing_coordinators = sum(
         any(abs(one.due_at - due_at) <= SAME_DUE_S for one in claim.waiting) for claim in others
     )
-    return -(-max(0, free - earlier) // (1 + alike))
+    return -(-max(0, free - earlier_items) // (1 + competing_coordinators))
 
 
 def _has_free_slot(counts: PoolCounts, replica: Replica) -> bool:
--- a/tests/store_rig.py
+++ b/tests/store_rig.py
@@ -31,7 +31,7 @@
 from quaymill.process.jobs.quota_ledger import Ledger, LedgerUnknown, QuotaLedgers
 from quaymill.process.jobs.result_publisher import PublisherParts, ResultPublisher
 
-CALL_S = 0.004
+CALL_DURATION_S = 0.004
 REFUSED = StoreRefused("the store answered 503")
 
 
@@ -56,7 +56,7 @@
 
     def call(self, gateway: str, do: Callable[[], Any]) -> Any:
         """Perform one call of a gateway."""
-        time.sleep(CALL_S)
+        time.sleep(CALL_DURATION_S)
         with self._lock:
             self.calls[gateway] += 1
             if gateway in self.refused:
@@ -70,9 +70,9 @@
 
     def write(self, name: str, spec: Any, revision: int) -> StoredObject | RevisionConflict:
         """Replace an object at a revision; revision 0 creates it."""
-        held = self._objects.get(name)
-        if (held.revision if held else 0) != revision:
-            return RevisionConflict(held)
+        stored = self._objects.get(name)
+        if (stored.revision if stored else 0) != revision:
+            return RevisionConflict(stored)
         self._objects[name] = StoredObject(name, next(self._revisions), spec)
         return self._objects[name]
 
--- a/tests/test_allocator_queue.py
+++ b/tests/test_allocator_queue.py
@@ -477,29 +477,31 @@
         self.router.choose.assert_not_called()
 
     def test_the_slot_of_a_caller_that_disconnects_is_released(self) -> None:
-        place = mock.Mock()
+        granted_replica = mock.Mock()
 
         def leave(*_):
             self.presence.leave()
-            return place
+            return granted_replica
 
         self.queue.wait_for_slot.side_effect = leave
         self.assertIsInstance(self.forward(), CallerLeft)
-        self.queue.release_slot.assert_called_once_with(place)
+        self.queue.release_slot.assert_called_once_with(granted_replica)
 
     def test_the_slot_of_a_revoked_key_is_released(self) -> None:
-        place = self.queue.wait_for_slot.return_value
+        granted_replica = self.queue.wait_for_slot.return_value
         changes = iter((None, KeyChanged(revoked=True)))
         self.assertIsInstance(self.forward(lambda: next(changes)), KeyChanged)
-        self.queue.release_slot.assert_called_once_with(place)
+        self.queue.release_slot.assert_called_once_with(granted_replica)
 
 
 class MixedBuildsTest(unittest.TestCase):
     """Compatibility with builds without a queue."""
 
     def test_messages_of_older_builds_are_read(self) -> None:
-        old_builds = b'{"kind":"PlaceOnline","gateway":"g","zone":"z","service":"s","in_flight":[]}'
-        self.assertIsNone(msgspec.json.decode(old_builds, type=PlaceOnline).terms)
+        old_message = (
+            b'{"kind":"PlaceOnline","gateway":"g","zone":"z","service":"s","in_flight":[]}'
+        )
+        self.assertIsNone(msgspec.json.decode(old_message, type=PlaceOnline).terms)
 
     def test_messages_survive_encoding(self) -> None:
         for message in (OnlineGrants(()), GrantsAccepted(("t",)), OnlineInFlight("g", "s", ())):
--- a/tests/test_batch_quota.py
+++ b/tests/test_batch_quota.py
@@ -202,9 +202,9 @@
 
     def test_a_relay_gateway_does_not_withdraw_the_count(self) -> None:
         self.one.admit("a", 6)
-        helped = self.two.admit("a", 6)
+        relayed = self.two.admit("a", 6)
         del self.two.jobs["a"]
-        self.two.quota.withdraw("a", self.route, helped)
+        self.two.quota.withdraw("a", self.route, relayed)
         self.two.quota.reconcile()
         self.assertEqual({"a": 600}, self.held())
 
--- a/tests/test_pool_queue.py
+++ b/tests/test_pool_queue.py
@@ -55,8 +55,8 @@
         self.assertEqual([0, 1, 2, 0, 3, 1], self.tag_all("a", "a", "a", "b", "a", "b"))
 
     def test_an_idle_tenant_gains_no_advantage(self) -> None:
-        for number in self.tag_all("a", "a", "a", "a"):
-            self.shares.serve(number)
+        for tag in self.tag_all("a", "a", "a", "a"):
+            self.shares.serve(tag)
         self.assertEqual([3, 4, 4], self.tag_all("b", "b", "a"))
 
     def test_use_without_competition_has_no_lasting_cost(self) -> None:
@@ -88,7 +88,7 @@
 
     def test_order(self) -> None:
         now = 10.0
-        fields_of_terms = [
+        messages = [
             place_message("late", "c", target_in_s=-1.0),
             place_message("too near its target", "d", target_in_s=0.05 + GRANT_LATENCY_S),
             place_message("first of a", "a"),
@@ -97,7 +97,7 @@
             place_message("first of b", "b"),
             place_message("urgent", "a", rank=-1),
         ]
-        for index, one in enumerate(fields_of_terms):
+        for index, one in enumerate(messages):
             self.queue.join(one, now + 0.001 * index)
         expected = [
             "urgent",
