--- a/src/quaymill/process/jobs/coordinator.py
+++ b/src/quaymill/process/jobs/coordinator.py
@@ -192,8 +192,8 @@
 
     def _forget_old_jobs(self) -> None:
         """Remove the oldest stopped jobs from memory; storage nodes have their results."""
-        stopped = [job for job in self._jobs_by_id.values() if job.stopped]
-        for job in stopped[: max(0, len(stopped) - RETAINED_JOBS)]:
+        stopped_jobs = [job for job in self._jobs_by_id.values() if job.stopped]
+        for job in stopped_jobs[: max(0, len(stopped_jobs) - RETAINED_JOBS)]:
             del self._jobs_by_id[job.id]
 
     def _renew(self) -> None:
