--- a/tests/test_allocator_calls.py
+++ b/tests/test_allocator_calls.py
@@ -113,9 +113,9 @@
         self.addCleanup(sender.stop)
         replica = mock.Mock(id="r")
         with sender._changed:
-            sender._waiting["peer"] = _Pending(Counter(r=1))
+            sender._pending_by_process["peer"] = _Pending(Counter(r=1))
             sender.send_grant(SlotGrant(EnginePool("s"), "g", "peer", "t", replica))
-        eventually(lambda: not sender._being_called and not sender._waiting, TIMEOUT_S)
+        eventually(lambda: not sender._being_called and not sender._pending_by_process, TIMEOUT_S)
         self.assertEqual([("t", True)], answered)
 
     def test_unresponsive_coordinators_delay_neither_the_allocator_nor_others(self):
