--- a/src/quaymill/process/jobs/engine_loads.py
+++ b/src/quaymill/process/jobs/engine_loads.py
@@ -2,7 +2,8 @@
 
 The slot allocator counts slots itself, from the messages of gateways and coordinators. An engine's
 report adds what these cannot know: the free memory, whether the engine answers, and requests that
-wait there although the counts show a free slot. Nothing is polled while there is no batch work.
+wait there although the counts show a free slot. Each claim decides which engines are polled until
+the next one.
 """
 
 from __future__ import annotations
@@ -192,7 +193,10 @@
 
 
 def _is_from_listed_start(report: EngineReport, replica: Replica) -> bool:
-    """Return whether a report is from the listed process of a replica, if both name its start."""
+    """Return whether a report is from the process that is listed for the replica.
+
+    Also true if a start time is missing in the report or in the list.
+    """
     started_ms = replica.entry.started_ms
     return not report.started_ms or not started_ms or report.started_ms == started_ms
 
--- a/src/quaymill/process/jobs/engine_pool.py
+++ b/src/quaymill/process/jobs/engine_pool.py
@@ -1,4 +1,4 @@
-"""Engine pools: the parts of a service, each with the slot allocator of one gateway."""
+"""Engine pools: the parts of a service. One gateway allocates the slots of each part."""
 
 from __future__ import annotations
 
--- a/src/quaymill/process/jobs/item_urgency.py
+++ b/src/quaymill/process/jobs/item_urgency.py
@@ -50,7 +50,9 @@
 
 
 class RoutePaces:
-    """Paces by route, shared among all coordinators; safe to use from any thread.
+    """Paces by route, as known to a coordinator or a slot allocator.
+
+    Safe to use from any thread.
 
     Coordinators report the paces of their own items to the slot allocator, and receive the averages
     over all coordinators. Otherwise, with more gateways than jobs, most coordinators would not have
--- a/src/quaymill/process/jobs/job_lookup.py
+++ b/src/quaymill/process/jobs/job_lookup.py
@@ -32,13 +32,13 @@
         self._listings = listings
         self._started_at = boot_clock.now()
 
-    def check_absence(self, job_id: str, found: NotFound) -> NoSuchJob | Unsure:
+    def check_absence(self, job_id: str, not_found: NotFound) -> NoSuchJob | Unsure:
         """Return ``NoSuchJob`` only if it is certain that the job does not exist.
 
         A new gateway may not know all storage nodes yet, and a known one may just have lost its
         disk. A job with results also has a listing in the platform's store.
         """
-        if not found.certain:
+        if not not_found.certain:
             return Unsure("not all storage nodes answered")
         if boot_clock.now() - self._started_at < DISCOVERY_TIME_S:
             return Unsure("this gateway may not know all storage nodes yet")
--- a/src/quaymill/process/jobs/online_reporter.py
+++ b/src/quaymill/process/jobs/online_reporter.py
@@ -65,7 +65,7 @@
 """Age above which a replica's slowness reading is no longer reported."""
 REPEAT_INTERVAL_S = 0.25
 """Time after which unchanged counts are reported again. The allocator trusts them for four times as
-long, and this gateway trusts the loads in the answer for twice as long."""
+long, and this gateway trusts the loads in the answer for more than twice as long."""
 
 
 class OnlineReporter:
--- a/src/quaymill/process/jobs/result_publisher.py
+++ b/src/quaymill/process/jobs/result_publisher.py
@@ -73,7 +73,7 @@
         self._stopping = threading.Event()
 
     def stop(self) -> None:
-        """Stop pausing between appends."""
+        """End all pauses; each thread ends once its job is over."""
         self._stopping.set()
 
     def follow(self, job: CoordinatedJob, *, adopted: bool) -> None:
--- a/src/quaymill/process/jobs/service.py
+++ b/src/quaymill/process/jobs/service.py
@@ -189,6 +189,7 @@
     def hand_over_all(self) -> None:
         """Stop, and hand every open job over to another gateway with the progress of its items."""
         for message in self._coordinator.stop():
+            # Two gateways are asked at most: each call may take ``HAND_OVER_TIMEOUT_S``.
             ranked = rank_nodes(message.job.id, self._gateways())
             successors = (self._hand_over(message, member) for member in ranked[:2])
             successor = next(filter(None, successors), "")
--- a/src/quaymill/process/jobs/storage_client.py
+++ b/src/quaymill/process/jobs/storage_client.py
@@ -166,7 +166,7 @@
         Parameters
         ----------
         whole
-            Whether to return the job itself as well.
+            Whether to return the job itself as well; fewer storage nodes are then asked.
         """
         known = self._known_storage_nodes()
         uncertain = not known
--- a/tests/test_slot_allocator.py
+++ b/tests/test_slot_allocator.py
@@ -246,7 +246,7 @@
         ("zone with free slots", {"in_flight": (ItemsAt("x1", 1), ItemsAt("x2", 1))}, "x1 x2"),
         ("busy zone", {"in_flight": (ItemsAt("x1", 2), ItemsAt("x2", 2))}, "y1"),
         ("tried", {"in_flight": (), "excluded": ("x1", "y1")}, "x2"),
-        ("kept prompt", {"in_flight": (), "offsets": (LoadOffset("y1", -1.0),)}, "y1"),
+        ("cached prompt", {"in_flight": (), "offsets": (LoadOffset("y1", -1.0),)}, "y1"),
         ("has failed", {"in_flight": (), "offsets": (LoadOffset("x1", 1.0),)}, "x2"),
         ("all tried", {"in_flight": (), "excluded": ("x1", "x2", "y1")}, ""),
     )
