--- a/src/quaymill/process/jobs/service.py
+++ b/src/quaymill/process/jobs/service.py
@@ -77,7 +77,7 @@
         Reads results, wherever a job is coordinated.
     gateway_of
         Returns the live gateway on which a coordinator runs; ``None`` if there is none.
-    gateways
+    other_gateways
         Returns the other live gateways.
     """
 
@@ -93,7 +93,7 @@
         peer_client: PeerClient,
         peer_server: PeerServer,
         gateway_of: Callable[[str], Member | None],
-        gateways: Callable[[], tuple[Member, ...]],
+        other_gateways: Callable[[], tuple[Member, ...]],
     ) -> None:
         self._coordinator = coordinator
         self._storage = storage
@@ -102,7 +102,7 @@
         self._relay = relay
         self._peer_client = peer_client
         self._gateway_of = gateway_of
-        self._gateways = gateways
+        self._other_gateways = other_gateways
         self._reader = reader
         self._lookup = lookup
         peer_server.register(SubmitJob, self._answer_submit)
@@ -190,7 +190,7 @@
         """Stop, and hand every open job over to another gateway with the progress of its items."""
         for message in self._coordinator.stop():
             # Two gateways are asked at most: each call may take ``HAND_OVER_TIMEOUT_S``.
-            ranked = rank_nodes(message.job.id, self._gateways())
+            ranked = rank_nodes(message.job.id, self._other_gateways())
             successors = (self._hand_over(message, member) for member in ranked[:2])
             successor = next(filter(None, successors), "")
             handed = (HandedOverJob(message.job.id, successor),) if successor else ()
--- a/tests/test_job_progress.py
+++ b/tests/test_job_progress.py
@@ -177,7 +177,7 @@
     """Peers with fixed replies that record the messages they receive."""
 
     def __init__(self) -> None:
-        self.left_s = 0.0
+        self.lease_left_s = 0.0
         self.lease_queries: list[FetchLeases] = []
         self.adopted: list[AdoptJob] = []
 
@@ -186,7 +186,7 @@
             self.adopted.append(message)
             return JobAdopted("g#2")
         self.lease_queries.append(message)
-        return Leases(tuple(self.left_s for _ in message.job_ids))
+        return Leases(tuple(self.lease_left_s for _ in message.job_ids))
 
 
 class AdoptionTest(DatabaseCase):
@@ -219,26 +219,26 @@
         patch.start()
         self.addCleanup(patch.stop)
 
-    def check_after(self, time_s: float) -> bool:
+    def adopted_after(self, time_s: float) -> bool:
         self.now += time_s
         self.watch.check()
         return bool(self.peers.adopted)
 
     def test_job_is_adopted_after_its_lease_expires(self) -> None:
-        self.assertFalse(self.check_after(LEASE_S - 0.1))
-        self.assertTrue(self.check_after(0.2))
+        self.assertFalse(self.adopted_after(LEASE_S - 0.1))
+        self.assertTrue(self.adopted_after(0.2))
 
     def test_jobs_of_unreachable_processes_are_not_adopted(self) -> None:
         self.unreachable_processes.add("g#1")
-        self.assertFalse(self.check_after(10 * LEASE_S))
+        self.assertFalse(self.adopted_after(10 * LEASE_S))
         self.unreachable_processes.clear()
-        self.assertTrue(self.check_after(0.1))
+        self.assertTrue(self.adopted_after(0.1))
 
     def test_jobs_of_an_ended_process_are_adopted_early(self) -> None:
         self.database.store_progress(JOB, "one", [progress_of(0, "ab")])
         self.replaced_processes.add("g#1")
-        self.assertFalse(self.check_after(0.1))
-        self.assertTrue(self.check_after(REPLACED_FOR_S + 0.05))
+        self.assertFalse(self.adopted_after(0.1))
+        self.assertTrue(self.adopted_after(REPLACED_FOR_S + 0.05))
         self.assertEqual(("g#1",), self.peers.lease_queries[0].ended_holders)
         self.assertEqual((progress_of(0, "ab"),), self.peers.adopted[0].progress)
         self.assertEqual("g#2", self.leases.holder(JOB))
@@ -246,22 +246,22 @@
 
     def test_renewal_after_a_restart_prevents_early_adoption(self) -> None:
         self.replaced_processes.add("g#1")
-        self.check_after(0.1)
+        self.adopted_after(0.1)
         self.now += 0.1
         self.leases.renew([JOB], "g#1")
-        self.assertFalse(self.check_after(REPLACED_FOR_S + 0.05))
+        self.assertFalse(self.adopted_after(REPLACED_FOR_S + 0.05))
 
     def test_lease_at_another_storage_node_prevents_adoption(self) -> None:
-        self.peers.left_s = 1.0
+        self.peers.lease_left_s = 1.0
         self.replaced_processes.add("g#1")
-        self.check_after(0.1)
-        self.assertFalse(self.check_after(REPLACED_FOR_S + 0.05))
+        self.adopted_after(0.1)
+        self.assertFalse(self.adopted_after(REPLACED_FOR_S + 0.05))
 
     def test_coordinator_is_read_from_disk_after_a_restart(self) -> None:
         self.leases.forget(JOB)
         self.replaced_processes.add("g#1")
-        self.check_after(0.1)
-        self.assertTrue(self.check_after(REPLACED_FOR_S + 0.05))
+        self.adopted_after(0.1)
+        self.assertTrue(self.adopted_after(REPLACED_FOR_S + 0.05))
 
 
 if __name__ == "__main__":
--- a/tests/test_slot_allocator.py
+++ b/tests/test_slot_allocator.py
@@ -52,7 +52,7 @@
 
 SERVICE = "engine"
 NO_CONSTRAINTS = PlacementConstraints(frozenset(), {})
-EVERY_ITEM = WantedItems(reserve_share=0.0, items=100, tokens=10)
+MANY_ITEMS = WantedItems(reserve_share=0.0, items=100, tokens=10)
 
 
 class FixedLoads:
@@ -61,10 +61,10 @@
     def __init__(self, **free_by_replica: int) -> None:
         self.free_by_replica = Counter(free_by_replica)
         self.excess_by_replica: Counter[str] = Counter()
-        self.wanted: frozenset[str] = frozenset()
+        self.polled_services: frozenset[str] = frozenset()
 
     def poll_only(self, replicas):
-        self.wanted = frozenset(replica.entry.service for replica in replicas)
+        self.polled_services = frozenset(replica.entry.service for replica in replicas)
 
     def startable_items(self, replica, tokens):
         return max(0, self.free_by_replica[replica.id])
@@ -116,7 +116,7 @@
     """Claims of coordinators."""
 
     def test_single_coordinator_is_granted_all_free_slots(self) -> None:
-        granted = self.allocator(x1=3, y1=2).claim(claim("a", EVERY_ITEM))
+        granted = self.allocator(x1=3, y1=2).claim(claim("a", MANY_ITEMS))
         self.assertEqual({"x1": 3, "y1": 2}, items(granted.starts))
 
     def test_no_more_is_granted_than_wanted(self) -> None:
@@ -126,28 +126,28 @@
     def test_free_slots_are_shared_among_waiting_coordinators(self) -> None:
         allocator = self.allocator(x1=0)
         for name in ("a", "b", "c"):
-            allocator.claim(claim(name, EVERY_ITEM))
+            allocator.claim(claim(name, MANY_ITEMS))
         self.loads.free_by_replica["x1"] = 9
-        granted = [allocator.claim(claim(name, EVERY_ITEM)) for name in ("a", "b", "c")]
+        granted = [allocator.claim(claim(name, MANY_ITEMS)) for name in ("a", "b", "c")]
         # A third of nine, of six and of four free slots, rounded up.
         self.assertEqual([3, 2, 2], [items(one.starts)["x1"] for one in granted])
 
     def test_coordinators_that_stopped_claiming_get_no_share(self) -> None:
         allocator = self.allocator(x1=0)
-        allocator.claim(claim("a", EVERY_ITEM))
-        allocator.claim(claim("b", EVERY_ITEM))
+        allocator.claim(claim("a", MANY_ITEMS))
+        allocator.claim(claim("b", MANY_ITEMS))
         self.now += CLAIM_LIFETIME_S
         self.loads.free_by_replica["x1"] = 4
-        self.assertEqual({"x1": 4}, items(allocator.claim(claim("b", EVERY_ITEM)).starts))
+        self.assertEqual({"x1": 4}, items(allocator.claim(claim("b", MANY_ITEMS)).starts))
 
     def test_engines_are_polled_only_while_there_are_claims(self) -> None:
         allocator = self.allocator(x1=0)
-        allocator.claim(claim("a", EVERY_ITEM))
-        allocator.claim(claim("b", EVERY_ITEM, service="other"))
-        self.assertEqual({SERVICE, "other"}, self.loads.wanted)
+        allocator.claim(claim("a", MANY_ITEMS))
+        allocator.claim(claim("b", MANY_ITEMS, service="other"))
+        self.assertEqual({SERVICE, "other"}, self.loads.polled_services)
         self.now += CLAIM_LIFETIME_S
-        allocator.claim(claim("b", EVERY_ITEM, service="other"))
-        self.assertEqual({"other"}, self.loads.wanted)
+        allocator.claim(claim("b", MANY_ITEMS, service="other"))
+        self.assertEqual({"other"}, self.loads.polled_services)
 
     def test_reported_excess_is_preempted_once_per_coordinator(self) -> None:
         allocator = self.allocator(x1=0)
@@ -166,9 +166,9 @@
 
     def test_replica_that_fails_for_a_coordinator_is_not_granted(self) -> None:
         allocator = self.allocator(x1=5, y1=2)
-        granted = allocator.claim(claim("a", EVERY_ITEM, avoided=("x1",)))
+        granted = allocator.claim(claim("a", MANY_ITEMS, avoided=("x1",)))
         self.assertEqual({"y1": 2}, items(granted.starts))
-        granted = allocator.claim(claim("a", EVERY_ITEM))
+        granted = allocator.claim(claim("a", MANY_ITEMS))
         self.assertEqual({"x1": 5}, items(granted.starts))
 
 
@@ -271,7 +271,7 @@
         allocator.claim(claim("a"))
         self.report(allocator, "g", x1=4)
         # Of eight slots, four are in use and one is reserved for online requests.
-        self.assertEqual({"x1": 3}, items(allocator.claim(claim("a", EVERY_ITEM)).starts))
+        self.assertEqual({"x1": 3}, items(allocator.claim(claim("a", MANY_ITEMS)).starts))
 
 
 class OnlineReporterTest(AllocatorCase):
@@ -461,11 +461,11 @@
     def test_coordinators_share_their_paces_through_the_allocator(self) -> None:
         """With more gateways than jobs, most coordinators have not seen any item finish."""
         allocator = SlotAllocator(ReplicaTable(), FixedLoads())
-        quick, other = RoutePaces(), RoutePaces()
+        reporting, other = RoutePaces(), RoutePaces()
         for _ in range(30):
-            quick.record("jobs", 200, 200, 5.0)
-        allocator.claim(msgspec.structs.replace(claim("a"), done=quick.take_unreported()))
-        self.assertEqual((), quick.take_unreported())
+            reporting.record("jobs", 200, 200, 5.0)
+        allocator.claim(msgspec.structs.replace(claim("a"), done=reporting.take_unreported()))
+        self.assertEqual((), reporting.take_unreported())
         self.assertEqual(1.0, self.left_s(17.0))
         other.adopt(allocator.claim(claim("b")).paces)
         self.paces = other
@@ -520,7 +520,7 @@
         wanted = []
         loads.poll_only = wanted.extend
         pool = pools_of(SERVICE, table)[1]
-        message = msgspec.structs.replace(claim("a", EVERY_ITEM), pool=pool.index, pools=pool.pools)
+        message = msgspec.structs.replace(claim("a", MANY_ITEMS), pool=pool.index, pools=pool.pools)
         granted = SlotAllocator(table, loads).claim(message)
         members = {replica.id for replica in pool.members(table)}
         self.assertEqual(members, set(items(granted.starts)))
