--- a/src/quaymill/connection/slot_messages.py
+++ b/src/quaymill/connection/slot_messages.py
@@ -296,7 +296,7 @@
 class GrantsAccepted(PeerMessage, tag="TurnsTaken", frozen=True):
     """Tickets of the requests that are dispatched.
 
-    The other requests no longer wait at the gateway, or it does not know the granted replica.
+    The other requests no longer wait at the gateway, or it cannot use the granted replica.
     """
 
     tickets: tuple[str, ...]
--- a/src/quaymill/process/jobs/item_dispatcher.py
+++ b/src/quaymill/process/jobs/item_dispatcher.py
@@ -284,6 +284,7 @@
         return tuple(part.service for part in route.services)
 
     def _give_up_unstarted(self, job: CoordinatedJob) -> None:
+        """Give up a job's waiting items if its route was removed or its time is over."""
         reason = self._reason_to_give_up(job)
         if reason:
             for item in job.unstarted():
--- a/src/quaymill/process/jobs/slot_allocator.py
+++ b/src/quaymill/process/jobs/slot_allocator.py
@@ -131,7 +131,8 @@
     def record_online(self, message: OnlineInFlight) -> PoolLoads:
         """Count a gateway's online requests, and return the loads of the pool.
 
-        Preempts batch items if an engine has too many requests, and grants slots that are free.
+        Grants free slots to queued requests, and preempts batch items if an engine has too many
+        requests.
         """
         self._record_slowness(message.slowness_reports)
         pool = EnginePool(message.service, message.pool, message.pools)
