--- a/src/quaymill/process/jobs/batch_quota.py
+++ b/src/quaymill/process/jobs/batch_quota.py
@@ -41,7 +41,8 @@
 RECONCILE_INTERVAL_S = 0.4
 """Interval at which changes of this gateway's jobs are looked for."""
 RECONCILE_PAUSE_S = 0.2
-"""Maximum first pause after conflicts of a reconciliation; no client waits for it."""
+"""Maximum of the first pause after write conflicts in a reconciliation. It may be longer than in an
+admission, because no client waits for a reconciliation."""
 ALLOWANCE_RENEWAL_S = 20.0
 """Interval at which an allowance is renewed; shorter than its term."""
 ALLOWANCE_TERM_S = 30.0
@@ -58,7 +59,7 @@
 SMALL_CHANGE_SHARE = 0.02
 """Share of the quota by which a running job's entry must differ before it is updated."""
 ENTER_ALL_FROM_SHARE = 0.5
-"""Share of the quota from which on every change is entered, however small."""
+"""If jobs hold more than this share of the quota, every change is entered, however small."""
 DEFAULT_OVERRUN_SHARE = 0.1
 """Tolerated overrun of a quota if the settings do not give one."""
 MIN_RETRY_AFTER_S = 0.3
@@ -269,8 +270,9 @@
     def _tracked_ledgers(
         self, route: str, routes: RequestRoutes, jobs_by_ledger: Mapping[str, object]
     ) -> frozenset[str]:
-        """Return the ledgers of a route to reconcile; of tenants only those with recent jobs here.
+        """Return the ledgers of a route to reconcile.
 
+        If there are tenants, these are the ledgers with recent jobs here and those to sweep here.
         Otherwise every gateway would have to renew an allowance for each of thousands of tenants.
         """
         if routes.tenants is None:
@@ -295,15 +297,15 @@
         if state is None and not outstanding:
             return  # This gateway only sweeps the ledger.
         state = state or self._state_of(ledger)
-        self._forget_jobs_over(state, outstanding, handed_over)
+        self._forget_finished_jobs(state, outstanding, handed_over)
         if self._must_write(state, quota, outstanding):
             self._write(ledger, state, quota, outstanding)
 
-    def _forget_jobs_over(
+    def _forget_finished_jobs(
         self, state: RouteQuota, outstanding: dict[str, int], handed_over: frozenset[str]
     ) -> None:
         with self._lock:
-            state.release_jobs_over(outstanding, handed_over)
+            state.release_finished_jobs(outstanding, handed_over)
             for job_id in [
                 entered_id for entered_id in state.entered if entered_id not in outstanding
             ]:
@@ -314,7 +316,7 @@
         enter_all_changes = state.ledger.document.job_tokens > ENTER_ALL_FROM_SHARE * quota
         min_change = 1 if enter_all_changes else SMALL_CHANGE_SHARE * quota
         with self._lock:
-            if state.has_many_charged() or state.withdrawn or state.quota > quota:
+            if state.must_enter_charged() or state.withdrawn or state.quota > quota:
                 return True
             for job_id, tokens in outstanding.items():
                 if job_id in state.charged:
@@ -325,15 +327,15 @@
                 if entered and not tokens:
                     return True
         now = boot_clock.now()
-        may_take_first = now >= self._first_allowance_at
-        return may_take_first and now - state.renewed_at >= ALLOWANCE_RENEWAL_S
+        may_take_allowance = now >= self._first_allowance_at
+        return may_take_allowance and now - state.renewed_at >= ALLOWANCE_RENEWAL_S
 
     def _write(
         self, ledger: str, state: RouteQuota, quota: int, outstanding: dict[str, int]
     ) -> None:
         """Write the entries of this gateway's jobs and its allowance in one change."""
         began = boot_clock.now()
-        may_take = began >= self._first_allowance_at
+        may_take_allowance = began >= self._first_allowance_at
         with self._lock:
             pending = PendingEntries(dict(state.charged), dict(state.withdrawn))
         granted = 0
@@ -341,7 +343,7 @@
         def enter_all(document: LedgerDocument) -> LedgerDocument:
             nonlocal granted
             document = pending.apply_to(document, outstanding)
-            granted = self._next_allowance(state, document, quota) if may_take else 0
+            granted = self._next_allowance(state, document, quota) if may_take_allowance else 0
             return document.with_allowance(self._name, granted)
 
         newer = self._ledger_to_change(ledger, state)
@@ -363,7 +365,7 @@
         return self._ledgers.newer(ledger, state.ledger)
 
     def _next_allowance(self, state: RouteQuota, document: LedgerDocument, quota: int) -> int:
-        """Return the allowance to write, and lower what is left of the current one to it.
+        """Return the allowance to write; lower the rest of the current one to it if that is larger.
 
         Jobs that are counted during the write must fit both the old and the new allowance.
         """
--- a/src/quaymill/process/jobs/engine_loads.py
+++ b/src/quaymill/process/jobs/engine_loads.py
@@ -2,7 +2,8 @@
 
 The slot allocator counts slots itself, from the messages of gateways and coordinators. An engine's
 report adds what these cannot know: the free memory, whether the engine answers, and requests that
-wait there although the counts show a free slot. Nothing is polled while there is no batch work.
+wait there although the counts show a free slot. Each claim decides which engines are polled until
+the next one.
 """
 
 from __future__ import annotations
@@ -44,7 +45,7 @@
 
 
 @attrs.define
-class _Poll:
+class _PollState:
     """The last report of one engine, and what it may not include yet.
 
     Attributes
@@ -79,7 +80,7 @@
         self._connections = connections
         self._protocol = protocol
         self._lock = threading.Lock()
-        self._polls_by_replica: dict[str, _Poll] = {}
+        self._polls_by_replica: dict[str, _PollState] = {}
         self._polled: set[str] = set()
         self._wanted: frozenset[str] = frozenset()
         self._stopping = threading.Event()
@@ -160,7 +161,7 @@
         ):
             report = None if replica.unreachable else self._fetch_report(replica)
             with self._lock:
-                poll = self._polls_by_replica.setdefault(replica.id, _Poll())
+                poll = self._polls_by_replica.setdefault(replica.id, _PollState())
                 if report is not None:
                     poll.report = report
                     poll.received_at = boot_clock.now()
@@ -192,7 +193,10 @@
 
 
 def _is_from_listed_start(report: EngineReport, replica: Replica) -> bool:
-    """Return whether a report is from the listed process of a replica, if both name its start."""
+    """Return whether a report is from the process that is listed for the replica.
+
+    Also true if a start time is missing in the report or in the list.
+    """
     started_ms = replica.entry.started_ms
     return not report.started_ms or not started_ms or report.started_ms == started_ms
 
--- a/src/quaymill/process/jobs/pool_queue.py
+++ b/src/quaymill/process/jobs/pool_queue.py
@@ -20,10 +20,10 @@
 
 GRANT_LATENCY_S = 0.02
 """Time from the release of a slot to the start of the next request: three messages between peers.
-A request with less time left is already late."""
+A request with less time left than this and the time to its first byte will miss its target."""
 REFUSAL_FACTOR = 1.5
-"""A request is refused once its expected wait is this many times its caller's remaining time. The
-margin is needed because the expected wait is computed from averages."""
+"""A request is refused if its expected wait is more than this many times its caller's remaining
+time. The margin is needed because the expected wait is computed from averages."""
 
 
 @attrs.frozen(eq=False)
@@ -162,7 +162,7 @@
 
 def _sort_key(queued: QueuedRequest, now: float) -> tuple[bool, int, float, float]:
     terms = queued.message.terms
-    needs_s = terms.first_byte_s + GRANT_LATENCY_S
+    min_left_s = terms.first_byte_s + GRANT_LATENCY_S
     return dispatch_order(
-        queued.target_at, terms.rank, queued.arrived_at, needs_s, now, queued.start_tag
+        queued.target_at, terms.rank, queued.arrived_at, min_left_s, now, queued.start_tag
     )
--- a/src/quaymill/process/jobs/slot_allocator.py
+++ b/src/quaymill/process/jobs/slot_allocator.py
@@ -43,6 +43,7 @@
 from quaymill.process.replica_set.table import ReplicaTable
 
 CLAIM_LIFETIME_S = 1.0
+"""How long a coordinator's claim is valid; several times the interval at which it claims."""
 ONLINE_LIFETIME_S = 1.0
 """How long a gateway's load report is valid: four times the interval at which it is repeated."""
 EXPIRY_INTERVAL_S = 0.1
@@ -70,8 +71,8 @@
     Parameters
     ----------
     preempt_items
-        Asks a coordinator to preempt items immediately; without it, the request is part of the
-        answer to the coordinator's next claim.
+        Asks a coordinator to preempt items immediately; without it, the items to preempt are part
+        of the answer to the coordinator's next claim.
     wake
         Notifies a coordinator that there are free slots for its items.
     send_grant
@@ -117,8 +118,8 @@
             self._preempt_excess(counts, replicas)
             to_preempt = self._to_preempt_by_coordinator.pop(message.coordinator, Counter())
             reachable = [replica for replica in replicas if replica.id not in message.avoided]
-            starts = self._grant_items(counts, message, reachable)
-            grants = self._grant_slots(pool, counts, replicas)
+            starts = self._grant_slots_to_items(counts, message, reachable)
+            grants = self._grant_slots_to_queue(pool, counts, replicas)
             preemptions = self._take_preemptions()
             to_wake = self._first_to_wake(counts, replicas)
         self._send_grants(grants)
@@ -128,7 +129,11 @@
         return SlotsGranted(_items_at(starts), _items_at(to_preempt), self._paces.averages())
 
     def record_online(self, message: OnlineInFlight) -> PoolLoads:
-        """Count a gateway's online requests, preempt batch items, and return the pool's loads."""
+        """Count a gateway's online requests, and return the loads of the pool.
+
+        Grants free slots to queued requests, and preempts batch items if an engine has too many
+        requests.
+        """
         self._record_slowness(message.slowness_reports)
         pool = EnginePool(message.service, message.pool, message.pools)
         with self._lock:
@@ -137,7 +142,7 @@
             counts.set_online(message.gateway, in_flight, boot_clock.now())
             self.queues.withdraw(pool, message.withdrawn)
             replicas = pool.members(self._table)
-            grants = self._grant_slots(pool, counts, replicas)
+            grants = self._grant_slots_to_queue(pool, counts, replicas)
             self._preempt_excess(counts, [one for one in replicas if one.id in in_flight])
             preemptions = self._take_preemptions()
             loads = counts.loads(replicas)
@@ -218,7 +223,7 @@
         if all(one.id in message.excluded for one in replicas):
             return OnlinePlaced("", counts.loads(replicas), self._reported_queue_length(pool)), []
         queued = self.queues.join(pool, message, now)
-        grants = self._grant_slots(pool, counts, replicas)
+        grants = self._grant_slots_to_queue(pool, counts, replicas)
         own_grant = next((grant for grant in grants if grant.ticket == queued.ticket), None)
         if own_grant is not None:
             self.queues.record_answer(own_grant, counts, accepted=True)
@@ -253,12 +258,12 @@
                 dropped = self.queues.drop_process(grant.process)
                 log_message("line:gateway_gone", gateway=grant.gateway, dropped=dropped)
             replicas = grant.pool.members(self._table)
-            grants = [] if accepted else self._grant_slots(grant.pool, counts, replicas)
+            grants = [] if accepted else self._grant_slots_to_queue(grant.pool, counts, replicas)
             preemptions = self._take_preemptions()
         self._send_grants(grants)
         self._send_preemptions(preemptions)
 
-    def _grant_slots(
+    def _grant_slots_to_queue(
         self, pool: EnginePool, counts: PoolCounts, replicas: list[Replica]
     ) -> list[SlotGrant]:
         """Grant free slots to queued requests, and preempt batch items; the lock is held."""
@@ -298,8 +303,8 @@
     def _first_to_wake(self, counts: PoolCounts, replicas: list[Replica]) -> str:
         """Return the coordinator to notify of free slots: the one whose items are due first.
 
-        Empty if no slot is free, or if all with waiting items have claimed or been notified within
-        ``WAKE_INTERVAL_S``.
+        Empty if no slot is free, or if every coordinator with waiting items has claimed slots or
+        been notified within ``WAKE_INTERVAL_S``.
         """
         now = boot_clock.now()
         claims = counts.claims
@@ -353,20 +358,23 @@
                 excess -= share
                 self._loads.record_preemption(replica)
 
-    def _grant_items(
+    def _grant_slots_to_items(
         self,
         counts: PoolCounts,
         message: ClaimSlots,
         replicas: list[Replica],
     ) -> Counter[str]:
-        """Grant starts to a claim, leaving slots for items of others that are due earlier."""
+        """Return the items that a claim may start, by replica, and count them as running.
+
+        Slots are left free for items of other coordinators that are due earlier.
+        """
         starts: Counter[str] = Counter()
         now = boot_clock.now()
         for wanted in message.wanted:
             due_at = now + wanted.due_in_s
             free = sum(self._startable_items(counts, replica, wanted) for replica in replicas)
-            most_items = _fair_share(counts.claims, message.coordinator, free, due_at)
-            for _ in range(min(wanted.items, most_items)):
+            max_items = _fair_share(counts.claims, message.coordinator, free, due_at)
+            for _ in range(min(wanted.items, max_items)):
                 replica = self._most_free(counts, message.zone, replicas, wanted)
                 if replica is None:
                     break
@@ -407,13 +415,13 @@
     items due at about the same time share the rest evenly.
     """
     others = [claim for name, claim in claims.items() if name != coordinator]
-    earlier = sum(
+    earlier_items = sum(
         one.items for claim in others for one in claim.waiting if one.due_at < due_at - SAME_DUE_S
     )
-    alike = sum(
+    competing_coordinators = sum(
         any(abs(one.due_at - due_at) <= SAME_DUE_S for one in claim.waiting) for claim in others
     )
-    return -(-max(0, free - earlier) // (1 + alike))
+    return -(-max(0, free - earlier_items) // (1 + competing_coordinators))
 
 
 def _has_free_slot(counts: PoolCounts, replica: Replica) -> bool:
--- a/tests/test_allocator_queue.py
+++ b/tests/test_allocator_queue.py
@@ -1,4 +1,4 @@
-"""One queue for all gateways: the allocator, its gateways, and requests when either of them fails.
+"""Online requests of all gateways share one queue, also while the allocator or a gateway fails.
 
 Uses the real components. Messages are encoded as JSON on fake connections, on which each side can
 be unresponsive or an older build.
@@ -100,7 +100,7 @@
 
 
 def without(encoded: bytes, *names: str) -> bytes:
-    """Return an encoded message without some fields, as a build that does not know them has it."""
+    """Return an encoded message without some fields, as an older build would send or read it."""
     fields = msgspec.json.decode(encoded)
     return msgspec.json.encode({name: value for name, value in fields.items() if name not in names})
 
@@ -477,29 +477,31 @@
         self.router.choose.assert_not_called()
 
     def test_the_slot_of_a_caller_that_disconnects_is_released(self) -> None:
-        place = mock.Mock()
+        granted_replica = mock.Mock()
 
         def leave(*_):
             self.presence.leave()
-            return place
+            return granted_replica
 
         self.queue.wait_for_slot.side_effect = leave
         self.assertIsInstance(self.forward(), CallerLeft)
-        self.queue.release_slot.assert_called_once_with(place)
+        self.queue.release_slot.assert_called_once_with(granted_replica)
 
     def test_the_slot_of_a_revoked_key_is_released(self) -> None:
-        place = self.queue.wait_for_slot.return_value
+        granted_replica = self.queue.wait_for_slot.return_value
         changes = iter((None, KeyChanged(revoked=True)))
         self.assertIsInstance(self.forward(lambda: next(changes)), KeyChanged)
-        self.queue.release_slot.assert_called_once_with(place)
+        self.queue.release_slot.assert_called_once_with(granted_replica)
 
 
 class MixedBuildsTest(unittest.TestCase):
     """Compatibility with builds without a queue."""
 
     def test_messages_of_older_builds_are_read(self) -> None:
-        old_builds = b'{"kind":"PlaceOnline","gateway":"g","zone":"z","service":"s","in_flight":[]}'
-        self.assertIsNone(msgspec.json.decode(old_builds, type=PlaceOnline).terms)
+        old_message = (
+            b'{"kind":"PlaceOnline","gateway":"g","zone":"z","service":"s","in_flight":[]}'
+        )
+        self.assertIsNone(msgspec.json.decode(old_message, type=PlaceOnline).terms)
 
     def test_messages_survive_encoding(self) -> None:
         for message in (OnlineGrants(()), GrantsAccepted(("t",)), OnlineInFlight("g", "s", ())):
