--- a/src/quaymill/platform/__init__.py
+++ b/src/quaymill/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter to the users' platform: its names, formats and calls, and nothing that decides."""
+"""Adapter to the users' platform: translates its names, formats and calls, decides nothing."""
--- a/src/quaymill/platform/caller_calls.py
+++ b/src/quaymill/platform/caller_calls.py
@@ -1,4 +1,4 @@
-"""Callers' requests and calls about jobs, in the platform's form."""
+"""Decodes callers' requests and job calls from the platform's format and encodes results."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 
 
 def read_key(request: FrontRequest) -> bytes:
-    """Return the bearer key of a request as it was sent."""
+    """Return the bearer key of a request, unchecked."""
     return bearer_key(request.header_values(names.AUTHORIZATION)).encode("latin-1")
 
 
@@ -62,14 +62,14 @@
     """Read the headers that decide how an opaque request is served."""
     request_id = request.header(names.REQUEST_ID) or ""
     if len(request_id) > MAX_REQUEST_ID_LENGTH:
-        return Malformed("the request's id is too long", "send a shorter id")
+        return Malformed("the request id is too long", "send a shorter id")
     patience_s = None
     text = request.header(names.DEADLINE_MS)
     if text is not None:
         try:
             patience_s = float(text) / MS_PER_S
         except ValueError:
-            return Malformed(f"{names.DEADLINE_MS} is {text!r}", "send milliseconds")
+            return Malformed(f"{names.DEADLINE_MS} is not a number: {text!r}", "send milliseconds")
     return CallerRequest(
         id=request_id,
         patience_s=patience_s,
@@ -83,7 +83,7 @@
 
 
 def read_prompt(model: str | None, token_count: str | None, parts: str | None) -> Prompt:
-    """Read what a request tells of its prompt; what is not understood is left out."""
+    """Parse the prompt headers of a request; invalid counts and parts are ignored."""
     if not token_count and not parts:
         return NO_PROMPT
     counts = [int(part) for part in (token_count or "").split(",") if part.strip().isdigit()]
@@ -97,7 +97,7 @@
 
 
 def find_job_call(request: FrontRequest) -> JobCall | Malformed | None:
-    """Recognise reading results, reading an item's body, and ending a job."""
+    """Return the job call that the request makes; ``None`` if it is not a job call."""
     path = request.path
     if path.startswith(names.JOBS_PATH):
         job_id = unquote(path[len(names.JOBS_PATH) :])
@@ -114,11 +114,11 @@
 
 
 def read_job(body: bytes) -> JobDocument | Malformed:
-    """Read a submitted job."""
+    """Decode a submitted job."""
     try:
         submission = msgspec.json.decode(body, type=_Submission)
     except msgspec.MsgspecError as error:
-        return Malformed(f"the job cannot be read: {error}", "mend the body")
+        return Malformed(f"the job cannot be read: {error}", "correct the body")
     if len(submission.items) > MAX_ITEMS:
         return Malformed(f"the job has {len(submission.items)} items", f"send {MAX_ITEMS} at most")
     if len({item.id for item in submission.items}) != len(submission.items):
@@ -132,7 +132,7 @@
 
 
 def write_results(total: int, results: tuple[JobResult, ...], following: int) -> bytes:
-    """Put a page of results."""
+    """Encode a page of results as JSON."""
     page = _Page(
         total=total,
         next_token=following,
--- a/src/quaymill/platform/configuration.py
+++ b/src/quaymill/platform/configuration.py
@@ -1,4 +1,4 @@
-"""Decodes the operator's configuration, the replicas' entries and our own registrations."""
+"""Decodes the operators' configuration and the replicas' entries in the object store."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
 
 MS_PER_S = 1000.0
 MAX_SLOTS = 100_000
-"""No replica works on so many requests at once: an entry that says so is not a replica's own."""
+"""Upper bound of a plausible entry; an entry with more slots is rejected as unreadable."""
 MAX_COLD_LEFT_MS = 24 * 3600 * MS_PER_S
-"""Nor is any slow from its start for longer than a day."""
+"""Upper bound of a plausible remaining warm-up time; a longer one is rejected as unreadable."""
 
 
 class _Part(msgspec.Struct):
@@ -49,8 +49,8 @@
     due_ms: float = 0.0
     max_wait_s: float = 0.0
     max_queued_tokens: int = 0
-    """Of a batch route: tokens of items that wait or run. An engine's field of the same name
-    bounds something else (calls that follow its cache), and is not read."""
+    """Limit of a batch route: tokens of queued and running items. The engine's field of the same
+    name has another meaning and is not read."""
     public: bool = False
 
 
@@ -100,7 +100,7 @@
 
 
 def decode_configuration(spec: Any) -> RequestRoutes | UnreadableObject:
-    """Return the configuration in an object's ``spec``."""
+    """Decode the configuration in an object's ``spec``."""
     try:
         document = msgspec.convert(spec, _Configuration)
         return RequestRoutes(
@@ -115,7 +115,7 @@
 
 
 def decode_replica(stored: StoredObject) -> ReplicaEntry | UnreadableObject:
-    """Return what a replica says of itself in its entry."""
+    """Decode the entry that a replica has written about itself."""
     try:
         server = msgspec.convert(stored.spec, _Server)
         address = Endpoint.parse_address(server.address)
--- a/src/quaymill/platform/environment.py
+++ b/src/quaymill/platform/environment.py
@@ -1,4 +1,4 @@
-"""What the platform tells a process by its environment."""
+"""Environment variables that the platform sets for a process."""
 
 SETTINGS_VARIABLE = "QUAYMILL_BOOT"
 """Path of the settings file."""
--- a/src/quaymill/platform/gateway_role.py
+++ b/src/quaymill/platform/gateway_role.py
@@ -1,4 +1,4 @@
-"""A gateway on the platform: its parts, with what speaks the platform's language."""
+"""Builds a gateway that uses the platform's protocols."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def build_gateway(settings: ServingSettings, context: ProcessContext) -> GatewayNode:
-    """Return a gateway's parts, not started yet."""
+    """Build a gateway node without starting it."""
     store = PlatformObjectStore(settings.store_endpoint)
     metrics = Endpoint(settings.address, METRICS_PORT)
     features = GatewayFeatures(names.PRESSURE in settings.contract_names)
--- a/src/quaymill/platform/main.py
+++ b/src/quaymill/platform/main.py
@@ -13,8 +13,8 @@
 
 def main() -> int:
     """Run the role named on the command line; return the exit code."""
-    # The settings are read later anyway. Before there is a handler the signal ends a process, and
-    # loading the role takes 0.1 s to 0.6 s on the users' machines.
+    # SIGHUP would end the process until the role has installed its handler. Ignoring it loses
+    # nothing, since the settings are read after this.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     settings_file = Path(os.environ.get(SETTINGS_VARIABLE, ""))
     listener = open_listener(settings_file)
@@ -24,7 +24,7 @@
 
 
 if __name__ == "__main__":
-    # Threads that wait for a peer or a caller must not hold the exit up.
+    # Exit without joining threads that still wait for a peer or a caller.
     code = main()
     sys.stdout.flush()
     os._exit(code)
--- a/src/quaymill/platform/names.py
+++ b/src/quaymill/platform/names.py
@@ -1,4 +1,4 @@
-"""Names that the platform gives to headers, paths, kinds and fields."""
+"""The platform's names of headers, paths, object kinds and field values."""
 
 from __future__ import annotations
 
--- a/src/quaymill/platform/object_store.py
+++ b/src/quaymill/platform/object_store.py
@@ -1,4 +1,4 @@
-"""Calls of the platform's object store, translated to the product's ``ObjectStore``."""
+"""Implements ``ObjectStore`` by calls to the platform's object store."""
 
 from __future__ import annotations
 
@@ -54,15 +54,15 @@
     (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S),
     (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
 )
-"""A cut that says nothing is found by the probes; a watch would else wait on it for long."""
+"""TCP keepalive detects a silently broken connection before a long watch times out."""
 
 OLD_READ = {"stale": 1}
-"""Query of a read that may be answered from an older state, for a tenth of the price."""
+"""Query of a read that may return an older state, which costs a tenth of a current read."""
 JSON_HEADERS = {"Content-Type": "application/json"}
 
 
 AWAY_STATUSES = frozenset({429, 503})
-"""Nothing was done, and the same call may be taken later."""
+"""The store has not executed the call; it may be repeated later."""
 
 
 class _Answer(msgspec.Struct):
@@ -71,14 +71,14 @@
 
 
 class PlatformObjectStore:
-    """The store at one address; safe to use from any thread."""
+    """Client of the store at one address; thread-safe."""
 
     def __init__(self, address: Endpoint) -> None:
         self._address = address
         self._connections = ReplicaConnections(LinkFilter(), CONNECT_TIMEOUT_S, SOCKET_OPTIONS)
         self.calls = 0
         self.unreadable = 0
-        """Objects that were left out, each of them once in a row."""
+        """Number of skipped objects; one that is skipped repeatedly in a row counts once."""
         self._told_unread: dict[ObjectKind, frozenset[UnreadableObject]] = {}
 
     def list(self, kind: ObjectKind) -> Listing | StoreFailure:
@@ -94,11 +94,11 @@
                 return answer
             page = read_list_page(answer.body)
             if isinstance(page, NotAPage):
-                return StoreUnanswered(f"the store's list was not understood: {page.reason}")
+                return StoreUnanswered(f"the store's list cannot be decoded: {page.reason}")
             objects += page.objects
             unreadable += page.unreadable
-            # Later pages may show later states; a watch from the first page's revision
-            # repeats what happened since, and loses nothing.
+            # Later pages may show later states. A watch from the lowest revision may repeat
+            # changes but misses none.
             revision = page.revision if revision is None else min(revision, page.revision)
             if not page.more or page.last_name in ("", after):
                 self._tell_unread(kind, unreadable)
@@ -108,7 +108,7 @@
     def get(
         self, kind: ObjectKind, name: str, *, allow_stale: bool = False
     ) -> StoredObject | ObjectMissing | StoreFailure:
-        """Return one object; with ``may_be_old`` as it was some seconds ago, at a lower price."""
+        """Return one object; with ``allow_stale`` possibly some seconds old, at less cost."""
         answer = self._read(_path(kind, name, query=OLD_READ if allow_stale else None))
         if isinstance(answer, StoreRefused | StoreUnanswered):
             return answer
@@ -132,12 +132,12 @@
             return HistoryGone()
         page = read_watch_page(answer.body)
         if isinstance(page, NotAPage):
-            return StoreUnanswered(f"the store's events were not understood: {page.reason}")
+            return StoreUnanswered(f"the store's events cannot be decoded: {page.reason}")
         self._tell_unread(kind, page.unreadable)
         return Changes(page.changes, page.revision, page.unreadable)
 
     def create(self, kind: ObjectKind, name: str, spec: Any) -> WriteResult:
-        """Make an object; a conflict if it exists."""
+        """Create an object; return a conflict if it exists."""
         return self._write("POST", _path(kind), {"metadata": {"name": name}, "spec": spec})
 
     def replace(self, kind: ObjectKind, name: str, spec: Any, revision: int) -> WriteResult:
@@ -161,7 +161,7 @@
         self._connections.close()
 
     def _tell_unread(self, kind: ObjectKind, unreadable: Iterable[UnreadableObject]) -> None:
-        """Write a line for each object left out, unless it was left out the last time as well."""
+        """Log each skipped object, unless the previous read of this kind skipped it as well."""
         found = frozenset(unreadable)
         for one in found - self._told_unread.get(kind, frozenset()):
             self.unreadable += 1
@@ -192,7 +192,7 @@
     def _call(
         self, request: ReplicaRequest, timeout_s: float, *, new_connection: bool = False
     ) -> tuple[_Answer | StoreRefused | StoreUnanswered, bool]:
-        """Make one call; the second value tells whether it went out on a kept connection."""
+        """Make one call; the second value is true if it used an existing connection."""
         self.calls += 1
         deadline = boot_clock.now() + timeout_s
         exchange = self._connections.send(
@@ -235,4 +235,4 @@
 
 
 def _written_or_failure(written: StoredObject | None) -> StoredObject | StoreUnanswered:
-    return written or StoreUnanswered("the store's answer to a write was not understood")
+    return written or StoreUnanswered("the store's answer to a write cannot be decoded")
--- a/src/quaymill/platform/replica_calls.py
+++ b/src/quaymill/platform/replica_calls.py
@@ -1,4 +1,4 @@
-"""Requests to replicas and the heads of their answers, in the platform's form."""
+"""Encodes requests to replicas and decodes their answer heads in the platform's format."""
 
 from __future__ import annotations
 
@@ -31,9 +31,9 @@
     for name in (names.DEADLINE_MS, names.EXPECT_INSTANCE, names.LAST_EVENT_ID, "Content-Length")
 )
 IDENTITY_HEADERS = frozenset({names.AUTHORIZATION.lower(), names.TENANT.lower()})
-"""Where there are tenants, a key is kept from replicas, and who sends is told by us alone."""
+"""Removed if tenants are configured: replicas get no keys and only the gateway's tenant name."""
 LIBRARY_HEADERS = ("User-Agent", "Accept-Encoding")
-"""The HTTP library would add these of its own accord."""
+"""Headers that the HTTP library adds by default."""
 MISDIRECTED_STATUS = 421
 DEFAULT_KEEP_S = 4.0
 KEEP_MARGIN_S = 1.0
@@ -53,7 +53,7 @@
     remaining_s: float,
     last_event_id: str | None = None,
 ) -> ReplicaRequest:
-    """Return the request as one replica gets it."""
+    """Build the request that is sent to a replica."""
     headers = HTTPHeaderDict()
     dropped = CONNECTION_HEADERS | OWN_HEADERS | _named_by_connection(request.headers)
     if request.tenant is not None:
@@ -76,7 +76,7 @@
 
 
 def read_answer_head(exchange: Exchange) -> AnswerHead:
-    """Return the head of the answer in ``exchange``, whose head has been read."""
+    """Return the answer's head from ``exchange``, which must have read it already."""
     headers = exchange.headers
     dropped = CONNECTION_HEADERS | {"content-length"} | _named_by_connection(headers.items())
     length = headers.get("Content-Length")
@@ -102,7 +102,7 @@
 
 
 def read_report(body: bytes) -> EngineReport | None:
-    """Return an engine's report; ``None`` if it is not understood."""
+    """Decode an engine's report; return ``None`` if it is invalid."""
     try:
         report = msgspec.json.decode(body, type=_Report)
     except msgspec.MsgspecError:
@@ -113,7 +113,7 @@
 
 
 def read_load(text: str) -> ReportedLoad | None:
-    """Return what a replica tells of its load; ``None`` if its counts are not understood."""
+    """Parse the load that a replica reports; return ``None`` if its counts are invalid."""
     parts = text.split(",")
     try:
         running, waiting, slots = (int(part) for part in parts[:3])
@@ -123,7 +123,7 @@
 
 
 def _named_by_connection(headers) -> frozenset[str]:
-    """Return the headers that a ``Connection`` header says concern one connection only."""
+    """Return the names of the hop-by-hop headers that ``Connection`` headers list."""
     named = [value for name, value in headers if name.lower() == "connection"]
     return frozenset(token.strip().lower() for value in named for token in value.split(","))
 
--- a/src/quaymill/platform/roles.py
+++ b/src/quaymill/platform/roles.py
@@ -1,7 +1,6 @@
-"""Runs a role on the platform from its settings until it is told to stop.
+"""Runs a role on the platform from its settings file until the process is stopped.
 
-A role loads only its own modules: a storage node starts with 0.59 s of processor time instead of
-the 0.78 s that those of both roles take (medians of five starts beside other work).
+A role imports only its own modules, which makes its start faster.
 """
 
 from __future__ import annotations
@@ -23,17 +22,17 @@
 
 
 class Node(Protocol):
-    """The parts of a process."""
+    """The components of a process."""
 
     def start(self) -> None:
-        """Start them; each finds those it uses already running."""
+        """Start the components, each after those that it uses."""
 
     def stop(self) -> None:
-        """Leave in order."""
+        """Stop the components in order."""
 
 
 BuildNode = Callable[[ServingSettings, ProcessContext], Node]
-"""Builds the parts."""
+"""Builds a node from settings and process context."""
 
 
 def _load_gateway() -> BuildNode:
@@ -55,7 +54,7 @@
 
 
 def run_role(name: str, path: Path, listener: socket.socket | None) -> int:
-    """Run a role by its settings file until it is told to stop; return the exit code."""
+    """Run a role with a settings file until a stop signal arrives; return the exit code."""
     role = ServingRole(name)
     settings = load_serving_settings(path, role)
     if isinstance(settings, SettingsError):
@@ -73,7 +72,7 @@
 
 
 def _check_again(path: Path, role: ServingRole) -> None:
-    """Read the settings again; what they change takes a restart, and that is said."""
+    """Validate the settings file again and log the result; changes apply only after a restart."""
     settings = load_serving_settings(path, role)
     problem = str(settings) if isinstance(settings, SettingsError) else ""
     log_message("node:settings_read_again", problem=problem)
--- a/src/quaymill/platform/storage_role.py
+++ b/src/quaymill/platform/storage_role.py
@@ -1,4 +1,4 @@
-"""A storage node on the platform: its parts, with what speaks the platform's language."""
+"""Builds a storage node that uses the platform's protocols."""
 
 from __future__ import annotations
 
@@ -14,6 +14,6 @@
 
 
 def build_storage_node(settings: ServingSettings, context: ProcessContext) -> StorageNode:
-    """Return a storage node's parts, not started yet; it serves no metrics and no callers."""
+    """Build a storage node without starting it; it serves no metrics and no callers."""
     del context
     return StorageNode(settings, PlatformObjectStore(settings.store_endpoint), STORAGE_PROTOCOL)
--- a/src/quaymill/platform/store_pages.py
+++ b/src/quaymill/platform/store_pages.py
@@ -1,12 +1,12 @@
-"""Reads pages of the platform's store entry by entry, so that no entry can spoil the others.
+"""Decodes pages of the platform's store entry by entry, so that one bad entry affects no other.
 
-An object may have been written by anybody: with fields missing or of another type, nested
-without an end, or not even in readable bytes. Such an entry is left out and named; it is never
-taken for what it is not. A page that ends too early is no page, since what follows is not known.
+Any client can write objects, so an entry may lack fields, have fields of another type, be nested
+too deeply or contain invalid bytes. Such an entry is skipped and reported as unreadable. A
+truncated page is rejected as a whole, since its remaining entries are unknown.
 
-A page is cut into entries by the library where it is JSON as a whole. Else it is cut at the
-brackets outside of strings; and where these do not match, at the beginnings of objects as the
-store writes them.
+A page that is valid JSON is split into entries by the JSON library. Any other page is split at
+the brackets outside of strings or, where these do not match, at the text with which the store
+begins an object.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 from quaymill.connection.object_store import ObjectChange, StoredObject, UnreadableObject
 
 _TOKEN = re.compile(rb'"(?:[^"\\]|\\.)*"|[{}\[\]]', re.DOTALL)
-"""A string, or a bracket: what decides where an entry ends."""
+"""A string or a bracket: the tokens that determine where an entry ends."""
 _ENTRY_START = re.compile(rb'\{\s*"(?:metadata|object|gone)"\s*:')
-"""How the store begins an object, or an event of a watch."""
+"""The text with which the store begins an object or a watch event."""
 _PAGE_END = re.compile(rb'\]\s*(?:,\s*"(?:more|at)"\s*:\s*[a-z0-9]+\s*)*\}\s*$')
-"""How the store ends a page."""
+"""The text with which the store ends a page."""
 _AFTER_ENTRY = re.compile(rb"\s*[,\]]")
 _SEPARATORS = b", \t\r\n"
 _NAME = re.compile(rb'"name"\s*:\s*"([^"\\]{1,200})"')
@@ -79,7 +79,7 @@
 
 @attrs.frozen
 class WatchPage:
-    """What a watch brought."""
+    """The changes that one watch call returned."""
 
     changes: tuple[ObjectChange, ...]
     unreadable: tuple[UnreadableObject, ...]
@@ -88,14 +88,14 @@
 
 @attrs.frozen
 class NotAPage:
-    """The bytes are no page of the store, or not a whole one."""
+    """The bytes are not a complete page of the store."""
 
     reason: str
 
 
 @attrs.frozen
 class _Cut:
-    """A page in pieces."""
+    """A page split into the bytes of its entries."""
 
     entries: tuple[bytes, ...]
     more: bool
@@ -103,7 +103,7 @@
 
 
 def read_list_page(body: bytes) -> ListPage | NotAPage:
-    """Read one page of a list; of two entries of one name the later revision counts."""
+    """Decode one page of a list; of entries with the same name the latest revision is kept."""
     cut = _cut(body, _ListPage, b'"items"')
     if isinstance(cut, NotAPage):
         return cut
@@ -121,7 +121,7 @@
 
 
 def read_watch_page(body: bytes) -> WatchPage | NotAPage:
-    """Read the answer to a watch."""
+    """Decode the answer to a watch."""
     cut = _cut(body, _WatchPage, b'"events"')
     if isinstance(cut, NotAPage):
         return cut
@@ -137,7 +137,7 @@
 
 
 def read_object(entry: bytes) -> StoredObject | UnreadableObject:
-    """Read one object."""
+    """Decode one object."""
     found = _decode(entry, _Object)
     if isinstance(found, _Object) and found.metadata.name:
         return _stored(found)
@@ -145,7 +145,7 @@
 
 
 def _decode(entry: bytes, form: type) -> Any | str:
-    """Return an entry decoded, or why it cannot be."""
+    """Return the decoded entry, or the error message if it is invalid."""
     try:
         return msgspec.json.decode(entry, type=form)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
@@ -164,7 +164,7 @@
 
 
 def _cut(body: bytes, form: type, key: bytes) -> _Cut | NotAPage:
-    """Cut a page into the bytes of its entries."""
+    """Split a page into the bytes of its entries."""
     try:
         page = msgspec.json.decode(body, type=form)
     except (msgspec.MsgspecError, RecursionError) as error:
@@ -175,7 +175,7 @@
 
 
 def _cut_by_brackets(body: bytes, key: bytes, reason: str) -> _Cut | NotAPage:
-    """Cut a page that is no JSON as a whole, since an entry is none."""
+    """Split a page that is not valid JSON because of one or more invalid entries."""
     begin = _array_start(body, key)
     if begin is None:
         return NotAPage(reason)
@@ -184,7 +184,7 @@
     while (start := _next_entry(body, at)) is not None:
         end = _matching_end(body, start)
         if end is None or not _AFTER_ENTRY.match(body, end):
-            # Its brackets do not match: it goes up to where the store goes on.
+            # The brackets do not match: the entry ends where the next one or the page end begins.
             following = _ENTRY_START.search(body, start + 1) or _PAGE_END.search(body, start)
             if following is None:
                 return NotAPage(f"the page ends within an entry: {reason}")
@@ -199,7 +199,7 @@
 
 
 def _array_start(body: bytes, key: bytes) -> int | None:
-    """Return where the entries of the page's array begin."""
+    """Return the offset of the first entry in the array under ``key``; ``None`` if missing."""
     depth = 0
     key_seen = False
     for token in _TOKEN.finditer(body):
@@ -216,7 +216,7 @@
 
 
 def _next_entry(body: bytes, at: int) -> int | None:
-    """Return where the next entry of the array begins; ``None`` at the array's end."""
+    """Return the offset of the array's next entry; ``None`` at the end of the array."""
     for token in _TOKEN.finditer(body, at):
         if token.group() in (b"{", b"["):
             return token.start()
@@ -226,7 +226,7 @@
 
 
 def _matching_end(body: bytes, start: int) -> int | None:
-    """Return the end of the entry that begins at ``start``; ``None`` if it has none."""
+    """Return the end of the entry that begins at ``start``; ``None`` if brackets do not match."""
     open_brackets = bytearray()
     closing = {ord("{"): ord("}"), ord("["): ord("]")}
     for token in _TOKEN.finditer(body, start):
