--- a/src/quaymill/platform/caller_calls.py
+++ b/src/quaymill/platform/caller_calls.py
@@ -131,11 +131,11 @@
     )
 
 
-def write_results(total: int, results: tuple[JobResult, ...], following: int) -> bytes:
+def write_results(total: int, results: tuple[JobResult, ...], next_position: int) -> bytes:
     """Encode a page of results as JSON."""
     page = _Page(
         total=total,
-        next_token=following,
+        next_token=next_position,
         results=[
             _Result(result.item_id, RESULT_STATES[result.state], result.text) for result in results
         ],
@@ -145,12 +145,12 @@
 
 def item_headers(item: JobItem, host: str) -> tuple[tuple[str, str], ...]:
     """Return the headers with which an item is sent to a replica."""
-    own = tuple(
+    other_headers = tuple(
         (name, value)
         for name, value in item.headers.items()
         if name.lower() not in ("host", names.REQUEST_ID.lower())
     )
-    return (("Host", host), (names.REQUEST_ID, item.id), *own)
+    return (("Host", host), (names.REQUEST_ID, item.id), *other_headers)
 
 
 def _read_results(request: FrontRequest, job_id: str) -> JobCall | Malformed:
--- a/src/quaymill/platform/configuration.py
+++ b/src/quaymill/platform/configuration.py
@@ -27,7 +27,7 @@
 """Upper bound of a plausible remaining warm-up time; a longer one is rejected as unreadable."""
 
 
-class _Part(msgspec.Struct):
+class _ServiceShare(msgspec.Struct):
     service: str
     weight: float
 
@@ -41,7 +41,7 @@
     slo_ms: float = 0.0
     priority: int = 0
     service: str = ""
-    split: list[_Part] = []
+    split: list[_ServiceShare] = []
     max_attempts: int = 1
     sticky: bool = False
     resumable: bool = False
--- a/src/quaymill/platform/object_store.py
+++ b/src/quaymill/platform/object_store.py
@@ -32,7 +32,7 @@
 from quaymill.connection.replica_connection import Exchange, ReplicaConnections, ReplicaRequest
 from quaymill.platform.names import KIND_NAMES, OBJECTS_PATH
 from quaymill.platform.store_pages import (
-    NotAPage,
+    MalformedPage,
     read_list_page,
     read_object,
     read_watch_page,
@@ -56,12 +56,12 @@
 )
 """TCP keepalive detects a silently broken connection before a long watch times out."""
 
-OLD_READ = {"stale": 1}
+STALE_READ_QUERY = {"stale": 1}
 """Query of a read that may return an older state, which costs a tenth of a current read."""
 JSON_HEADERS = {"Content-Type": "application/json"}
 
 
-AWAY_STATUSES = frozenset({429, 503})
+RETRYABLE_STATUSES = frozenset({429, 503})
 """The store has not executed the call; it may be repeated later."""
 
 
@@ -79,7 +79,7 @@
         self.calls = 0
         self.unreadable = 0
         """Number of skipped objects; one that is skipped repeatedly in a row counts once."""
-        self._told_unread: dict[ObjectKind, frozenset[UnreadableObject]] = {}
+        self._logged_unreadable: dict[ObjectKind, frozenset[UnreadableObject]] = {}
 
     def list(self, kind: ObjectKind) -> Listing | StoreFailure:
         """Return all objects of a kind, page after page."""
@@ -93,7 +93,7 @@
             if isinstance(answer, StoreRefused | StoreUnanswered):
                 return answer
             page = read_list_page(answer.body)
-            if isinstance(page, NotAPage):
+            if isinstance(page, MalformedPage):
                 return StoreUnanswered(f"the store's list cannot be decoded: {page.reason}")
             objects += page.objects
             unreadable += page.unreadable
@@ -101,7 +101,7 @@
             # changes but misses none.
             revision = page.revision if revision is None else min(revision, page.revision)
             if not page.more or page.last_name in ("", after):
-                self._tell_unread(kind, unreadable)
+                self._log_unreadable(kind, unreadable)
                 return Listing(tuple(objects), revision, tuple(unreadable))
             after = page.last_name
 
@@ -109,7 +109,7 @@
         self, kind: ObjectKind, name: str, *, allow_stale: bool = False
     ) -> StoredObject | ObjectMissing | StoreFailure:
         """Return one object; with ``allow_stale`` possibly some seconds old, at less cost."""
-        answer = self._read(_path(kind, name, query=OLD_READ if allow_stale else None))
+        answer = self._read(_path(kind, name, query=STALE_READ_QUERY if allow_stale else None))
         if isinstance(answer, StoreRefused | StoreUnanswered):
             return answer
         if answer.status == 404:
@@ -117,7 +117,7 @@
         found = read_object(answer.body)
         if isinstance(found, StoredObject):
             return found
-        self._tell_unread(kind, [attrs.evolve(found, name=name)])
+        self._log_unreadable(kind, [attrs.evolve(found, name=name)])
         return ObjectUnreadable(f"{name} cannot be read: {found.reason}")
 
     def watch(
@@ -131,9 +131,9 @@
         if answer.status == 410:
             return HistoryGone()
         page = read_watch_page(answer.body)
-        if isinstance(page, NotAPage):
+        if isinstance(page, MalformedPage):
             return StoreUnanswered(f"the store's events cannot be decoded: {page.reason}")
-        self._tell_unread(kind, page.unreadable)
+        self._log_unreadable(kind, page.unreadable)
         return Changes(page.changes, page.revision, page.unreadable)
 
     def create(self, kind: ObjectKind, name: str, spec: Any) -> WriteResult:
@@ -160,13 +160,13 @@
         """Close idle connections."""
         self._connections.close()
 
-    def _tell_unread(self, kind: ObjectKind, unreadable: Iterable[UnreadableObject]) -> None:
+    def _log_unreadable(self, kind: ObjectKind, unreadable: Iterable[UnreadableObject]) -> None:
         """Log each skipped object, unless the previous read of this kind skipped it as well."""
         found = frozenset(unreadable)
-        for one in found - self._told_unread.get(kind, frozenset()):
+        for entry in found - self._logged_unreadable.get(kind, frozenset()):
             self.unreadable += 1
-            log_message("store:unread", object_kind=kind.name, name=one.name, reason=one.reason)
-        self._told_unread[kind] = found
+            log_message("store:unread", object_kind=kind.name, name=entry.name, reason=entry.reason)
+        self._logged_unreadable[kind] = found
 
     def _read(
         self, path: str, timeout_s: float = CALL_TIMEOUT_S
@@ -217,7 +217,7 @@
     if status in (200, 201, 404, 409, 410):
         return _Answer(status, body)
     reason = f"the store answered {status}: {body[:200].decode(errors='replace')}"
-    if status in AWAY_STATUSES:
+    if status in RETRYABLE_STATUSES:
         return StoreRefused(reason)
     return CallRejected(reason) if status < 500 else StoreUnanswered(reason)
 
--- a/src/quaymill/platform/replica_calls.py
+++ b/src/quaymill/platform/replica_calls.py
@@ -13,7 +13,7 @@
 from quaymill.platform import names
 from quaymill.request.forwarded_request import ForwardedRequest
 
-CONNECTION_HEADERS = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "keep-alive",
@@ -26,7 +26,7 @@
         "upgrade",
     }
 )
-OWN_HEADERS = frozenset(
+GATEWAY_HEADERS = frozenset(
     name.lower()
     for name in (names.DEADLINE_MS, names.EXPECT_INSTANCE, names.LAST_EVENT_ID, "Content-Length")
 )
@@ -35,8 +35,8 @@
 LIBRARY_HEADERS = ("User-Agent", "Accept-Encoding")
 """Headers that the HTTP library adds by default."""
 MISDIRECTED_STATUS = 421
-DEFAULT_KEEP_S = 4.0
-KEEP_MARGIN_S = 1.0
+DEFAULT_KEEP_ALIVE_S = 4.0
+KEEP_ALIVE_MARGIN_S = 1.0
 
 
 class _Report(msgspec.Struct):
@@ -55,7 +55,7 @@
 ) -> ReplicaRequest:
     """Build the request that is sent to a replica."""
     headers = HTTPHeaderDict()
-    dropped = CONNECTION_HEADERS | OWN_HEADERS | _named_by_connection(request.headers)
+    dropped = HOP_BY_HOP_HEADERS | GATEWAY_HEADERS | _hop_by_hop_headers(request.headers)
     if request.tenant is not None:
         dropped |= IDENTITY_HEADERS
     for name, value in request.headers:
@@ -78,7 +78,7 @@
 def read_answer_head(exchange: Exchange) -> AnswerHead:
     """Return the answer's head from ``exchange``, which must have read it already."""
     headers = exchange.headers
-    dropped = CONNECTION_HEADERS | {"content-length"} | _named_by_connection(headers.items())
+    dropped = HOP_BY_HOP_HEADERS | {"content-length"} | _hop_by_hop_headers(headers.items())
     length = headers.get("Content-Length")
     status = exchange.status
     return AnswerHead(
@@ -122,7 +122,7 @@
     return ReportedLoad(running, waiting, slots, read_slowness("".join(parts[3:4])))
 
 
-def _named_by_connection(headers) -> frozenset[str]:
+def _hop_by_hop_headers(headers) -> frozenset[str]:
     """Return the names of the hop-by-hop headers that ``Connection`` headers list."""
     named = [value for name, value in headers if name.lower() == "connection"]
     return frozenset(token.strip().lower() for value in named for token in value.split(","))
@@ -134,5 +134,5 @@
     for parameter in headers.get("Keep-Alive", "").split(","):
         name, _, value = parameter.strip().partition("=")
         if name.lower() == "timeout" and value.isdigit():
-            return max(0.0, int(value) - KEEP_MARGIN_S)
-    return DEFAULT_KEEP_S
+            return max(0.0, int(value) - KEEP_ALIVE_MARGIN_S)
+    return DEFAULT_KEEP_ALIVE_S
--- a/src/quaymill/platform/roles.py
+++ b/src/quaymill/platform/roles.py
@@ -62,7 +62,7 @@
         return 1
     logs = start_logs(settings.name, stream=sys.stdout.buffer, budget=LineBudget())
     stop_signal = StopSignal()
-    signal.signal(signal.SIGHUP, lambda number, frame: _check_again(path, role))
+    signal.signal(signal.SIGHUP, lambda number, frame: _revalidate_settings(path, role))
     node = LOADERS[role]()(settings, ProcessContext(lambda: logs.dropped, listener))
     node.start()
     stop_signal.wait()
@@ -71,7 +71,7 @@
     return 0
 
 
-def _check_again(path: Path, role: ServingRole) -> None:
+def _revalidate_settings(path: Path, role: ServingRole) -> None:
     """Validate the settings file again and log the result; changes apply only after a restart."""
     settings = load_serving_settings(path, role)
     problem = str(settings) if isinstance(settings, SettingsError) else ""
--- a/src/quaymill/platform/store_pages.py
+++ b/src/quaymill/platform/store_pages.py
@@ -87,14 +87,14 @@
 
 
 @attrs.frozen
-class NotAPage:
+class MalformedPage:
     """The bytes are not a complete page of the store."""
 
     reason: str
 
 
 @attrs.frozen
-class _Cut:
+class _SplitPage:
     """A page split into the bytes of its entries."""
 
     entries: tuple[bytes, ...]
@@ -102,38 +102,38 @@
     revision: int
 
 
-def read_list_page(body: bytes) -> ListPage | NotAPage:
+def read_list_page(body: bytes) -> ListPage | MalformedPage:
     """Decode one page of a list; of entries with the same name the latest revision is kept."""
-    cut = _cut(body, _ListPage, b'"items"')
-    if isinstance(cut, NotAPage):
-        return cut
+    page = _split_page(body, _ListPage, b'"items"')
+    if isinstance(page, MalformedPage):
+        return page
     by_name: dict[str, StoredObject] = {}
     unreadable = []
     last_name = ""
-    for entry in cut.entries:
+    for entry in page.entries:
         found = read_object(entry)
         last_name = found.name or last_name
         if isinstance(found, UnreadableObject):
             unreadable.append(found)
         elif found.name not in by_name or by_name[found.name].revision <= found.revision:
             by_name[found.name] = found
-    return ListPage(tuple(by_name.values()), tuple(unreadable), cut.more, cut.revision, last_name)
+    return ListPage(tuple(by_name.values()), tuple(unreadable), page.more, page.revision, last_name)
 
 
-def read_watch_page(body: bytes) -> WatchPage | NotAPage:
+def read_watch_page(body: bytes) -> WatchPage | MalformedPage:
     """Decode the answer to a watch."""
-    cut = _cut(body, _WatchPage, b'"events"')
-    if isinstance(cut, NotAPage):
-        return cut
+    page = _split_page(body, _WatchPage, b'"events"')
+    if isinstance(page, MalformedPage):
+        return page
     changes = []
     unreadable = []
-    for entry in cut.entries:
+    for entry in page.entries:
         event = _decode(entry, _Event)
         if isinstance(event, _Event) and event.object.metadata.name:
             changes.append(ObjectChange(_stored(event.object), event.gone))
         else:
-            unreadable.append(_unread(entry, event))
-    return WatchPage(tuple(changes), tuple(unreadable), cut.revision)
+            unreadable.append(_unreadable_entry(entry, event))
+    return WatchPage(tuple(changes), tuple(unreadable), page.revision)
 
 
 def read_object(entry: bytes) -> StoredObject | UnreadableObject:
@@ -141,13 +141,13 @@
     found = _decode(entry, _Object)
     if isinstance(found, _Object) and found.metadata.name:
         return _stored(found)
-    return _unread(entry, found)
+    return _unreadable_entry(entry, found)
 
 
-def _decode(entry: bytes, form: type) -> Any | str:
+def _decode(entry: bytes, target_type: type) -> Any | str:
     """Return the decoded entry, or the error message if it is invalid."""
     try:
-        return msgspec.json.decode(entry, type=form)
+        return msgspec.json.decode(entry, type=target_type)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
         return str(error)
 
@@ -157,28 +157,28 @@
     return StoredObject(metadata.name, metadata.revision, item.spec, item.status, metadata.deleting)
 
 
-def _unread(entry: bytes, found: object) -> UnreadableObject:
+def _unreadable_entry(entry: bytes, found: object) -> UnreadableObject:
     name = _NAME.search(entry)
     reason = found if isinstance(found, str) else "it has no name"
     return UnreadableObject(name.group(1).decode(errors="replace") if name else "", reason)
 
 
-def _cut(body: bytes, form: type, key: bytes) -> _Cut | NotAPage:
+def _split_page(body: bytes, target_type: type, key: bytes) -> _SplitPage | MalformedPage:
     """Split a page into the bytes of its entries."""
     try:
-        page = msgspec.json.decode(body, type=form)
+        page = msgspec.json.decode(body, type=target_type)
     except (msgspec.MsgspecError, RecursionError) as error:
-        return _cut_by_brackets(body, key, str(error))
-    entries = page.items if form is _ListPage else page.events
-    more = form is _ListPage and page.more
-    return _Cut(tuple(bytes(entry) for entry in entries), more, page.at)
+        return _split_by_brackets(body, key, str(error))
+    entries = page.items if target_type is _ListPage else page.events
+    more = target_type is _ListPage and page.more
+    return _SplitPage(tuple(bytes(entry) for entry in entries), more, page.at)
 
 
-def _cut_by_brackets(body: bytes, key: bytes, reason: str) -> _Cut | NotAPage:
+def _split_by_brackets(body: bytes, key: bytes, reason: str) -> _SplitPage | MalformedPage:
     """Split a page that is not valid JSON because of one or more invalid entries."""
     begin = _array_start(body, key)
     if begin is None:
-        return NotAPage(reason)
+        return MalformedPage(reason)
     entries = []
     at = begin
     while (start := _next_entry(body, at)) is not None:
@@ -187,15 +187,15 @@
             # The brackets do not match: the entry ends where the next one or the page end begins.
             following = _ENTRY_START.search(body, start + 1) or _PAGE_END.search(body, start)
             if following is None:
-                return NotAPage(f"the page ends within an entry: {reason}")
+                return MalformedPage(f"the page ends within an entry: {reason}")
             end = following.start()
         entries.append(body[start:end].strip(_SEPARATORS))
         at = end
     revision = _NUMBER_AT.search(body, at) or _NUMBER_AT.search(body, 0, begin)
     if revision is None or not body.rstrip().endswith(b"}"):
-        return NotAPage(f"the page has no end: {reason}")
+        return MalformedPage(f"the page has no end: {reason}")
     more = bool(_MORE.search(body, at) or _MORE.search(body, 0, begin))
-    return _Cut(tuple(entries), more, int(revision.group(1)))
+    return _SplitPage(tuple(entries), more, int(revision.group(1)))
 
 
 def _array_start(body: bytes, key: bytes) -> int | None:
--- a/tests/test_store_pages.py
+++ b/tests/test_store_pages.py
@@ -18,7 +18,7 @@
 from quaymill.platform.configuration import decode_configuration, decode_replica
 from quaymill.platform.store_pages import (
     ListPage,
-    NotAPage,
+    MalformedPage,
     WatchPage,
     read_list_page,
     read_object,
@@ -159,7 +159,7 @@
     @params(1, 40, 200)
     def test_a_page_cut_short_is_no_page(self, missing: int) -> None:
         page = list_of(item("first"), item("last"))
-        self.assertIsInstance(read_list_page(page[:-missing]), NotAPage)
+        self.assertIsInstance(read_list_page(page[:-missing]), MalformedPage)
 
     def test_of_two_of_one_name_the_later_counts(self) -> None:
         page = read_list_page(list_of(item("x", revision=8), item("x", {}, revision=7)))
@@ -270,8 +270,8 @@
     def test_reading_never_raises(self, entries: list[bytes]) -> None:
         page = read_list_page(list_of(item("first"), *entries, item("last")))
         watched = read_watch_page(events_of(item("first"), *entries, item("last")))
-        self.assertIsInstance(page, ListPage | NotAPage)
-        self.assertIsInstance(watched, WatchPage | NotAPage)
+        self.assertIsInstance(page, ListPage | MalformedPage)
+        self.assertIsInstance(watched, WatchPage | MalformedPage)
         for found in getattr(page, "objects", ()):
             decode_replica(found)
             decode_configuration(found.spec)
