--- a/tests/test_platform_names.py
+++ b/tests/test_platform_names.py
@@ -1,4 +1,4 @@
-"""The platform's names stand in one folder only, and that folder decides nothing."""
+"""Checks that the platform's names occur in one folder only, and that it contains no decisions."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 )
 MAX_ADAPTER_LINES = 1200
 TIMING_MODULES = {"threading", "random", "select", "queue", "sched", "asyncio"}
-"""What decisions need: waiting, choosing and doing several things at once."""
+"""Modules for waiting, random choice and concurrency, which only decisions need."""
 
 
 def adapter_files() -> list[Path]:
@@ -48,7 +48,7 @@
 
 
 class PlatformNamesTest(unittest.TestCase):
-    """Where the names stand."""
+    """No other folder uses the platform's names or imports the adapter."""
 
     def test_no_other_folder_knows_the_platforms_names(self) -> None:
         found = [
@@ -70,7 +70,7 @@
 
 
 class SmallFolderTest(unittest.TestCase):
-    """The adapter translates and stays small."""
+    """The adapter only translates and stays small."""
 
     def test_it_stays_small(self) -> None:
         lines = sum(len(path.read_text().splitlines()) for path in adapter_files())
@@ -88,7 +88,7 @@
 
 
 class RoleModulesTest(unittest.TestCase):
-    """A role loads its own modules only: a start takes processor time that callers wait for."""
+    """A role imports its own modules only, which keeps its start fast."""
 
     def test_a_storage_node_loads_nothing_of_a_gateway(self) -> None:
         program = (
--- a/tests/test_reported_loads.py
+++ b/tests/test_reported_loads.py
@@ -1,4 +1,4 @@
-"""What a replica tells of its load with an answer, in the platform's form."""
+"""Parsing of the load header with which a replica reports its load."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ReportedLoadTest(unittest.TestCase):
-    """Three figures or four."""
+    """The header has three numbers and an optional fourth, the slowness in percent."""
 
     @params(
         ("3,1,8", ReportedLoad(3, 1, 8)),
--- a/tests/test_request_routes.py
+++ b/tests/test_request_routes.py
@@ -1,4 +1,4 @@
-"""Lookup of routes: the longest prefix of the host wins."""
+"""Route lookup: the longest matching path prefix of the host is found."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class FindTest(unittest.TestCase):
-    """One row for each path."""
+    """Lookups by host and path."""
 
     @params(
         ("h", "/a/x", "h/a/"),
--- a/tests/test_store_pages.py
+++ b/tests/test_store_pages.py
@@ -1,7 +1,6 @@
-"""Entries that another writer has left in the store: each is left out alone, the others hold.
+"""Guards against an invalid entry in the store that makes valid entries unreadable.
 
-Each form stands in a list, in an object that is read and in an event of a watch, between two sound
-entries.
+Each invalid entry is read alone, and in a list and a watch between two valid entries.
 """
 
 from __future__ import annotations
@@ -48,17 +47,17 @@
 
 
 def spec_bytes(text: bytes) -> bytes:
-    """Return an object whose ``spec`` is some bytes."""
+    """Return an object whose ``spec`` is the given bytes."""
     return b'{"metadata":{"name":"bad","revision":7},"spec":' + text + b"}"
 
 
 def changed(**fields: object) -> bytes:
-    """Return an object of a replica with some fields replaced."""
+    """Return a replica's object with some fields replaced."""
     return item("bad", SOUND | fields)
 
 
 def without(field: str) -> bytes:
-    """Return an object of a replica with a field missing."""
+    """Return a replica's object without one field."""
     return item("bad", {key: value for key, value in SOUND.items() if key != field})
 
 
@@ -85,7 +84,7 @@
     "a text": b'"bad"',
     "a list": b"[1,2]",
 }
-"""Entries that are no objects of the store."""
+"""Entries that are not valid objects of the store."""
 FOREIGN_REPLICAS = {
     "the spec is null": item("bad", [None]),
     "the spec is a text": item("bad", "engine"),
@@ -110,7 +109,7 @@
     "the start is a text": changed(born="today"),
     "the start is a fraction": changed(born=1.5),
 }
-"""Objects that name no replica to use."""
+"""Valid objects whose ``spec`` is not a valid replica entry."""
 
 
 def list_of(*entries: bytes) -> bytes:
@@ -125,7 +124,7 @@
 
 
 class UnreadableTest(unittest.TestCase):
-    """An entry that is no object."""
+    """Entries that are not valid objects are skipped and reported."""
 
     @params(*UNREADABLE)
     def test_in_a_list(self, form: str) -> None:
@@ -167,7 +166,7 @@
 
 
 class ForeignReplicaTest(unittest.TestCase):
-    """An object under the replicas' kind that is no replica's word."""
+    """Objects of the replicas' kind that are not valid replica entries."""
 
     @params(*FOREIGN_REPLICAS)
     def test_it_names_no_replica(self, form: str) -> None:
@@ -187,7 +186,7 @@
 
 
 class StartTest(unittest.TestCase):
-    """A replica that starts again under its id."""
+    """A replica that restarts with the same id."""
 
     def setUp(self) -> None:
         self.departed = []
@@ -198,7 +197,7 @@
 
     @params((1000, 2000), (2000, 1000), (0, 1000), (1000, 9_999_999_999_999))
     def test_nothing_of_before_counts(self, before: int, after: int) -> None:
-        """Also where its clock was set back: the store tells which word is the later one."""
+        """The store's revision decides which entry is newer, also if the clock was set back."""
         self.list(1, born=before)
         former = self.table.get("x")
         former.record_failure(9.0)
@@ -226,7 +225,7 @@
 
 
 class ConfigurationTest(unittest.TestCase):
-    """A configuration that cannot be read is none."""
+    """An invalid configuration is rejected as a whole."""
 
     @params(None, 7, "text", [], {}, {"version": "x"}, {"version": 1, "routes": 3})
     def test_it_is_not_taken(self, document: object) -> None:
@@ -262,7 +261,7 @@
 
 
 class FuzzTest(unittest.TestCase):
-    """Whole pages with anything at all between sound entries: nothing raises."""
+    """Pages with arbitrary entries between valid ones."""
 
     @seed(20261203)
     @settings(max_examples=400, deadline=None, database=None)
