--- a/tests/test_platform_names.py
+++ b/tests/test_platform_names.py
@@ -39,7 +39,7 @@
     "cold_left_ms",
 )
 MAX_ADAPTER_LINES = 1200
-TIMING_MODULES = {"threading", "random", "select", "queue", "sched", "asyncio"}
+FORBIDDEN_MODULES = {"threading", "random", "select", "queue", "sched", "asyncio"}
 """Modules for waiting, random choice and concurrency, which only decisions need."""
 
 
@@ -50,7 +50,7 @@
 class PlatformNamesTest(unittest.TestCase):
     """No other folder uses the platform's names or imports the adapter."""
 
-    def test_no_other_folder_knows_the_platforms_names(self) -> None:
+    def test_no_other_folder_contains_the_platforms_names(self) -> None:
         found = [
             f"{path.relative_to(SOURCES)}: {name}"
             for path in sorted(SOURCES.rglob("*.py"))
@@ -60,7 +60,7 @@
         ]
         self.assertEqual([], found)
 
-    def test_nothing_but_the_entry_imports_the_adapter(self) -> None:
+    def test_no_other_folder_imports_the_adapter(self) -> None:
         found = [
             str(path.relative_to(SOURCES))
             for path in sorted(SOURCES.rglob("*.py"))
@@ -69,14 +69,14 @@
         self.assertEqual([], found)
 
 
-class SmallFolderTest(unittest.TestCase):
+class AdapterSizeTest(unittest.TestCase):
     """The adapter only translates and stays small."""
 
-    def test_it_stays_small(self) -> None:
+    def test_line_count_is_bounded(self) -> None:
         lines = sum(len(path.read_text().splitlines()) for path in adapter_files())
         self.assertLessEqual(lines, MAX_ADAPTER_LINES)
 
-    def test_it_has_no_threads_timers_or_choices(self) -> None:
+    def test_no_threads_timers_or_random_choices(self) -> None:
         for path in adapter_files():
             imported = set()
             for node in ast.walk(ast.parse(path.read_text())):
@@ -84,7 +84,7 @@
                     imported |= {name.name.split(".")[0] for name in node.names}
                 elif isinstance(node, ast.ImportFrom) and node.module:
                     imported.add(node.module.split(".")[0])
-            self.assertEqual(set(), imported & TIMING_MODULES, path.name)
+            self.assertEqual(set(), imported & FORBIDDEN_MODULES, path.name)
 
 
 class RoleModulesTest(unittest.TestCase):
--- a/tests/test_store_pages.py
+++ b/tests/test_store_pages.py
@@ -27,7 +27,7 @@
 from quaymill.version.request_routes import RequestRoutes
 from quaymill_bench.fleet_world import configuration
 
-SOUND = {
+VALID_SPEC = {
     "service": "engine",
     "address": "10.0.0.1:8080",
     "zone": "a",
@@ -42,7 +42,7 @@
 
 def item(name: str, spec: object = None, revision: object = 7) -> bytes:
     """Return an object as the store sends it."""
-    spec = SOUND if spec is None else spec
+    spec = VALID_SPEC if spec is None else spec
     return json.dumps({"metadata": {"name": name, "revision": revision}, "spec": spec}).encode()
 
 
@@ -51,18 +51,18 @@
     return b'{"metadata":{"name":"bad","revision":7},"spec":' + text + b"}"
 
 
-def changed(**fields: object) -> bytes:
+def with_fields(**fields: object) -> bytes:
     """Return a replica's object with some fields replaced."""
-    return item("bad", SOUND | fields)
+    return item("bad", VALID_SPEC | fields)
 
 
-def without(field: str) -> bytes:
+def without_field(field: str) -> bytes:
     """Return a replica's object without one field."""
-    return item("bad", {key: value for key, value in SOUND.items() if key != field})
+    return item("bad", {key: value for key, value in VALID_SPEC.items() if key != field})
 
 
 UNREADABLE = {
-    "no metadata": json.dumps({"spec": SOUND}).encode(),
+    "no metadata": json.dumps({"spec": VALID_SPEC}).encode(),
     "metadata is null": b'{"metadata":null,"spec":{}}',
     "metadata is a list": b'{"metadata":["bad"],"spec":{}}',
     "the name is a number": b'{"metadata":{"name":7,"revision":1},"spec":{}}',
@@ -85,29 +85,29 @@
     "a list": b"[1,2]",
 }
 """Entries that are not valid objects of the store."""
-FOREIGN_REPLICAS = {
+INVALID_REPLICAS = {
     "the spec is null": item("bad", [None]),
     "the spec is a text": item("bad", "engine"),
-    "the service is missing": without("service"),
-    "the service is empty": changed(service=""),
-    "the service is a number": changed(service=7),
-    "the address is missing": without("address"),
-    "the address has no port": changed(address="10.0.0.1"),
-    "the address is a name": changed(address="engine.example:80"),
-    "the port is huge": changed(address="10.0.0.1:99999999"),
-    "the port is 0": changed(address="10.0.0.1:0"),
-    "the zone is missing": without("zone"),
-    "the zone is a list": changed(zone=["a"]),
-    "the slots are a text": changed(slots="4"),
-    "the slots are negative": changed(slots=-4),
-    "the slots are huge": changed(slots=10**30),
-    "the state is missing": without("state"),
-    "the state is unknown": changed(state="resting"),
-    "the state is null": changed(state=None),
-    "the warm-up is negative": changed(cold_left_ms=-1),
-    "the warm-up is huge": changed(cold_left_ms=1e300),
-    "the start is a text": changed(born="today"),
-    "the start is a fraction": changed(born=1.5),
+    "the service is missing": without_field("service"),
+    "the service is empty": with_fields(service=""),
+    "the service is a number": with_fields(service=7),
+    "the address is missing": without_field("address"),
+    "the address has no port": with_fields(address="10.0.0.1"),
+    "the address is a name": with_fields(address="engine.example:80"),
+    "the port is huge": with_fields(address="10.0.0.1:99999999"),
+    "the port is 0": with_fields(address="10.0.0.1:0"),
+    "the zone is missing": without_field("zone"),
+    "the zone is a list": with_fields(zone=["a"]),
+    "the slots are a text": with_fields(slots="4"),
+    "the slots are negative": with_fields(slots=-4),
+    "the slots are huge": with_fields(slots=10**30),
+    "the state is missing": without_field("state"),
+    "the state is unknown": with_fields(state="resting"),
+    "the state is null": with_fields(state=None),
+    "the warm-up is negative": with_fields(cold_left_ms=-1),
+    "the warm-up is huge": with_fields(cold_left_ms=1e300),
+    "the start is a text": with_fields(born="today"),
+    "the start is a fraction": with_fields(born=1.5),
 }
 """Valid objects whose ``spec`` is not a valid replica entry."""
 
@@ -123,69 +123,69 @@
     return b'{"events":[' + events + b'],"at":%d}' % REVISION
 
 
-class UnreadableTest(unittest.TestCase):
+class UnreadableEntryTest(unittest.TestCase):
     """Entries that are not valid objects are skipped and reported."""
 
     @params(*UNREADABLE)
-    def test_in_a_list(self, form: str) -> None:
+    def test_invalid_entry_in_a_list_is_skipped(self, form: str) -> None:
         page = read_list_page(list_of(item("first"), UNREADABLE[form], item("last")))
         self.assertIsInstance(page, ListPage)
         self.assertEqual(["first", "last"], [found.name for found in page.objects])
         self.assertEqual((REVISION, "last", False), (page.revision, page.last_name, page.more))
 
     @params(*UNREADABLE)
-    def test_as_an_event(self, form: str) -> None:
+    def test_invalid_event_of_a_watch_is_skipped(self, form: str) -> None:
         page = read_watch_page(events_of(item("first"), UNREADABLE[form], item("last")))
         self.assertIsInstance(page, WatchPage)
         self.assertEqual(["first", "last"], [change.object.name for change in page.changes])
         self.assertEqual(REVISION, page.revision)
 
     @params(*UNREADABLE)
-    def test_alone(self, form: str) -> None:
+    def test_invalid_object_is_unreadable(self, form: str) -> None:
         self.assertIsInstance(read_object(UNREADABLE[form]), UnreadableObject)
 
     @params(*UNREADABLE)
-    def test_as_the_last_one(self, form: str) -> None:
+    def test_invalid_last_entry_is_skipped(self, form: str) -> None:
         page = read_list_page(list_of(item("first"), UNREADABLE[form]))
         self.assertIsInstance(page, ListPage)
         self.assertEqual(["first"], [found.name for found in page.objects])
         self.assertEqual(REVISION, page.revision)
 
-    def test_it_is_named_where_it_can_be(self) -> None:
+    def test_name_of_an_invalid_entry_is_reported(self) -> None:
         page = read_list_page(list_of(UNREADABLE["not a number"], item("last")))
         self.assertEqual(["bad"], [found.name for found in page.unreadable])
 
     @params(1, 40, 200)
-    def test_a_page_cut_short_is_no_page(self, missing: int) -> None:
+    def test_truncated_page_is_rejected(self, missing: int) -> None:
         page = list_of(item("first"), item("last"))
         self.assertIsInstance(read_list_page(page[:-missing]), MalformedPage)
 
-    def test_of_two_of_one_name_the_later_counts(self) -> None:
+    def test_latest_revision_of_a_name_is_kept(self) -> None:
         page = read_list_page(list_of(item("x", revision=8), item("x", {}, revision=7)))
         self.assertEqual([8], [found.revision for found in page.objects])
 
 
-class ForeignReplicaTest(unittest.TestCase):
+class InvalidReplicaTest(unittest.TestCase):
     """Objects of the replicas' kind that are not valid replica entries."""
 
-    @params(*FOREIGN_REPLICAS)
-    def test_it_names_no_replica(self, form: str) -> None:
-        page = read_list_page(list_of(item("first"), FOREIGN_REPLICAS[form], item("last")))
+    @params(*INVALID_REPLICAS)
+    def test_invalid_replica_is_rejected(self, form: str) -> None:
+        page = read_list_page(list_of(item("first"), INVALID_REPLICAS[form], item("last")))
         read = {found.name: decode_replica(found) for found in page.objects}
-        sound = [name for name, entry in read.items() if isinstance(entry, ReplicaEntry)]
-        self.assertEqual(["first", "last"], sound)
+        valid = [name for name, entry in read.items() if isinstance(entry, ReplicaEntry)]
+        self.assertEqual(["first", "last"], valid)
 
-    def test_fields_that_are_not_known_do_no_harm(self) -> None:
-        stored = StoredObject("x", 1, SOUND | {"colour": "red", "models": [{"name": 1}]})
+    def test_unknown_fields_are_ignored(self) -> None:
+        stored = StoredObject("x", 1, VALID_SPEC | {"colour": "red", "models": [{"name": 1}]})
         self.assertIsInstance(decode_replica(stored), ReplicaEntry)
 
-    def test_a_zone_that_is_not_known_is_a_zone(self) -> None:
+    def test_unknown_zone_is_accepted(self) -> None:
         self.assertEqual(
-            "moon", decode_replica(StoredObject("x", 1, SOUND | {"zone": "moon"})).zone
+            "moon", decode_replica(StoredObject("x", 1, VALID_SPEC | {"zone": "moon"})).zone
         )
 
 
-class StartTest(unittest.TestCase):
+class RestartTest(unittest.TestCase):
     """A replica that restarts with the same id."""
 
     def setUp(self) -> None:
@@ -193,10 +193,12 @@
         self.table = ReplicaTable(self.departed.append)
 
     def list(self, revision: int, **fields: object) -> None:
-        self.table.replace_all([decode_replica(StoredObject("x", 1, SOUND | fields))], revision)
+        self.table.replace_all(
+            [decode_replica(StoredObject("x", 1, VALID_SPEC | fields))], revision
+        )
 
     @params((1000, 2000), (2000, 1000), (0, 1000), (1000, 9_999_999_999_999))
-    def test_nothing_of_before_counts(self, before: int, after: int) -> None:
+    def test_restarted_replica_keeps_no_former_state(self, before: int, after: int) -> None:
         """The store's revision decides which entry is newer, also if the clock was set back."""
         self.list(1, born=before)
         former = self.table.get("x")
@@ -216,7 +218,7 @@
         self.list(1, born=1000)
         self.assertIs(present, self.table.get("x"))
 
-    def test_the_same_start_is_the_same_replica(self) -> None:
+    def test_same_start_keeps_the_replica(self) -> None:
         self.list(1, born=1000, seq=5)
         present = self.table.get("x")
         self.list(2, born=1000, seq=6, slots=5)
@@ -228,7 +230,7 @@
     """An invalid configuration is rejected as a whole."""
 
     @params(None, 7, "text", [], {}, {"version": "x"}, {"version": 1, "routes": 3})
-    def test_it_is_not_taken(self, document: object) -> None:
+    def test_invalid_configuration_is_rejected(self, document: object) -> None:
         self.assertNotIsInstance(decode_configuration(document), RequestRoutes)
 
     @params(
@@ -239,7 +241,9 @@
         {"split": [{"service": 1}]},
         {"max_attempts": 1.5},
     )
-    def test_nor_with_one_route_that_cannot(self, fields: dict[str, object]) -> None:
+    def test_configuration_with_one_invalid_route_is_rejected(
+        self, fields: dict[str, object]
+    ) -> None:
         document = configuration(3)
         document["routes"][0] = document["routes"][0] | fields
         self.assertNotIsInstance(decode_configuration(document), RequestRoutes)
@@ -252,7 +256,7 @@
     ),
     max_leaves=12,
 )
-FOREIGN_BYTES = st.one_of(
+ARBITRARY_ENTRIES = st.one_of(
     st.binary(max_size=60),
     JSON_VALUES.map(lambda value: json.dumps(value).encode()),
     JSON_VALUES.map(lambda value: spec_bytes(json.dumps(value).encode())),
@@ -265,7 +269,7 @@
 
     @seed(20261203)
     @settings(max_examples=400, deadline=None, database=None)
-    @given(st.lists(FOREIGN_BYTES, max_size=4))
+    @given(st.lists(ARBITRARY_ENTRIES, max_size=4))
     def test_reading_never_raises(self, entries: list[bytes]) -> None:
         page = read_list_page(list_of(item("first"), *entries, item("last")))
         watched = read_watch_page(events_of(item("first"), *entries, item("last")))
@@ -278,7 +282,7 @@
     @seed(20261203)
     @settings(max_examples=400, deadline=None, database=None)
     @given(st.lists(JSON_VALUES, max_size=4))
-    def test_the_sound_ones_come_through(self, specs: list[object]) -> None:
+    def test_valid_entries_are_read(self, specs: list[object]) -> None:
         entries = [spec_bytes(json.dumps(spec).encode()) for spec in specs]
         page = read_list_page(list_of(item("first"), *entries, item("last")))
         self.assertIsInstance(page, ListPage)
