--- a/src/quaymill/version/__init__.py
+++ b/src/quaymill/version/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one version of the serving configuration."""
+"""The serving configuration: its data model, checks, edits, tables and routes."""
--- a/src/quaymill/version/cells.py
+++ b/src/quaymill/version/cells.py
@@ -1,8 +1,8 @@
-"""Cells of the serving configuration: their paths, their types, reading and replacing.
+"""Paths and types of the serving configuration's cells, and functions to read and replace them.
 
-A path is ``TABLE/ROW/COLUMN``; a route's row has two names, the service and the zone group,
-and ``tuning`` has a single row without a name. A cell of a row that does not exist reads as
-``None``, and a row whose cells are all set to ``None`` in one edit is removed.
+A path is ``TABLE/ROW/COLUMN``; a row of ``routes`` has two names, the service and the
+zone group, and ``tuning`` has a single row without a name. A cell of a row that does not exist
+reads as ``None``, and a row whose cells are all set to ``None`` in one edit is removed.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 class CellProblem(msgspec.Struct, frozen=True):
-    """What is wrong with one cell and how to mend it."""
+    """A problem in one cell and how to correct it."""
 
     cell: str
     reason: str
@@ -46,7 +46,7 @@
 
 
 class CellPath(msgspec.Struct, frozen=True, order=True):
-    """Where a cell stands; ``names`` are the names of its row."""
+    """Path of a cell; ``names`` are the names of its row."""
 
     table: str
     names: tuple[str, ...]
@@ -62,16 +62,16 @@
 
     @classmethod
     def parse(cls, text: str) -> CellPath | CellProblem:
-        """Read a path such as ``routes/drafting/old-site/weight``."""
+        """Parse a path such as ``routes/drafting/old-site/weight``."""
         table, *rest = text.split("/")
         if table not in ROW_TYPES:
-            return CellProblem(text, "names no table", f"use one of {', '.join(ROW_TYPES)}")
+            return CellProblem(text, "unknown table", f"use one of {', '.join(ROW_TYPES)}")
         if len(rest) != NAMES_IN_ROW[table] + 1:
             return CellProblem(text, "is not the path of a cell", f"use {path_pattern(table)}")
         *names, column = rest
         columns = ROW_TYPES[table].__struct_fields__
         if column not in columns:
-            return CellProblem(text, "names no column", f"use one of {', '.join(columns)}")
+            return CellProblem(text, "unknown column", f"use one of {', '.join(columns)}")
         if not all(is_valid_name(name) for name in names):
             return CellProblem(
                 text, "has an empty or malformed name", "use names without space, '/', '=', ','"
@@ -80,20 +80,20 @@
 
 
 class CellChange(msgspec.Struct, frozen=True):
-    """A cell and the value to put there."""
+    """A cell and its new value."""
 
     cell: str
     value: CellValue
 
 
 def path_pattern(table: str) -> str:
-    """Return the shape of the paths of a table, for a person."""
+    """Return the pattern of a table's cell paths for error messages."""
     names = {0: "", 1: "NAME/", 2: "SERVICE/ZONE_GROUP/"}[NAMES_IN_ROW[table]]
     return f"{table}/{names}COLUMN"
 
 
 def is_valid_name(name: str) -> bool:
-    """Return whether a row may bear ``name``."""
+    """Return whether ``name`` is allowed as the name of a row."""
     return name.isprintable() and VALID_NAME.fullmatch(name) is not None
 
 
@@ -103,24 +103,24 @@
 
 
 def is_list(path: CellPath) -> bool:
-    """Return whether a cell holds a list of texts."""
+    """Return whether a cell holds a list of strings."""
     return cell_type(path) == tuple[str, ...]
 
 
 def parse_value(path: CellPath, text: str) -> CellValue | CellProblem:
-    """Read a value as an operator writes it; a list is separated by commas."""
+    """Parse a value from an operator's input; the items of a list are separated by commas."""
     raw: Any = text.strip()
     if is_list(path):
         raw = [part.strip() for part in raw.split(",") if part.strip()]
     try:
         value = msgspec.convert(raw, cell_type(path), strict=False)
     except msgspec.ValidationError as error:
-        return CellProblem(str(path), f"cannot be {text!r}: {error}", "write a value of that kind")
+        return CellProblem(str(path), f"invalid value {text!r}: {error}", "use a valid value")
     return _plain(value)
 
 
 def format_value(value: CellValue) -> str:
-    """Write a value as ``parse_value`` reads it; ``None`` becomes the empty text."""
+    """Format a value so that ``parse_value`` reads it; ``None`` becomes the empty string."""
     if value is None:
         return ""
     if isinstance(value, bool):
@@ -172,7 +172,7 @@
 def apply_changes(
     configuration: ServingConfiguration, changes: Iterable[CellChange]
 ) -> ServingConfiguration | CellProblem:
-    """Return ``configuration`` with all changes made, or the first that cannot be made."""
+    """Return ``configuration`` with all changes, or the problem of the first invalid change."""
     by_row: dict[tuple[str, tuple[str, ...]], dict[str, CellValue]] = {}
     for change in changes:
         path = CellPath.parse(change.cell)
@@ -191,7 +191,7 @@
 def _changed_row(
     row: Any, table: str, names: tuple[str, ...], columns: dict[str, CellValue]
 ) -> Any | CellProblem:
-    """Return the row with its changed cells, ``None`` if it is removed."""
+    """Return the row with its changed cells; ``None`` if the change removes it."""
     row_type = ROW_TYPES[table]
     removed = all(value is None for value in columns.values())
     if removed and len(columns) == len(row_type.__struct_fields__) and names:
@@ -199,14 +199,14 @@
     cells = {} if row is None else msgspec.to_builtins(row)
     for column, value in columns.items():
         if value is None:
-            cells.pop(column, None)  # An unset cell goes back to its default.
+            cells.pop(column, None)  # An unset cell has its default value.
         else:
             cells[column] = value
     try:
         return msgspec.convert(cells, row_type)
     except msgspec.ValidationError as error:
         cell = "/".join((table, *names))
-        return CellProblem(cell, str(error).replace("`$", "`"), "give the cell a fitting value")
+        return CellProblem(cell, str(error).replace("`$", "`"), "set the cell to a valid value")
 
 
 def _put_row(
@@ -216,7 +216,7 @@
     names: tuple[str, ...],
     row: Any,
 ) -> None:
-    """Put a row into the copies of the tables, which are made when first needed."""
+    """Set or remove a row in ``tables``; a table is copied there before its first change."""
     if table == "tuning":
         tables[table] = row
         return
--- a/src/quaymill/version/checks.py
+++ b/src/quaymill/version/checks.py
@@ -1,7 +1,7 @@
-"""Checks that a configuration must pass before it may be put in force.
+"""Checks that a configuration must pass before it may take effect.
 
 Each problem names the cell, the reason and the remedy. The same checks run in the command
-line, before an edit is written, and in every reader, before a document is put in force.
+line before an edit is written, and in every reader before a document takes effect.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 
 
 class InvalidConfiguration(msgspec.Struct, frozen=True):
-    """Why a document cannot be put in force. ``generation`` is 0 if it cannot be read."""
+    """The problems of an invalid document; ``generation`` is 0 if it cannot be decoded."""
 
     generation: int
     problems: tuple[CellProblem, ...]
@@ -65,11 +65,11 @@
         tree = msgspec.json.decode(document)
         problems = tuple(_locate_problems(tree))
         if not problems:
-            problems = (CellProblem("document", str(error), "mend the stored object"),)
+            problems = (CellProblem("document", str(error), "correct the stored object"),)
         generation = tree.get("generation", 0) if isinstance(tree, dict) else 0
         return InvalidConfiguration(generation if isinstance(generation, int) else 0, problems)
     except msgspec.DecodeError as error:
-        problem = CellProblem("document", f"is not JSON: {error}", "mend the stored object")
+        problem = CellProblem("document", f"is not JSON: {error}", "correct the stored object")
         return InvalidConfiguration(0, (problem,))
     problems = check_configuration(configuration)
     if problems:
@@ -78,7 +78,7 @@
 
 
 def check_configuration(configuration: ServingConfiguration) -> tuple[CellProblem, ...]:
-    """Return every problem of a configuration; empty if it may be put in force."""
+    """Return every problem of a configuration; empty if it is valid."""
     return tuple(
         problem
         for check in (
@@ -99,7 +99,7 @@
                 if len(name) > MAX_NAME_LENGTH or not is_valid_name(name):
                     yield CellProblem(
                         "/".join((table, *names)),
-                        f"{name!r} cannot be a name",
+                        f"{name!r} is not a valid name",
                         f"use up to {MAX_NAME_LENGTH} characters without space / = , or quotes",
                     )
 
@@ -109,12 +109,12 @@
     for name, group in configuration.zone_groups.items():
         cell = f"zone_groups/{name}/zones"
         if not group.zones:
-            yield CellProblem(cell, "names no zone", "name at least one zone")
+            yield CellProblem(cell, "contains no zone", "add at least one zone")
         for zone in group.zones:
             other = group_of_zone.setdefault(zone, name)
             if other != name:
                 yield CellProblem(
-                    cell, f"zone {zone} is in {other} too", "leave the zone in one zone group"
+                    cell, f"zone {zone} is also in {other}", "keep the zone in one zone group"
                 )
 
 
@@ -138,13 +138,15 @@
             if not KEY_HASH.fullmatch(key_hash):
                 yield CellProblem(
                     f"{row}/key_hashes",
-                    f"{key_hash!r} is not a SHA-256 in hexadecimal",
+                    f"{key_hash!r} is not a SHA-256 hash in hexadecimal",
                     "write the hash of the key, never the key",
                 )
             other = tenant_of_key.setdefault(key_hash, name)
             if other != name:
                 yield CellProblem(
-                    f"{row}/key_hashes", f"holds a key of tenant {other}", "give it its own key"
+                    f"{row}/key_hashes",
+                    f"contains a key of tenant {other}",
+                    "use each key for one tenant",
                 )
         yield from _check_numbers(row, tenant, TENANT_RANGES)
 
@@ -154,11 +156,11 @@
 
 
 def _check_numbers(row: str, cells: Any, ranges: Ranges) -> tuple[CellProblem, ...]:
-    """Check the numbers of one row; a table has thousands of rows, nearly all of them good."""
+    """Check the ranges of one row's numbers; fast for valid rows, as tables have thousands."""
     problems = ()
     for column, (lowest, highest) in ranges.items():
         value = getattr(cells, column)
-        # The comparison fails for what is not a number, too.
+        # The comparison is also false for NaN.
         if not lowest <= value <= highest:
             upper = "" if highest == LARGEST_FLOAT else f" to {highest}"
             remedy = f"use a number from {lowest}{upper}"
@@ -167,14 +169,12 @@
 
 
 def _locate_problems(tree: Any) -> Iterator[CellProblem]:
-    """Find the cells that keep a document from being decoded."""
+    """Find the cells that prevent a document from being decoded."""
     if not isinstance(tree, dict):
-        yield CellProblem("document", "is not an object", "mend the stored object")
+        yield CellProblem("document", "is not an object", "correct the stored object")
         return
     for key in tree.keys() - set(ServingConfiguration.__struct_fields__):
-        yield CellProblem(
-            key, "is no table of this version", "remove it, or bring nodes up to date"
-        )
+        yield CellProblem(key, "is not a table of this version", "remove it, or upgrade the nodes")
     for table, row_type in ROW_TYPES.items():
         yield from _locate_in_table(table, row_type, tree.get(table, {}), NAMES_IN_ROW[table], ())
 
@@ -191,7 +191,9 @@
             yield from _locate_in_table(table, row_type, child, depth - 1, (*names, name))
         return
     for column in place.keys() - set(row_type.__struct_fields__):
-        yield CellProblem(f"{row_path}/{column}", "is no column of this version", "remove the cell")
+        yield CellProblem(
+            f"{row_path}/{column}", "is not a column of this version", "remove the cell"
+        )
     for column in row_type.__struct_fields__:
         yield from _locate_in_cell(CellPath(table, names, column), row_type, place)
 
@@ -205,4 +207,4 @@
     try:
         msgspec.convert(row[path.column], field.type)
     except msgspec.ValidationError as error:
-        yield CellProblem(str(path), f"is {row[path.column]!r}: {error}", "set a fitting value")
+        yield CellProblem(str(path), f"is {row[path.column]!r}: {error}", "set a valid value")
--- a/src/quaymill/version/configuration.py
+++ b/src/quaymill/version/configuration.py
@@ -1,8 +1,8 @@
-"""The serving configuration: the operators' table as one versioned document.
+"""The serving configuration: the operators' tables as one versioned document.
 
-Rows are services by zone group (routes), tenants, and settings. A cell is named by a path
-such as ``routes/drafting/old-site/weight``. The document is stored as the ``spec`` of one
-object of the platform and changed only by compare-and-swap.
+The tables are zone groups, services, routes (services by zone group), tenants and tuning. A cell
+is identified by a path such as ``routes/drafting/old-site/weight``. The document is stored as the
+``spec`` of one object of the platform and changed only by compare-and-swap.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class ServiceKind(enum.StrEnum):
-    """What answers a service."""
+    """What serves the requests of a service."""
 
     MODEL = "model"
     APPLICATION = "application"
@@ -48,11 +48,11 @@
     Attributes
     ----------
     weight
-        Share of the online traffic, relative to the other zone groups; 0 takes none.
+        Share of the online traffic, relative to the other zone groups; 0 for no traffic.
     online_limit
-        Most online requests in service at one replica.
+        Maximum number of online requests that run at one replica.
     batch_limit
-        Most batch items in service at one replica (batch concurrency).
+        Maximum number of batch items that run at one replica (batch concurrency).
     """
 
     weight: float = 1.0
@@ -61,7 +61,7 @@
 
 
 class Tenant(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A caller: its keys and limits; a limit of 0 means none is set.
+    """Keys and limits of a tenant; 0 means no limit.
 
     Attributes
     ----------
@@ -76,7 +76,7 @@
 
     @property
     def limits(self) -> TenantLimits:
-        """What it may send."""
+        """The limits of the tenant's requests."""
         return TenantLimits(
             requests_per_s=self.requests_per_s,
             tokens_per_s=self.tokens_per_s,
@@ -85,12 +85,12 @@
 
 
 class Tuning(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Cells that hold for the whole fleet.
+    """Cells that apply to the whole fleet.
 
     Attributes
     ----------
     batch_reserve
-        Engine slots a batch scheduler leaves free at each replica for online bursts.
+        Engine slots that batch schedulers keep free at each replica for online bursts.
     result_retention_s
         How long results of a finished job stay readable.
     item_max_attempts
@@ -103,7 +103,7 @@
 
 
 class RecordedChange(msgspec.Struct, frozen=True):
-    """One cell that an edit changed; ``None`` stands for a cell of a row that did not exist."""
+    """One cell that an edit changed; the value is ``None`` where its row does not exist."""
 
     cell: str
     before: CellValue
@@ -111,14 +111,14 @@
 
 
 class EditRecord(msgspec.Struct, frozen=True):
-    """One accepted edit, kept for a while to name the author of a cell's latest value.
+    """One accepted edit, kept to name the author of a cell's latest value.
 
     Attributes
     ----------
     generation
-        The generation that the edit made.
+        The generation that the edit created.
     changes
-        What it changed; empty and ``truncated`` if that was too much to keep.
+        The changed cells; empty, with ``truncated`` set, if there are too many to keep.
     """
 
     id: str
@@ -135,14 +135,14 @@
     Attributes
     ----------
     generation
-        Raised by one with each accepted edit; the highest one seen is in force.
+        Incremented by each accepted edit; nodes use the highest one that they have received.
     routes
         Service name -> zone group name -> cells.
     recent_edits
-        Ids of the latest accepted edits, newest last, so that an edit whose answer was
-        lost is found to have happened.
+        Ids of the latest accepted edits, newest last, so that an edit is recognised when it is
+        submitted again after its answer was lost.
     edit_records
-        What the latest of these edits changed, newest last.
+        Records of the latest of these edits, newest last.
     """
 
     generation: int = 0
--- a/src/quaymill/version/differences.py
+++ b/src/quaymill/version/differences.py
@@ -1,4 +1,4 @@
-"""Differences between two generations, which cost what changed and not what there is."""
+"""Differences between two generations, which contain only the changed cells."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 
 
 class ConfigurationDifference(msgspec.Struct, frozen=True):
-    """What leads from one generation to a later one.
+    """The changes from one generation to a later one.
 
     Attributes
     ----------
     digest
-        Of the later configuration, so that a wrong result is never put in force.
+        Digest of the later configuration, by which a wrong result is detected and rejected.
     """
 
     base_generation: int
@@ -49,7 +49,7 @@
 def find_difference(
     base: ServingConfiguration, target: ServingConfiguration
 ) -> ConfigurationDifference:
-    """Return what leads from ``base`` to ``target``."""
+    """Return the changes from ``base`` to ``target``."""
     return ConfigurationDifference(
         base.generation,
         target.generation,
@@ -65,8 +65,8 @@
 ) -> ServingConfiguration | None:
     """Return the later configuration, ``None`` if the difference does not fit ``base``.
 
-    ``base`` may lie between the two generations: cells are given as they are in the end, and
-    the digest tells whether that was enough.
+    ``base`` may be between the two generations: the changes contain the final values of cells, and
+    the digest shows whether they are complete for ``base``.
     """
     if not difference.base_generation <= base.generation < difference.generation:
         return None
@@ -87,19 +87,19 @@
 
 
 class DifferenceLog:
-    """The latest differences of the configuration in force, for peers that are behind."""
+    """The latest differences of the current configuration, for peers with an older generation."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._kept: deque[ConfigurationDifference] = deque(maxlen=MAX_KEPT_DIFFERENCES)
 
     def add(self, differences: Iterable[ConfigurationDifference]) -> None:
-        """Keep the differences that have just been put in force, in their order."""
+        """Add differences that have just taken effect, oldest first."""
         with self._lock:
             self._kept.extend(differences)
 
     def since(self, generation: int) -> tuple[ConfigurationDifference, ...] | None:
-        """Return the differences that lead on from a generation; ``None`` if not all are kept."""
+        """Return the differences after a generation; ``None`` if some are no longer kept."""
         with self._lock:
             later = [kept for kept in self._kept if kept.generation > generation]
         if not later or later[0].base_generation > generation:
@@ -111,7 +111,7 @@
     changes = []
     for table in ROW_TYPES:
         if getattr(base, table) == getattr(target, table):
-            continue  # Most edits touch one table; comparing rows costs much more.
+            continue  # Most edits change one table; comparing rows is much slower.
         before = dict(rows_of(base, table))
         after = dict(rows_of(target, table))
         for names in [*after, *(names for names in before if names not in after)]:
--- a/src/quaymill/version/edits.py
+++ b/src/quaymill/version/edits.py
@@ -1,6 +1,6 @@
 """Edits of the serving configuration: merge, conflict and repetition.
 
-An edit names cells, the values that the operator saw in them and the values to put there.
+An edit contains cells, the values that the operator saw in them and their new values.
 It merges with edits to other cells, conflicts with another edit to one of its cells, and is
 recognised by its id when it is submitted again after a lost answer.
 """
@@ -45,7 +45,7 @@
 
 
 class Edit(msgspec.Struct, frozen=True):
-    """Cells to change as a whole or not at all."""
+    """Changes that are applied together or not at all."""
 
     id: str
     author: str
@@ -58,9 +58,9 @@
     Attributes
     ----------
     found
-        The value that stands in the cell now.
+        The current value of the cell.
     author
-        Who put it there; empty if the record of that edit is no longer kept.
+        Author of the current value; empty if the record of that edit is no longer kept.
     """
 
     cell: str
@@ -74,12 +74,12 @@
         return (
             f"{self.cell}: was changed{author} to {_shown(self.found)} while you saw "
             f"{_shown(self.expected)} (generation {self.generation}); "
-            "look at the new value and edit again"
+            "check the new value and edit again"
         )
 
 
 class EditInvalid(msgspec.Struct, frozen=True):
-    """The edit would make a configuration that may not be put in force; nothing was changed."""
+    """The edit would make the configuration invalid; nothing was changed."""
 
     problems: tuple[CellProblem, ...]
 
@@ -88,7 +88,7 @@
 
 
 class EditAlreadyApplied(msgspec.Struct, frozen=True):
-    """The edit of this id is in the configuration already."""
+    """An edit with this id has already been applied."""
 
     generation: int
 
@@ -102,7 +102,7 @@
 
 
 def apply_edit(configuration: ServingConfiguration, edit: Edit, now_unix_s: float) -> EditOutcome:
-    """Return the next generation with ``edit`` made, or why it is not made."""
+    """Return the next generation with ``edit`` applied, or the reason why it is rejected."""
     if edit.id in configuration.recent_edits:
         return EditAlreadyApplied(_generation_of(configuration, edit.id))
     paths = [CellPath.parse(cell.cell) for cell in edit.cells]
@@ -142,7 +142,7 @@
 def undo_records(
     configuration: ServingConfiguration, generation: int
 ) -> ServingConfiguration | None:
-    """Return the table as it stood at an earlier generation; ``None`` if the records end before."""
+    """Return the tables of an earlier generation; ``None`` if records are missing."""
     records = [record for record in configuration.edit_records if record.generation > generation]
     if len(records) != configuration.generation - generation:
         return None
@@ -186,7 +186,7 @@
 def _recorded_changes(
     before: ServingConfiguration, after: ServingConfiguration, paths: list[CellPath]
 ) -> Iterator[RecordedChange]:
-    """Yield what changed in the rows of an edit; all the cells of a row that is new or gone."""
+    """Yield the changed cells in the rows of an edit, also those of new and removed rows."""
     for table, names in dict.fromkeys((path.table, path.names) for path in paths):
         old_cells = cells_of_row(table, names, read_row(before, table, names))
         new_cells = cells_of_row(table, names, read_row(after, table, names))
@@ -203,7 +203,7 @@
 
 
 def _generation_of(configuration: ServingConfiguration, edit_id: str) -> int:
-    """Return the generation an edit made; the current one if its record is no longer kept."""
+    """Return the generation of an edit; the current one if its record is no longer kept."""
     for record in configuration.edit_records:
         if record.id == edit_id:
             return record.generation
--- a/src/quaymill/version/request_routes.py
+++ b/src/quaymill/version/request_routes.py
@@ -1,6 +1,6 @@
-"""One version of the routes by which callers' requests reach services.
+"""One version of the routes that assign callers' requests to services.
 
-A version is taken whole or not at all; ``RequestRoutes`` is immutable and answers lookups.
+``RequestRoutes`` is immutable; a new version replaces it as a whole.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class RouteKind(enum.StrEnum):
-    """What may be done with a request of a route."""
+    """How requests of a route may be repeated and continued."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non-idempotent"
@@ -23,7 +23,7 @@
 
 @attrs.frozen
 class WeightedService:
-    """A service that takes a share of a route's requests."""
+    """A service and its share of a route's requests."""
 
     service: str
     weight: float
@@ -36,25 +36,25 @@
     Attributes
     ----------
     timeout_s
-        Longest time a request may be held.
+        Maximum timeout of a request; a caller may request a shorter one.
     objective_s
-        Time within which an answer (or the first event of a stream) is worth most.
+        Time within which an answer (or the first event of a stream) is on time.
     priority
-        Rank among routes; 0 goes first.
+        Rank among routes; 0 is served first.
     max_attempts
-        Most replicas to which one request may be sent.
+        Maximum number of replicas to which one request is sent.
     resumable
         Whether a stream may be continued after its last event by another replica.
     gap_objective_s
-        Longest pause between two events that is still in time; ``None`` if unbounded.
+        Maximum time between two events that is on time; ``None`` for no limit.
     due_s, max_wait_s
-        Of batch routes: when all results are due after the job was first sent, and how long
-        after that sending an item may be given up.
+        Batch routes only: time after the first submission of the job at which all results are due,
+        and after which an item may be given up.
     max_unfinished_tokens
-        Of batch routes: tokens that a tenant's items accepted and not finished may hold, over all
-        gateways; 0 for no bound.
+        Batch routes only: maximum number of tokens of a tenant's accepted and unfinished items,
+        over all gateways; 0 for no limit.
     public
-        Whether requests need no key, where tenants have keys at all.
+        Whether requests need no key although tenants are configured.
     """
 
     name: str
@@ -76,7 +76,7 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request that may have run may be sent again."""
+        """Whether a request may be sent again after it may have been executed."""
         if self.kind is RouteKind.STREAMING:
             return self.resumable
         return self.kind in (RouteKind.IDEMPOTENT, RouteKind.BATCH)
@@ -84,7 +84,7 @@
 
 @attrs.frozen
 class EngineProperties:
-    """What a service's model engines are built for; ``None`` on applications."""
+    """Capacity of a service's model engines."""
 
     slots: int
     kv_capacity_tokens: int
@@ -92,7 +92,7 @@
 
 @attrs.frozen
 class ServiceProperties:
-    """What the operator says of a service's replicas."""
+    """Properties of a service's replicas; ``engine`` is ``None`` for applications."""
 
     name: str
     health_path: str = ""
@@ -102,7 +102,7 @@
 
 @attrs.frozen
 class RequestLimits:
-    """Bounds on what a caller may send and how long it may idle."""
+    """Limits of request sizes, and timeouts of callers' connections."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 4 * 1024 * 1024
@@ -117,7 +117,7 @@
     Attributes
     ----------
     tenants
-        Who may send requests, by name; ``None`` where requests need no key at all.
+        Tenants by name; ``None`` if no request needs a key.
     """
 
     version: int
@@ -126,7 +126,7 @@
     limits: RequestLimits = RequestLimits()
     tenants: dict[str, RequestTenant] | None = None
     batch_services: frozenset[str] = attrs.field(init=False, repr=False, eq=False)
-    """Services to which batch routes lead."""
+    """Services of batch routes."""
     _by_prefix: dict[tuple[str, str], RequestRoute] = attrs.field(init=False, repr=False, eq=False)
     _tenant_by_digest: dict[str, str] = attrs.field(init=False, repr=False, eq=False)
     _public_batch_hosts: frozenset[str] = attrs.field(init=False, repr=False, eq=False)
@@ -152,8 +152,8 @@
     def find(self, host: str, path: str) -> RequestRoute | None:
         """Return the route of ``host`` with the longest prefix of ``path``.
 
-        Every prefix ends with a slash, so only the path's slashes are looked at: the time does
-        not grow with the number of routes.
+        Every prefix ends with a slash, so only prefixes that end at a slash are looked up; the time
+        does not depend on the number of routes.
         """
         end = len(path)
         while (end := path.rfind("/", 0, end)) >= 0:
@@ -163,18 +163,18 @@
         return None
 
     def by_name(self, name: str) -> RequestRoute | None:
-        """Return the route of that name."""
+        """Return the route with this name, if any."""
         return next((route for route in self.routes if route.name == name), None)
 
     def holder_of(self, digest: str) -> RequestTenant | None:
-        """Return the tenant that holds the key with this digest."""
+        """Return the tenant of the key with this digest, if any."""
         name = self._tenant_by_digest.get(digest)
         return None if name is None else self.tenants[name]
 
     def has_public_jobs(self, host: str) -> bool:
-        """Return whether a host takes batch jobs without a key."""
+        """Return whether a host accepts batch jobs without a key."""
         return host in self._public_batch_hosts
 
 
 NO_ROUTES = RequestRoutes(version=0)
-"""Stands for: no configuration is known yet."""
+"""Used until the first configuration has been received."""
--- a/src/quaymill/version/status.py
+++ b/src/quaymill/version/status.py
@@ -1,4 +1,4 @@
-"""The status document: what the nodes hold and meet, beside the cells of the configuration."""
+"""The status document: state, load and problems of nodes and replicas."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class NodeStatus(msgspec.Struct, frozen=True):
-    """One node as its zone's readers see it."""
+    """State of one node, as observed in its zone."""
 
     name: str
     zone: str
@@ -17,12 +17,12 @@
 
 
 class ZoneStatus(msgspec.Struct, frozen=True):
-    """All nodes of one zone in numbers.
+    """Numbers of nodes of one zone.
 
     Attributes
     ----------
     current
-        Live nodes that hold the highest generation.
+        Live nodes with the highest generation.
     """
 
     zone: str
@@ -46,7 +46,7 @@
 
 
 class StatusProblem(msgspec.Struct, frozen=True):
-    """Something an operator has to see; ``source`` is the node that reports it."""
+    """A problem that needs an operator's attention; ``source`` is the node that reports it."""
 
     source: str
     subject: str
@@ -56,23 +56,23 @@
 
 
 class StatusNote(msgspec.Struct, frozen=True):
-    """A line of one part of the system, such as a tenant's use of its limit."""
+    """Information about one subject, such as a tenant's use of its limit."""
 
     subject: str
     text: str
 
 
 class ServingStatus(msgspec.Struct, frozen=True):
-    """What the elected writer knows.
+    """Status of the fleet, as collected by the elected writer.
 
     Attributes
     ----------
     token
-        Fencing token of the writer's lease; a higher one goes before a lower one.
+        Fencing token of the writer's lease; a higher one takes precedence.
     generation
-        The highest generation in force on any node.
+        The highest generation on any node.
     nodes
-        Every node of a small fleet; of a large one those out of the ordinary.
+        All nodes of a small fleet; in a large fleet only those in an unusual state.
     """
 
     token: int = 0
@@ -87,7 +87,7 @@
 
 
 class StatusRows(msgspec.Struct, frozen=True):
-    """What one part of a node adds to the status."""
+    """Rows that one component of a node adds to the status."""
 
     replicas: tuple[ReplicaStatus, ...] = ()
     problems: tuple[StatusProblem, ...] = ()
--- a/src/quaymill/version/table.py
+++ b/src/quaymill/version/table.py
@@ -1,7 +1,7 @@
-"""The configuration as tables: for a terminal, and as CSV for a spreadsheet.
+"""Renders the configuration as tables for a terminal, and as CSV for a spreadsheet.
 
 In CSV each table starts with a line whose first cell is its name in brackets, followed by the
-names of the columns; its rows have an empty first cell. The first line holds the generation
+names of the columns; its rows have an empty first cell. The first line contains the generation
 from which the file was exported.
 """
 
@@ -37,14 +37,14 @@
 
 
 class ImportedTable(msgspec.Struct, frozen=True):
-    """What an operator's file holds: the cells and the generation they were exported from."""
+    """Cells of an imported file, and the generation from which it was exported."""
 
     generation: int
     cells: dict[str, CellValue]
 
 
 class TableProblem(msgspec.Struct, frozen=True):
-    """Why a file cannot be read."""
+    """The reason why a file cannot be imported."""
 
     line: int
     reason: str
@@ -55,7 +55,7 @@
 
 
 def render_table(header: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
-    """Return rows in aligned columns."""
+    """Format rows in aligned columns."""
     lines = [tuple(header), *(tuple(_shortened(cell) for cell in row) for row in rows)]
     widths = [max(len(line[column]) for line in lines) for column in range(len(header))]
     return "\n".join(
@@ -65,7 +65,7 @@
 
 
 def render_configuration(configuration: ServingConfiguration) -> str:
-    """Return all tables for a terminal."""
+    """Format all tables for a terminal."""
     parts = [f"generation {configuration.generation}"]
     for table, row_type in ROW_TYPES.items():
         header = (*ROW_NAME_COLUMNS[table], *row_type.__struct_fields__)
@@ -88,13 +88,11 @@
 
 
 def import_csv(text: str) -> ImportedTable | TableProblem | CellProblem:
-    """Read a file that was exported and edited; columns may be moved or left out."""
+    """Parse an exported and edited file; columns may be reordered or omitted."""
     lines = [(number, line) for number, line in enumerate(csv.reader(io.StringIO(text)), 1)]
     lines = [(number, line) for number, line in lines if any(cell.strip() for cell in line)]
     if not lines or lines[0][1][0] != GENERATION_LABEL or not _has_generation(lines[0][1]):
-        return TableProblem(
-            1, "does not give the generation", "start from `quaymill config export`"
-        )
+        return TableProblem(1, "the generation is missing", "start from `quaymill config export`")
     cells: dict[str, CellValue] = {}
     table, header = "", ()
     for number, line in lines[1:]:
@@ -105,7 +103,7 @@
                 return problem
             continue
         if not table:
-            return TableProblem(number, "stands before any table", "put it below a [table] line")
+            return TableProblem(number, "row is before any table", "put it below a [table] line")
         problem = _read_row(table, dict(zip(header, line[1:], strict=False)), cells)
         if problem is not None:
             return problem
@@ -124,14 +122,18 @@
 
 def _check_header(number: int, table: str, header: tuple[str, ...]) -> TableProblem | None:
     if table not in ROW_TYPES:
-        return TableProblem(number, f"{table!r} is no table", f"use one of {', '.join(ROW_TYPES)}")
+        return TableProblem(
+            number, f"{table!r} is not a table", f"use one of {', '.join(ROW_TYPES)}"
+        )
     known = {*ROW_NAME_COLUMNS[table], *ROW_TYPES[table].__struct_fields__, ""}
     for column in header:
         if column not in known:
-            return TableProblem(number, f"{column!r} is no column of {table}", "mend the line")
+            return TableProblem(
+                number, f"{column!r} is not a column of {table}", "correct the line"
+            )
     for column in ROW_NAME_COLUMNS[table]:
         if column not in header:
-            return TableProblem(number, f"column {column!r} is missing", "put it back")
+            return TableProblem(number, f"column {column!r} is missing", "add the column")
     return None
 
 
@@ -144,7 +146,7 @@
         path = CellPath.parse("/".join((table, *names, column)))
         if isinstance(path, CellProblem):
             return path
-        # An empty cell is an empty list, or for any other kind a cell that is not set.
+        # An empty cell is an empty list or, for any other type, an unset cell.
         value = parse_value(path, text) if text.strip() or is_list(path) else None
         if isinstance(value, CellProblem):
             return value
--- a/src/quaymill/version/tenants.py
+++ b/src/quaymill/version/tenants.py
@@ -1,7 +1,7 @@
-"""Tenants as requests meet them: who holds a key, and what each may send.
+"""Tenants, their keys and their limits.
 
-A key is kept only as its digest and looked up by it, so that the time of a lookup neither grows
-with the number of tenants nor tells how much of a key was right.
+Keys are stored and looked up as digests only, so that the time of a lookup neither depends on the
+number of tenants nor reveals how much of a guessed key is correct.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 @attrs.frozen
 class TenantLimits:
-    """What one tenant may send over all gateways; 0 stands for no limit.
+    """Limits of one tenant over all gateways; 0 means no limit.
 
     Attributes
     ----------
     burst
-        Requests that may come within a window on top of those of the rate.
+        Requests that are allowed within a window in addition to the rate.
     concurrency
-        Requests in service at once.
+        Maximum number of requests that run at once.
     """
 
     requests_per_s: float = 0.0
@@ -33,20 +33,20 @@
 
     @property
     def any_set(self) -> bool:
-        """Whether there is a limit at all."""
+        """Whether any limit of rate or concurrency is set."""
         return bool(self.requests_per_s or self.tokens_per_s or self.concurrency)
 
 
 @attrs.frozen
 class RequestTenant:
-    """A tenant whose requests are opaque.
+    """A tenant of request routes.
 
     Attributes
     ----------
     key_digests
-        Of its keys, by ``key_digest``.
+        Digests of its keys, as returned by ``key_digest``.
     priority
-        Rank that goes before its routes' ranks, 0 first; ``None`` if it has none of its own.
+        Rank that replaces the rank of the route, 0 first; ``None`` to use the route's rank.
     """
 
     name: str
@@ -56,7 +56,7 @@
 
 
 def bearer_key(authorization: Iterable[str]) -> str:
-    """Return the key in the values of the header; empty unless it is exactly one bearer key."""
+    """Return the bearer key in an ``Authorization`` header; empty unless there is exactly one."""
     values = list(authorization)
     if len(values) != 1:
         return ""
@@ -66,12 +66,12 @@
 
 
 def key_digest(key: bytes) -> str:
-    """Return the digest under which a key is known: SHA-256 in hexadecimal."""
+    """Return the digest that identifies a key: its SHA-256 hash in hexadecimal."""
     return hashlib.sha256(key).hexdigest()
 
 
 def tenant_by_digest(digests_by_tenant: Mapping[str, Iterable[str]]) -> dict[str, str]:
-    """Return the tenants' names by the digests of their keys."""
+    """Map the digest of each key to the name of its tenant."""
     return {
         digest.lower(): name for name, digests in digests_by_tenant.items() for digest in digests
     }
--- a/tests/test_configuration_commands.py
+++ b/tests/test_configuration_commands.py
@@ -1,4 +1,4 @@
-"""The operators' command line against a platform and a small fleet."""
+"""The operators' command line with a stand-in platform and a small fleet."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class CommandCase(PlatformCase):
-    """A platform with a small table, and the command line."""
+    """Base case: a platform with a small configuration, and the command line."""
 
     def setUp(self):
         super().setUp()
@@ -69,11 +69,11 @@
 
     @params(
         (f"{WEIGHT}=-1", WEIGHT, "use a number from 0"),
-        (f"{WEIGHT}=lots", WEIGHT, "write a value of that kind"),
+        (f"{WEIGHT}=lots", WEIGHT, "use a valid value"),
         ("routes/drafting/weight=1", "routes/drafting/weight", "routes/SERVICE/ZONE_GROUP/COLUMN"),
         ("routes/ghost/old-site/weight=1", "routes/ghost/old-site", "set services/ghost/kind"),
         ("tenants/acme/key_hashes=secret", "tenants/acme/key_hashes", "never the key"),
-        ("services/x/idempotent=true", "services/x", "give the cell a fitting value"),
+        ("services/x/idempotent=true", "services/x", "set the cell to a valid value"),
         (WEIGHT, WEIGHT, "write CELL=VALUE"),
     )
     def test_invalid_edit_names_cell_and_remedy(self, assignment, cell, remedy):
@@ -140,7 +140,7 @@
 
 
 class FleetCommandTest(CommandCase):
-    """Commands that look at the nodes."""
+    """Commands that need running nodes."""
 
     def setUp(self):
         super().setUp()
--- a/tests/test_configuration_edits.py
+++ b/tests/test_configuration_edits.py
@@ -1,4 +1,4 @@
-"""Cells, checks, edits, differences and tables: pure functions of the configuration."""
+"""Cells, checks, edits, differences and tables of the configuration, without any node."""
 
 from __future__ import annotations
 
@@ -58,9 +58,9 @@
     """Paths and values of cells."""
 
     @params(
-        ("weights/x", "names no table"),
+        ("weights/x", "unknown table"),
         ("routes/drafting/weight", "is not the path of a cell"),
-        ("routes/drafting/old-site/wait", "names no column"),
+        ("routes/drafting/old-site/wait", "unknown column"),
         ("tenants//concurrency", "empty or malformed name"),
         ("tenants/a b/concurrency", "empty or malformed name"),
     )
@@ -144,7 +144,7 @@
 
 
 class EditTest(unittest.TestCase):
-    """Merge, conflict and repetition."""
+    """Edits merge, conflict, and are recognised when they are repeated."""
 
     WEIGHT = "routes/drafting/old-site/weight"
 
@@ -213,7 +213,7 @@
 
 
 class DifferenceTest(unittest.TestCase):
-    """Followers reach the same document by differences."""
+    """Applying differences gives the same document as the edits."""
 
     def test_random_edits_by_differences_give_the_same_document(self):
         chance = random.Random(20)
@@ -248,7 +248,7 @@
 
 
 class TableTest(unittest.TestCase):
-    """Terminal and spreadsheet."""
+    """Rendering for a terminal, and export to and import from CSV."""
 
     def test_export_and_import_give_the_same_cells(self):
         imported = import_csv(export_csv(sample()))
@@ -262,10 +262,10 @@
     @params(
         ("", "generation"),
         ("generation,1\n,a,1\n", "before any table"),
-        ("generation,1\n[colours],name\n", "no table"),
-        ("generation,1\n[tenants],tenant,colour\n", "no column"),
+        ("generation,1\n[colours],name\n", "is not a table"),
+        ("generation,1\n[tenants],tenant,colour\n", "is not a column"),
         ("generation,1\n[tenants],concurrency\n", "is missing"),
-        ("generation,1\n[tenants],tenant,concurrency\n,a,many\n", "cannot be"),
+        ("generation,1\n[tenants],tenant,concurrency\n,a,many\n", "invalid value"),
         ("generation,1\n[tenants],tenant,concurrency\n,,3\n", "empty"),
     )
     def test_file_that_cannot_be_read_says_why(self, text, reason):
