--- a/src/quaymill/version/cells.py
+++ b/src/quaymill/version/cells.py
@@ -30,7 +30,7 @@
     "tenants": Tenant,
     "tuning": Tuning,
 }
-NAMES_IN_ROW = {"zone_groups": 1, "services": 1, "routes": 2, "tenants": 1, "tuning": 0}
+ROW_NAME_COUNTS = {"zone_groups": 1, "services": 1, "routes": 2, "tenants": 1, "tuning": 0}
 VALID_NAME = re.compile(r'[^\s/=,"]+')
 
 
@@ -66,7 +66,7 @@
         table, *rest = text.split("/")
         if table not in ROW_TYPES:
             return CellProblem(text, "unknown table", f"use one of {', '.join(ROW_TYPES)}")
-        if len(rest) != NAMES_IN_ROW[table] + 1:
+        if len(rest) != ROW_NAME_COUNTS[table] + 1:
             return CellProblem(text, "is not the path of a cell", f"use {path_pattern(table)}")
         *names, column = rest
         columns = ROW_TYPES[table].__struct_fields__
@@ -88,7 +88,7 @@
 
 def path_pattern(table: str) -> str:
     """Return the pattern of a table's cell paths for error messages."""
-    names = {0: "", 1: "NAME/", 2: "SERVICE/ZONE_GROUP/"}[NAMES_IN_ROW[table]]
+    names = {0: "", 1: "NAME/", 2: "SERVICE/ZONE_GROUP/"}[ROW_NAME_COUNTS[table]]
     return f"{table}/{names}COLUMN"
 
 
@@ -116,7 +116,7 @@
         value = msgspec.convert(raw, cell_type(path), strict=False)
     except msgspec.ValidationError as error:
         return CellProblem(str(path), f"invalid value {text!r}: {error}", "use a valid value")
-    return _plain(value)
+    return _to_cell_value(value)
 
 
 def format_value(value: CellValue) -> str:
@@ -135,37 +135,37 @@
 def read_cell(configuration: ServingConfiguration, path: CellPath) -> CellValue:
     """Return the value of a cell, ``None`` if its row does not exist."""
     row = read_row(configuration, path.table, path.names)
-    return None if row is None else _plain(getattr(row, path.column))
+    return None if row is None else _to_cell_value(getattr(row, path.column))
 
 
 def read_row(configuration: ServingConfiguration, table: str, names: tuple[str, ...]) -> Any:
     """Return a row, ``None`` if it does not exist."""
-    place = getattr(configuration, table)
+    row = getattr(configuration, table)
     for name in names:
-        place = place.get(name)
-        if place is None:
+        row = row.get(name)
+        if row is None:
             return None
-    return place
+    return row
 
 
 def rows_of(configuration: ServingConfiguration, table: str) -> Iterator[tuple[tuple, Any]]:
     """Yield the names and the cells of every row of a table."""
-    place = getattr(configuration, table)
+    rows = getattr(configuration, table)
     if table == "tuning":
-        yield (), place
+        yield (), rows
     elif table == "routes":
-        for service, groups in place.items():
+        for service, groups in rows.items():
             for group, route in groups.items():
                 yield (service, group), route
     else:
-        for name, row in place.items():
+        for name, row in rows.items():
             yield (name,), row
 
 
 def cells_of_row(table: str, names: tuple[str, ...], row: Any) -> Iterator[tuple[CellPath, Any]]:
     """Yield path and value of every cell of a row."""
     for column in ROW_TYPES[table].__struct_fields__:
-        value = None if row is None else _plain(getattr(row, column))
+        value = None if row is None else _to_cell_value(getattr(row, column))
         yield CellPath(table, names, column), value
 
 
@@ -184,7 +184,7 @@
         row = _changed_row(read_row(configuration, table, names), table, names, columns)
         if isinstance(row, CellProblem):
             return row
-        _put_row(configuration, tables, table, names, row)
+        _set_row(configuration, tables, table, names, row)
     return msgspec.structs.replace(configuration, **tables)
 
 
@@ -209,7 +209,7 @@
         return CellProblem(cell, str(error).replace("`$", "`"), "set the cell to a valid value")
 
 
-def _put_row(
+def _set_row(
     configuration: ServingConfiguration,
     tables: dict[str, Any],
     table: str,
@@ -220,24 +220,24 @@
     if table == "tuning":
         tables[table] = row
         return
-    place = tables.setdefault(table, dict(getattr(configuration, table)))
+    rows = tables.setdefault(table, dict(getattr(configuration, table)))
     if table == "routes":
         service, name = names
-        groups = dict(place.get(service, {}))
-        place[service] = groups
-        _put_name(groups, name, row)
+        groups = dict(rows.get(service, {}))
+        rows[service] = groups
+        _set_or_remove(groups, name, row)
         if not groups:
-            del place[service]
+            del rows[service]
     else:
-        _put_name(place, names[0], row)
+        _set_or_remove(rows, names[0], row)
 
 
-def _put_name(place: dict[str, Any], name: str, row: Any) -> None:
+def _set_or_remove(rows: dict[str, Any], name: str, row: Any) -> None:
     if row is None:
-        place.pop(name, None)
+        rows.pop(name, None)
     else:
-        place[name] = row
+        rows[name] = row
 
 
-def _plain(value: Any) -> CellValue:
+def _to_cell_value(value: Any) -> CellValue:
     return msgspec.convert(msgspec.to_builtins(value), CellValue)
--- a/src/quaymill/version/checks.py
+++ b/src/quaymill/version/checks.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from quaymill.version.cells import (
-    NAMES_IN_ROW,
+    ROW_NAME_COUNTS,
     ROW_TYPES,
     CellPath,
     CellProblem,
@@ -26,7 +26,7 @@
 KEY_HASH = re.compile(r"[0-9a-f]{64}")
 MAX_LIMIT = 1_000_000
 MAX_NAME_LENGTH = 100
-LARGEST_FLOAT = sys.float_info.max
+MAX_FLOAT = sys.float_info.max
 
 Ranges = dict[str, tuple[float, float]]
 
@@ -36,13 +36,13 @@
     "batch_limit": (0, MAX_LIMIT),
 }
 TENANT_RANGES: Ranges = {
-    "requests_per_s": (0, LARGEST_FLOAT),
-    "tokens_per_s": (0, LARGEST_FLOAT),
+    "requests_per_s": (0, MAX_FLOAT),
+    "tokens_per_s": (0, MAX_FLOAT),
     "concurrency": (0, MAX_LIMIT),
 }
 TUNING_RANGES: Ranges = {
     "batch_reserve": (0, MAX_LIMIT),
-    "result_retention_s": (60, LARGEST_FLOAT),
+    "result_retention_s": (60, MAX_FLOAT),
     "item_max_attempts": (1, 1000),
 }
 
@@ -162,7 +162,7 @@
         value = getattr(cells, column)
         # The comparison is also false for NaN.
         if not lowest <= value <= highest:
-            upper = "" if highest == LARGEST_FLOAT else f" to {highest}"
+            upper = "" if highest == MAX_FLOAT else f" to {highest}"
             remedy = f"use a number from {lowest}{upper}"
             problems = (*problems, CellProblem(f"{row}/{column}", f"is {value}", remedy))
     return problems
@@ -176,26 +176,28 @@
     for key in tree.keys() - set(ServingConfiguration.__struct_fields__):
         yield CellProblem(key, "is not a table of this version", "remove it, or upgrade the nodes")
     for table, row_type in ROW_TYPES.items():
-        yield from _locate_in_table(table, row_type, tree.get(table, {}), NAMES_IN_ROW[table], ())
+        yield from _locate_in_table(
+            table, row_type, tree.get(table, {}), ROW_NAME_COUNTS[table], ()
+        )
 
 
 def _locate_in_table(
-    table: str, row_type: type, place: Any, depth: int, names: tuple[str, ...]
+    table: str, row_type: type, value: Any, depth: int, names: tuple[str, ...]
 ) -> Iterator[CellProblem]:
     row_path = "/".join((table, *names))
-    if not isinstance(place, dict):
-        yield CellProblem(row_path, f"is {place!r}", "make it a table of rows")
+    if not isinstance(value, dict):
+        yield CellProblem(row_path, f"is {value!r}", "make it a table of rows")
         return
     if depth:
-        for name, child in place.items():
+        for name, child in value.items():
             yield from _locate_in_table(table, row_type, child, depth - 1, (*names, name))
         return
-    for column in place.keys() - set(row_type.__struct_fields__):
+    for column in value.keys() - set(row_type.__struct_fields__):
         yield CellProblem(
             f"{row_path}/{column}", "is not a column of this version", "remove the cell"
         )
     for column in row_type.__struct_fields__:
-        yield from _locate_in_cell(CellPath(table, names, column), row_type, place)
+        yield from _locate_in_cell(CellPath(table, names, column), row_type, value)
 
 
 def _locate_in_cell(path: CellPath, row_type: type, row: dict) -> Iterator[CellProblem]:
--- a/src/quaymill/version/differences.py
+++ b/src/quaymill/version/differences.py
@@ -91,17 +91,19 @@
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._kept: deque[ConfigurationDifference] = deque(maxlen=MAX_KEPT_DIFFERENCES)
+        self._differences: deque[ConfigurationDifference] = deque(maxlen=MAX_KEPT_DIFFERENCES)
 
     def add(self, differences: Iterable[ConfigurationDifference]) -> None:
         """Add differences that have just taken effect, oldest first."""
         with self._lock:
-            self._kept.extend(differences)
+            self._differences.extend(differences)
 
     def since(self, generation: int) -> tuple[ConfigurationDifference, ...] | None:
         """Return the differences after a generation; ``None`` if some are no longer kept."""
         with self._lock:
-            later = [kept for kept in self._kept if kept.generation > generation]
+            later = [
+                difference for difference in self._differences if difference.generation > generation
+            ]
         if not later or later[0].base_generation > generation:
             return None
         return tuple(later)
--- a/src/quaymill/version/edits.py
+++ b/src/quaymill/version/edits.py
@@ -72,8 +72,8 @@
     def __str__(self) -> str:
         author = f" by {self.author}" if self.author else ""
         return (
-            f"{self.cell}: was changed{author} to {_shown(self.found)} while you saw "
-            f"{_shown(self.expected)} (generation {self.generation}); "
+            f"{self.cell}: was changed{author} to {_describe(self.found)} while you saw "
+            f"{_describe(self.expected)} (generation {self.generation}); "
             "check the new value and edit again"
         )
 
@@ -128,15 +128,19 @@
     if problems:
         return EditInvalid(problems)
     changes = tuple(_recorded_changes(configuration, changed, paths))
-    return _committed(configuration, changed, edit, changes, now_unix_s)
+    return _next_generation(configuration, changed, edit, changes, now_unix_s)
 
 
 def restored_edit(
-    held: ServingConfiguration, generation: int, edit_id: str, author: str, now_unix_s: float
+    configuration: ServingConfiguration,
+    generation: int,
+    edit_id: str,
+    author: str,
+    now_unix_s: float,
 ) -> ServingConfiguration:
-    """Return ``held`` as the generation after ``generation``; earlier edits cannot be undone."""
+    """Return ``configuration`` as the generation after ``generation``, without undo records."""
     record = EditRecord(edit_id, author, generation + 1, now_unix_s, (), truncated=True)
-    return _with_record(held, record)
+    return _with_record(configuration, record)
 
 
 def undo_records(
@@ -159,7 +163,7 @@
     return earlier
 
 
-def _committed(
+def _next_generation(
     before: ServingConfiguration,
     changed: ServingConfiguration,
     edit: Edit,
@@ -210,5 +214,5 @@
     return configuration.generation
 
 
-def _shown(value: CellValue) -> str:
+def _describe(value: CellValue) -> str:
     return "unset" if value is None else format_value(value) or "an empty list"
--- a/src/quaymill/version/request_routes.py
+++ b/src/quaymill/version/request_routes.py
@@ -135,10 +135,10 @@
         by_prefix = {(route.host, route.path_prefix): route for route in self.routes}
         object.__setattr__(self, "_by_prefix", by_prefix)
         batch_services = (
-            part.service
+            weighted_service.service
             for route in self.routes
             if route.kind is RouteKind.BATCH
-            for part in route.services
+            for weighted_service in route.services
         )
         object.__setattr__(self, "batch_services", frozenset(batch_services))
         tenants = (self.tenants or {}).values()
--- a/src/quaymill/version/table.py
+++ b/src/quaymill/version/table.py
@@ -33,7 +33,7 @@
     "tuning": (),
 }
 GENERATION_LABEL = "generation"
-MAX_SHOWN_WIDTH = 40
+MAX_CELL_WIDTH = 40
 
 
 class ImportedTable(msgspec.Struct, frozen=True):
@@ -56,7 +56,7 @@
 
 def render_table(header: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
     """Format rows in aligned columns."""
-    lines = [tuple(header), *(tuple(_shortened(cell) for cell in row) for row in rows)]
+    lines = [tuple(header), *(tuple(_truncate(cell) for cell in row) for row in rows)]
     widths = [max(len(line[column]) for line in lines) for column in range(len(header))]
     return "\n".join(
         "  ".join(cell.ljust(width) for cell, width in zip(line, widths, strict=True)).rstrip()
@@ -154,5 +154,5 @@
     return None
 
 
-def _shortened(cell: str) -> str:
-    return cell if len(cell) <= MAX_SHOWN_WIDTH else cell[: MAX_SHOWN_WIDTH - 3] + "..."
+def _truncate(cell: str) -> str:
+    return cell if len(cell) <= MAX_CELL_WIDTH else cell[: MAX_CELL_WIDTH - 3] + "..."
--- a/tests/test_configuration_commands.py
+++ b/tests/test_configuration_commands.py
@@ -47,7 +47,7 @@
         self.assertEqual(actual, status, printed)
         return printed
 
-    def exported(self) -> Path:
+    def export_table(self) -> Path:
         file = self.folder / "table.csv"
         self.expect(0, "config", "export", "--output", str(file))
         return file
@@ -62,7 +62,7 @@
         self.assertIn("accepted as generation 2", printed)
         self.assertRegex(self.expect(0, "config", "show"), r"drafting +old-site +3 +64 +16")
 
-    def test_value_that_another_changed_is_refused_with_value_and_author(self):
+    def test_conflict_prints_the_new_value_and_its_author(self):
         self.expect(0, "config", "set", f"{WEIGHT}=3", "--author", "bo")
         printed = self.expect(1, "config", "set", f"{WEIGHT}=5", "--expect", "1")
         self.assertIn("was changed by bo to 3 while you saw 1", printed)
@@ -89,12 +89,12 @@
         self.expect(0, "config", "set", *(f"tenants/acme/{column}=" for column in columns))
         self.assertNotIn("acme", self.expect(0, "config", "show"))
 
-    def test_platform_down_changes_nothing_and_says_so(self):
+    def test_unreachable_platform_is_reported(self):
         set_faults(self.platform, down=True)
         self.assertIn("cannot be read", self.expect(1, "config", "set", f"{WEIGHT}=2"))
         self.assertIn("cannot be read", self.expect(1, "status"))
 
-    def test_same_edit_id_is_done_once(self):
+    def test_edit_id_is_applied_once(self):
         arguments = ("config", "set", f"{WEIGHT}=2", "--expect", "1", "--edit-id", "abc")
         self.expect(0, *arguments)
         self.expect(0, "config", "set", f"{WEIGHT}=7")
@@ -106,7 +106,7 @@
     """``config export`` and ``config import``."""
 
     def test_edited_file_is_one_edit_and_merges_with_others(self):
-        file = self.exported()
+        file = self.export_table()
         self.expect(0, "config", "set", "routes/drafting/new-site/weight=9")
         file.write_text(
             file.read_text().replace(",drafting,old-site,1,64", ",drafting,old-site,4,32")
@@ -117,24 +117,26 @@
         self.assertRegex(shown, r"old-site +4 +32 ")
         self.assertRegex(shown, r"new-site +9 ")
 
-    def test_cell_that_another_changed_since_the_export_conflicts(self):
-        file = self.exported()
+    def test_cell_changed_since_the_export_conflicts(self):
+        file = self.export_table()
         self.expect(0, "config", "set", f"{WEIGHT}=9", "--author", "bo")
         file.write_text(file.read_text().replace(",drafting,old-site,1,", ",drafting,old-site,4,"))
         self.assertIn("changed by bo to 9", self.expect(1, "config", "import", str(file)))
 
     def test_unchanged_file_changes_nothing(self):
-        self.assertIn("no cell differs", self.expect(0, "config", "import", str(self.exported())))
+        self.assertIn(
+            "no cell differs", self.expect(0, "config", "import", str(self.export_table()))
+        )
 
     def test_new_row_takes_defaults_for_empty_cells(self):
-        file = self.exported()
+        file = self.export_table()
         text = file.read_text().replace("[tuning]", ",acme,,5,,\n[tuning]")
         file.write_text(text)
         self.expect(0, "config", "import", str(file))
         self.assertRegex(self.expect(0, "config", "show"), r"acme +5 +0 +0")
 
-    def test_file_that_cannot_be_compared_with_the_stored_table_is_refused(self):
-        file = self.exported()
+    def test_file_of_an_unknown_generation_is_rejected(self):
+        file = self.export_table()
         file.write_text(file.read_text().replace("generation,1", "generation,99"))
         self.assertIn("export again", self.expect(1, "config", "import", str(file)))
 
@@ -165,8 +167,8 @@
         self.assertIn("is valid", self.expect(1, "config", "restore", "--node", str(node)))
 
     @params(("nowhere", "HOST:PORT"), ("127.0.0.1:1", "name another node"))
-    def test_node_that_cannot_be_asked(self, node, remedy):
+    def test_unreachable_node_is_reported(self, node, remedy):
         self.assertIn(remedy, self.expect(1, "config", "restore", "--node", node))
 
-    def test_status_without_a_writer_says_so(self):
+    def test_missing_status_is_reported(self):
         self.assertIn("no node has written a status yet", self.expect(1, "status"))
