--- a/src/quaymill/version/checks.py
+++ b/src/quaymill/version/checks.py
@@ -114,7 +114,7 @@
             other = group_of_zone.setdefault(zone, name)
             if other != name:
                 yield CellProblem(
-                    cell, f"zone {zone} is also in {other}", "keep the zone in one zone group"
+                    cell, f"zone {zone} is in {other} as well", "keep the zone in one zone group"
                 )
 
 
