--- a/src/quaymill/version/edits.py
+++ b/src/quaymill/version/edits.py
@@ -138,7 +138,7 @@
     author: str,
     now_unix_s: float,
 ) -> ServingConfiguration:
-    """Return ``configuration`` as the generation after ``generation``, without undo records."""
+    """Return ``configuration`` as ``generation + 1``; the edits before it cannot be undone."""
     record = EditRecord(edit_id, author, generation + 1, now_unix_s, (), truncated=True)
     return _with_record(configuration, record)
 
--- a/src/quaymill/version/request_routes.py
+++ b/src/quaymill/version/request_routes.py
@@ -13,7 +13,7 @@
 
 
 class RouteKind(enum.StrEnum):
-    """How requests of a route may be repeated and continued."""
+    """Kinds of routes, which differ in how their requests may be repeated."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non-idempotent"
@@ -47,9 +47,10 @@
         Whether a stream may be continued after its last event by another replica.
     gap_objective_s
         Maximum time between two events that is on time; ``None`` for no limit.
-    due_s, max_wait_s
-        Batch routes only: time after the first submission of the job at which all results are due,
-        and after which an item may be given up.
+    due_s
+        Batch routes only: time after the first submission of a job at which all results are due.
+    max_wait_s
+        Batch routes only: time after that submission from which an item may be given up.
     max_unfinished_tokens
         Batch routes only: maximum number of tokens of a tenant's accepted and unfinished items,
         over all gateways; 0 for no limit.
