--- a/src/quaymill/platform/replica_calls.py
+++ b/src/quaymill/platform/replica_calls.py
@@ -1,4 +1,4 @@
-"""Requests to replicas and the heads of their answers, in the platform's form."""
+"""Encodes requests to replicas and decodes their answer heads in the platform's format."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from quaymill.platform import names
 from quaymill.request.forwarded_request import ForwardedRequest
 
-CONNECTION_HEADERS = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "keep-alive",
@@ -26,17 +26,17 @@
         "upgrade",
     }
 )
-OWN_HEADERS = frozenset(
+GATEWAY_HEADERS = frozenset(
     name.lower()
     for name in (names.DEADLINE_MS, names.EXPECT_INSTANCE, names.LAST_EVENT_ID, "Content-Length")
 )
 IDENTITY_HEADERS = frozenset({names.AUTHORIZATION.lower(), names.TENANT.lower()})
-"""Where there are tenants, a key is kept from replicas, and who sends is told by us alone."""
+"""Removed if tenants are configured: replicas get no keys and only the gateway's tenant name."""
 LIBRARY_HEADERS = ("User-Agent", "Accept-Encoding")
-"""The HTTP library would add these of its own accord."""
+"""Headers that the HTTP library adds by default."""
 MISDIRECTED_STATUS = 421
-DEFAULT_KEEP_S = 4.0
-KEEP_MARGIN_S = 1.0
+DEFAULT_KEEP_ALIVE_S = 4.0
+KEEP_ALIVE_MARGIN_S = 1.0
 
 
 class _Report(msgspec.Struct):
@@ -53,9 +53,9 @@
     remaining_s: float,
     last_event_id: str | None = None,
 ) -> ReplicaRequest:
-    """Return the request as one replica gets it."""
+    """Build the request that is sent to a replica."""
     headers = HTTPHeaderDict()
-    dropped = CONNECTION_HEADERS | OWN_HEADERS | _named_by_connection(request.headers)
+    dropped = HOP_BY_HOP_HEADERS | GATEWAY_HEADERS | _hop_by_hop_headers(request.headers)
     if request.tenant is not None:
         dropped |= IDENTITY_HEADERS
     for name, value in request.headers:
@@ -76,9 +76,9 @@
 
 
 def read_answer_head(exchange: Exchange) -> AnswerHead:
-    """Return the head of the answer in ``exchange``, whose head has been read."""
+    """Return the answer's head from ``exchange``, which must have read it already."""
     headers = exchange.headers
-    dropped = CONNECTION_HEADERS | {"content-length"} | _named_by_connection(headers.items())
+    dropped = HOP_BY_HOP_HEADERS | {"content-length"} | _hop_by_hop_headers(headers.items())
     length = headers.get("Content-Length")
     status = exchange.status
     return AnswerHead(
@@ -102,7 +102,7 @@
 
 
 def read_report(body: bytes) -> EngineReport | None:
-    """Return an engine's report; ``None`` if it is not understood."""
+    """Decode an engine's report; return ``None`` if it is invalid."""
     try:
         report = msgspec.json.decode(body, type=_Report)
     except msgspec.MsgspecError:
@@ -113,7 +113,7 @@
 
 
 def read_load(text: str) -> ReportedLoad | None:
-    """Return what a replica tells of its load; ``None`` if its counts are not understood."""
+    """Parse the load that a replica reports; return ``None`` if its counts are invalid."""
     parts = text.split(",")
     try:
         running, waiting, slots = (int(part) for part in parts[:3])
@@ -122,8 +122,8 @@
     return ReportedLoad(running, waiting, slots, read_slowness("".join(parts[3:4])))
 
 
-def _named_by_connection(headers) -> frozenset[str]:
-    """Return the headers that a ``Connection`` header says concern one connection only."""
+def _hop_by_hop_headers(headers) -> frozenset[str]:
+    """Return the names of the hop-by-hop headers that ``Connection`` headers list."""
     named = [value for name, value in headers if name.lower() == "connection"]
     return frozenset(token.strip().lower() for value in named for token in value.split(","))
 
@@ -134,5 +134,5 @@
     for parameter in headers.get("Keep-Alive", "").split(","):
         name, _, value = parameter.strip().partition("=")
         if name.lower() == "timeout" and value.isdigit():
-            return max(0.0, int(value) - KEEP_MARGIN_S)
-    return DEFAULT_KEEP_S
+            return max(0.0, int(value) - KEEP_ALIVE_MARGIN_S)
+    return DEFAULT_KEEP_ALIVE_S
--- a/src/quaymill/process/front/access.py
+++ b/src/quaymill/process/front/access.py
@@ -86,7 +86,7 @@
     if routes.tenants is None:
         return Caller(None, has_tenants=False, version=routes.version)
     digest = key_digest(key) if key else ""
-    tenant = routes.holder_of(digest) if digest else None
+    tenant = routes.find_tenant(digest) if digest else None
     if tenant is None and key_needed:
         return None
     return Caller(tenant, True, digest, routes.version)
@@ -96,7 +96,7 @@
     """Return the state of an identified caller's key in the given configuration."""
     if caller.tenant is None or routes.version == caller.version:
         return KeyState.UNCHANGED
-    holder = routes.holder_of(caller.digest)
+    holder = routes.find_tenant(caller.digest)
     if holder is None:
         return KeyState.REVOKED
     same = holder.name == caller.tenant.name
--- a/tests/test_tenant_keys.py
+++ b/tests/test_tenant_keys.py
@@ -104,7 +104,7 @@
         spec = configuration(3, tenants=(tenant("office", KEY, rate_per_s=100, burst=50),))
         routes = decode_configuration(spec)
         self.assertNotIn(KEY, repr(routes))
-        found = routes.holder_of(key_digest(KEY.encode()))
+        found = routes.find_tenant(key_digest(KEY.encode()))
         self.assertEqual("office", found.name)
         self.assertEqual(TenantLimits(100.0, 50.0), found.limits)
         self.assertIsNone(found.priority)
