--- a/tests/test_configuration_faults.py
+++ b/tests/test_configuration_faults.py
@@ -215,7 +215,7 @@
         for _ in range(3):
             self.edit()
         for node in self.fleet.nodes[:5]:
-            node.service._differences._kept.clear()
+            node.service._differences._differences.clear()
         self.fleet.heal()
         self.expect_in_force()
 
