--- a/src/quaymill/process/limits/bucket.py
+++ b/src/quaymill/process/limits/bucket.py
@@ -52,7 +52,7 @@
         return taken
 
     def take_whole(self, amount: float) -> bool:
-        """Take ``amount`` if the balance is positive, even if it is smaller; return whether."""
+        """Take ``amount`` if the balance is above 0, even if too small; return whether taken."""
         self._refill()
         if self._balance <= 0.0:
             return False
--- a/src/quaymill/process/limits/fleet.py
+++ b/src/quaymill/process/limits/fleet.py
@@ -11,8 +11,8 @@
 from quaymill.process.membership.ranking import rank_nodes, strongest_members
 
 SILENT_GATEWAY_LIFETIME_S = 30.0
-"""How long an unresponsive gateway counts as one that may be partitioned and still serve. It should
-exceed the length of network partitions; until then the share of a removed gateway is not used."""
+"""How long an unresponsive gateway is assumed to be partitioned and still serving, so that no other
+gateway uses its share. Should exceed the length of network partitions."""
 RECENT_START_S = 4.0
 """Time after the start in which other gateways may still be unknown (``TIMING.join_period_s``)."""
 VIEW_LIFETIME_S = 0.25
--- a/src/quaymill/process/limits/granter.py
+++ b/src/quaymill/process/limits/granter.py
@@ -1,4 +1,4 @@
-"""Lends credits of the tenants for which this gateway ranks first, and so is their granter.
+"""Lends the credits of tenants; the gateway that ranks first for a tenant is its granter.
 
 Nothing is stored on disk. A gateway that becomes the granter of a tenant takes over from those that
 may have been it before, which stop granting. The gateways that use credits report what the earlier
@@ -77,7 +77,8 @@
     Attributes
     ----------
     requests
-        ``None`` until this gateway has begun to grant, and if requests are not limited.
+        ``None`` if requests are not limited, before this gateway begins to grant, and after it has
+        handed the tenant over.
     tokens
         ``None`` if tokens are not limited.
     leases
@@ -176,7 +177,7 @@
             return msgspec.structs.replace(lent, by=self.rules.granter)
 
     def handle_return(self, message: ReturnCredits) -> ReturnedCredits:
-        """Add credits that a gateway did not use."""
+        """Add the tokens that a gateway did not use, and record its slots in use."""
         credits = self._credits_of(message.tenant)
         with credits.lock:
             credits.handle_return(message)
--- a/src/quaymill/process/limits/local_credits.py
+++ b/src/quaymill/process/limits/local_credits.py
@@ -8,8 +8,8 @@
 from quaymill.version.tenants import TenantLimits
 
 BORROW_AHEAD_S = 0.1
-"""A gateway borrows the requests for this time in advance; they expire after twice this time, so
-that few of them are used in a later window than they were lent in."""
+"""A gateway borrows the requests for this time in advance. They expire after twice this time, so
+that few are granted in one window and used in the next."""
 
 
 class LocalCredits:
@@ -20,7 +20,7 @@
     requests, requests_expire_at
         Requests that may still be admitted, and until when (monotonic time).
     slots
-        Slots lent by the last answer.
+        Slots lent by granters, at most ``in_service`` after a request has ended.
     in_service
         Requests that were admitted and have not ended.
     admitted, admitted_since
--- a/src/quaymill/process/limits/request_credits.py
+++ b/src/quaymill/process/limits/request_credits.py
@@ -2,8 +2,8 @@
 
 Within any window, no more requests are granted than the limit allows. An earlier granter does not
 hand over its counts. Instead, each gateway that borrows reports what it was granted within the last
-window, and by which granter. If there may have been an earlier granter, grants are paced to the
-rate of the limit until a whole window has passed, as not all gateways have reported before.
+window, and by which granter. If there may have been an earlier granter, a new granter paces its
+grants to the rate of the limit for one window, as some gateways may not have reported until then.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
     ----------
     granter
         Name of the process that grants.
-    may_follow
+    may_have_predecessor
         Whether another process may have granted requests within the last window.
     """
 
--- a/src/quaymill/process/limits/shares.py
+++ b/src/quaymill/process/limits/shares.py
@@ -2,9 +2,9 @@
 
 A gateway that reaches only some of the gateways cannot know whether the others have stopped or are
 partitioned and still serve. So it grants only a share of the limit that is proportional to the
-gateways it reaches: the shares of all partitions add up to the limit. The overrun tolerated by
-operators covers the remaining cases: changes of the granter, and gateways that have not detected
-the partition yet.
+gateways it reaches: the shares of all groups of gateways that reach each other ("partitions") add
+up to the limit. The overrun tolerated by operators covers the remaining cases: changes of the
+granter, and gateways that have not detected the partition yet.
 
 This module has no state; ``granter`` and ``limiter`` keep it.
 """
--- a/src/quaymill/process/limits/window.py
+++ b/src/quaymill/process/limits/window.py
@@ -8,8 +8,8 @@
 import attrs
 
 INTERVALS = 50
-"""Intervals of a window whose amounts are counted together. An interval counts until the whole of
-it has left the window."""
+"""Number of intervals of a window. The amounts of an interval are summed, and count until all of
+the interval has left the window."""
 
 
 @attrs.define
--- a/src/quaymill/process/poison/sharing.py
+++ b/src/quaymill/process/poison/sharing.py
@@ -142,7 +142,7 @@
                 log_message("request:crash_sharing_error", error=repr(error))
 
     def _wait_s(self) -> float | None:
-        """Return the time until there is work without being woken; ``None`` if there is none."""
+        """Return the maximum time to wait for a wake-up; ``None`` if no work is pending."""
         if not self._caught_up:
             return CATCH_UP_INTERVAL_S
         if self._differing:
@@ -225,8 +225,8 @@
     def _mark_if_barred(self, content: str, *, detected_here: bool) -> None:
         """Mark a content to be written to the store if it is barred; the lock is held.
 
-        If the crashes were detected by other gateways, only the one that ranks first for the
-        content writes it.
+        If the crashes were detected by another gateway, this one writes the content only if it
+        ranks first for it.
         """
         if not self._is_barred(content):
             return
--- a/src/quaymill/process/replica_set/online_queue.py
+++ b/src/quaymill/process/replica_set/online_queue.py
@@ -39,8 +39,8 @@
 MIN_REMAINING_TIME_SAMPLES = 8
 """With fewer samples, every request counts as a first attempt."""
 FIRST_ATTEMPT_QUANTILE = 0.75
-"""Quantile of the remaining times that is taken as that of a first attempt: retries have less time
-left, and few callers start with more."""
+"""Quantile of the recent remaining times that a first attempt is assumed to have: retries have less
+time left, and few callers start with more."""
 SERVICE_TIME_WEIGHT = 0.05
 """Weight of the newest request in the moving average of the service time."""
 ASSUMED_SERVICE_OBJECTIVES = 2.0
@@ -50,11 +50,13 @@
 """Time from the dispatch deadline to the caller's timeout, as a multiple of the average service
 time."""
 DISPATCH_DEADLINE_MARGIN_S = 0.5
-"""Added to that for the network round trip to the caller and one step of the engine."""
+"""Further time between the dispatch deadline and the caller's timeout: covers the network round
+trip to the caller and one step of the engine."""
 RECHECK_INTERVAL_S = 0.25
 """How often a queued request rechecks whether it may be dispatched."""
 SLOT_REQUEST_INTERVAL_S = 1.0
-"""Interval at which a queued request repeats its slot request: the allocator may have restarted."""
+"""Interval at which a request in the allocator's queue repeats its slot request, as the allocator
+may have restarted. Other requests repeat it at each recheck."""
 MIN_LOGGED_WAIT_S = 0.05
 """Shorter waits are not logged."""
 
@@ -84,7 +86,7 @@
 
 
 def _no_allocator(service: str, request: ForwardedRequest, terms: QueueTerms) -> None:
-    """Act as if there were no slot allocator."""
+    """Return ``None``, as there is no slot allocator."""
 
 
 @attrs.define(eq=False)
@@ -148,7 +150,7 @@
     service_s
         Moving average of the measured service times; 0 before the first answer.
     first_byte_s
-        Time from the start of service to the first byte.
+        Smoothed time to the first byte, of the replica that completed an answer last.
     """
 
     def __init__(self) -> None:
@@ -354,7 +356,7 @@
         self._release_slot(replica)
 
     def record(self, service: str, took_s: float, first_byte_s: float) -> None:
-        """Record the service times of a request, and dispatch the requests that may go now."""
+        """Record the times of a request, and dispatch the requests that may be dispatched now."""
         with self._lock:
             queue = self._queues_by_service.setdefault(service, _ServiceQueue())
             queue.service_s = _moving_average(queue.service_s, took_s)
@@ -362,7 +364,7 @@
         self.recheck()
 
     def recheck(self) -> None:
-        """Dispatch the requests that may go now, after loads have changed or time has passed."""
+        """Dispatch what may be dispatched now, after loads have changed or time has passed."""
         now = boot_clock.now()
         with self._lock:
             for service, queue in self._queues_by_service.items():
@@ -370,7 +372,7 @@
                     self._dispatch_ready(service, queue, now)
 
     def _dispatch_ready(self, service: str, queue: _ServiceQueue, now: float) -> None:
-        """Dispatch the requests of one queue that may go now, in dispatch order."""
+        """Dispatch the requests of one queue that may be dispatched now, in dispatch order."""
         first_byte_s = queue.first_byte_s
         ordered = sorted(
             (queued for queued in queue.requests if not queued.wait_ended.is_set()),
--- a/src/quaymill/process/replica_set/replica.py
+++ b/src/quaymill/process/replica_set/replica.py
@@ -17,7 +17,7 @@
 REPORT_HALF_LIFE_S = 1.0
 """Half-life of the load of other processes according to the last report."""
 POOL_VIEW_LIFETIME_S = 0.6
-"""How long the allocator's report on a replica is used; reports normally arrive twice as often."""
+"""How long the allocator's report on a replica is used; twice the usual interval of reports."""
 BATCH_ITEM_LOAD = 0.25
 """Load of a batch item, in online requests: it is preempted for them, which takes some time."""
 FAILURE_HALF_LIFE_S = 2.0
@@ -180,7 +180,7 @@
             self._answering += 1
 
     def end_answer(self) -> None:
-        """Stop counting a request whose answer had begun."""
+        """Stop counting a request that was counted by ``begin_answer``."""
         with self._lock:
             self._answering -= 1
 
@@ -283,7 +283,7 @@
         return boot_clock.now() - self._reported_at
 
     def record_success(self, first_byte_s: float) -> None:
-        """Record a timely answer, and halve the penalty."""
+        """Record a successful answer and the time to its first byte, and halve the penalty."""
         with self._lock:
             self._set_penalty(self._current_penalty() / 2)
             self._first_byte_s += LATENCY_WEIGHT * (first_byte_s - self._first_byte_s)
@@ -353,7 +353,7 @@
         return len(self._warnings) >= MIN_WARNINGS and (len(zones) > 1 or self.entry.zone in zones)
 
     def _set_penalty(self, penalty: float) -> None:
-        """Store a penalty, and log an ejection or the end of one; the lock is held."""
+        """Store a penalty, and log if the replica becomes ejected or restored; the lock is held."""
         self._penalty = penalty
         self._penalty_at = boot_clock.now()
         ejected = penalty >= EJECTION_PENALTY
--- a/src/quaymill/process/replica_set/router.py
+++ b/src/quaymill/process/replica_set/router.py
@@ -33,8 +33,8 @@
 MIN_OFFSET = 0.1
 """Smallest offset in requests that is sent to the slot allocator."""
 LAST_RESORT_DEPARTED_S = 0.5
-"""How long after its departure a replica may still be used if there is no other. Together with the
-delay until a departure is read, it is shorter than the time for which a leaving replica serves."""
+"""How long after its departure a replica may still be used if there is no other. A leaving replica
+must serve for longer than this time plus the delay until its departure is read."""
 
 
 @attrs.frozen
@@ -160,7 +160,7 @@
         return least_costly(candidates, Replica.load, self._zone, offsets, self._random)
 
     def _offsets(self, candidates: list[Replica], prompt: Prompt) -> dict[str, float]:
-        """Return the load offsets by recent failures and cached prompt parts, by replica."""
+        """Return the load offsets for recent failures and cached prompt parts, by replica id."""
         bonuses = self._affinity_bonuses(candidates, prompt)
         offsets = {
             replica.id: PENALTY_LOAD * replica.penalty - bonuses.get(replica.id, 0.0)
@@ -180,7 +180,10 @@
 
 
 def _has_just_departed(replica: Replica) -> bool:
-    """Return whether a departed replica may still serve: entries also expire in a store outage."""
+    """Return whether a replica departed so recently that it may still serve.
+
+    It may even be healthy, as entries also expire during an outage of the store.
+    """
     return (
         replica.departed_at is not None
         and not replica.misdirected
--- a/src/quaymill/process/replica_set/table.py
+++ b/src/quaymill/process/replica_set/table.py
@@ -74,8 +74,8 @@
 
         The revision of the table increases only when its content changes, so that gateways with
         the same replicas do not exchange them. A list that is older than the last one is ignored.
-        If its revision is above that of the table, another gateway would keep sending it, so the
-        revision of the table is raised to that of the last list.
+        If the revision of the ignored list is above that of the table, another gateway would keep
+        sending it, so the revision of the table is raised to that of the last list.
 
         Parameters
         ----------
--- a/src/quaymill/request/admission.py
+++ b/src/quaymill/request/admission.py
@@ -36,8 +36,7 @@
             if self._in_service < self._limit:
                 self._in_service += 1
                 return None
-            # One request ends every mean service time / limit, so half of the mean service time
-            # is enough for several requests to end.
+            # About half of the requests in service end within half of the mean service time.
             wait_s = min(MAX_RETRY_AFTER_S, self._mean_service_s / 2)
         return NotRun(
             503,
--- a/src/quaymill/request/answer_buffer.py
+++ b/src/quaymill/request/answer_buffer.py
@@ -35,7 +35,7 @@
 UNREAD_TIMEOUT_S = 25.0
 """How long a caller may read nothing of an answer that has been received completely.
 
-Applies only if the caller's connection has no timeout; the same as for idle connections."""
+Applies only if the caller's connection has no timeout of its own."""
 SEND_BYTES = 64 * 1024
 MILLISECONDS = 1000.0
 
--- a/src/quaymill/request/answer_relay.py
+++ b/src/quaymill/request/answer_relay.py
@@ -42,7 +42,10 @@
         """Send a block of the body."""
 
     def send_buffered(self, timeout_s: float, readable: int = -1) -> bool:
-        """Send buffered data; return early once the descriptor ``readable`` has data to read."""
+        """Send buffered data, or return once the descriptor ``readable`` has data to read.
+
+        Returns ``False`` if neither was possible within the timeout.
+        """
 
     def abort(self) -> None:
         """Close the connection without completing the answer."""
--- a/src/quaymill/request/dispatch_order.py
+++ b/src/quaymill/request/dispatch_order.py
@@ -14,7 +14,7 @@
 WAIT_MARGIN_COMPLETIONS = 0.5
 """Safety margin on the expected wait, as a multiple of the mean time between two completions.
 
-From 1.0 on, requests would be queued that a single completion would serve in time."""
+At 1.0 or more, requests would stay queued that could be served in time after one completion."""
 
 
 @attrs.frozen
--- a/src/quaymill/request/forwarding.py
+++ b/src/quaymill/request/forwarding.py
@@ -78,7 +78,14 @@
 
 @attrs.frozen
 class ReplicaProtocol:
-    """Builds the requests to replicas and reads the heads of their answers."""
+    """Builds the requests to replicas and reads the heads of their answers.
+
+    Attributes
+    ----------
+    build_request
+        Called with the caller's request, the replica's id, the remaining time in seconds, and the
+        id of the event after which the answer is resumed.
+    """
 
     build_request: Callable[[ForwardedRequest, str, float, str | None], ReplicaRequest]
     read_answer_head: Callable[[Exchange], AnswerHead]
--- a/src/quaymill/request/forwarding_result.py
+++ b/src/quaymill/request/forwarding_result.py
@@ -31,7 +31,7 @@
     timed_out
         Whether the request's deadline passed.
     retry_after_s
-        Seconds until it may be served; ``None`` if unknown.
+        Seconds after which the caller may retry; ``None`` if unknown.
     """
 
     reason: str
--- a/src/quaymill/request/outcome.py
+++ b/src/quaymill/request/outcome.py
@@ -30,7 +30,7 @@
     retry_after_s
         Seconds after which to retry; ``None`` if a retry cannot help.
     by_replica
-        Whether a replica refused the request itself, for example while draining.
+        Whether the refusal was sent by a replica, for example while draining.
     """
 
     status: int
--- a/src/quaymill/request/poison.py
+++ b/src/quaymill/request/poison.py
@@ -35,7 +35,7 @@
 
 
 class PoisonGuard(Protocol):
-    """Tells a request or batch item whether earlier runs of its content crashed replicas.
+    """Decides whether a request or batch item may be run, by the crashes of its earlier runs.
 
     ``content`` is a content digest, see ``ForwardedRequest``.
     """
@@ -44,7 +44,7 @@
         """Return for how many seconds a content must not be run; 0 if it may be run."""
 
     def handle_early_close(self, content: str, incarnation: str, address: Endpoint) -> None:
-        """Record that a replica closed the connection before its answer was complete."""
+        """Handle a connection that closed before the answer was complete, maybe by a crash."""
 
     def record_served(self, content: str) -> None:
         """Record that a replica has served the content completely."""
--- a/src/quaymill/request/presence.py
+++ b/src/quaymill/request/presence.py
@@ -13,10 +13,10 @@
 class CallerPresence:
     """Whether the caller of one request is still connected; thread-safe.
 
-    A request attaches a function that cancels its current attempt. The watch of the caller's
-    connection calls ``leave`` when the caller disconnects. ``interrupt`` is called when the node
-    stops: the attempt is cancelled, no other is made, and the caller gets an error. Both may be
-    called from any thread; what is attached afterwards is cancelled at once.
+    A request attaches a function that cancels its current attempt. The code that watches the
+    caller's connection calls ``leave`` when the caller disconnects. ``interrupt`` is called when
+    the node stops: the attempt is cancelled, no other is made, and the caller gets an error. Both
+    may be called from any thread; what is attached afterwards is cancelled at once.
     """
 
     def __init__(self) -> None:
--- a/src/quaymill/request/relay.py
+++ b/src/quaymill/request/relay.py
@@ -134,7 +134,7 @@
         return None
 
     def _record_for_caller(self, events: bytes, current: OpenStream) -> bytes:
-        """Record events; replace the attempt id and usage in events of a resumed stream."""
+        """Record and return events; replace attempt id and usage in those of a resumed stream."""
         attempt_id = current.attempt_id.encode()
         if attempt_id != self._first_id:
             events = events.replace(attempt_id, self._first_id)
--- a/src/quaymill/request/replica_choice.py
+++ b/src/quaymill/request/replica_choice.py
@@ -49,7 +49,7 @@
 
     @property
     def id(self) -> str:
-        """Id of this start of the replica."""
+        """Id of this process instance of the replica."""
 
     @property
     def entry(self) -> ReplicaEntry:
@@ -71,10 +71,10 @@
         """Record that data was received from the replica."""
 
     def begin_answer(self) -> None:
-        """Count a request whose answer has started to arrive."""
+        """Count a request whose answer has begun, or whose connection was closed."""
 
     def end_answer(self) -> None:
-        """Stop counting a request whose answer had started to arrive."""
+        """Stop counting a request that was counted by ``begin_answer``."""
 
     def begin(self) -> None:
         """Count a request that is being sent."""
@@ -83,7 +83,7 @@
         """Stop counting a request."""
 
     def load(self) -> float:
-        """Return the estimated number of requests at the replica."""
+        """Return the estimated load of the replica, in online requests."""
 
     def report_age_s(self) -> float:
         """Return the age of the last load report in seconds."""
@@ -153,9 +153,9 @@
 
         Returns
         -------
-        The replica of which the request was granted a slot; ``None`` if any replica may be
-        chosen. The request is already counted at a granted replica, so it must be sent there or
-        the slot released with ``release_slot``.
+        The replica on which the request was granted a slot, or the refusal; ``None`` if any
+        replica may be chosen. The request is already counted at a granted replica, so it must be
+        sent there or the slot released with ``release_slot``.
         """
 
     def release_slot(self, replica: ChosenReplica) -> None:
--- a/src/quaymill/request/service_queue.py
+++ b/src/quaymill/request/service_queue.py
@@ -26,9 +26,8 @@
     """The queue of one service, limited in length and in waiting time.
 
     A request is refused at once if the queue is full, or if its expected wait exceeds
-    ``MAX_WAIT_S`` or its deadline.
-    The refusal contains the time after which capacity is expected, which is estimated from the
-    queue length and the rate at which requests ended recently.
+    ``MAX_WAIT_S`` or its deadline. The refusal contains the time after which capacity is expected,
+    which is estimated from the queue length and the rate at which requests ended recently.
     """
 
     def __init__(self, limit: int) -> None:
@@ -55,7 +54,8 @@
         """Wait until ``choose`` finds a replica with a free slot.
 
         ``choose`` returns a refusal with status 429 while there is none; any other refusal
-        ends the wait and is returned.
+        ends the wait and is returned. If the wait takes too long or the node stops, a refusal with
+        status 429 is returned.
 
         Raises
         ------
--- a/tests/limit_player.py
+++ b/tests/limit_player.py
@@ -8,7 +8,8 @@
 ``store``
     Credits are taken from one object per tenant in the platform's store, by compare-and-swap.
 ``shares``
-    Each gateway admits a share of the rate, by the demands that gateways sent each other before.
+    Each gateway admits a share of the rate, in proportion to the demands that gateways send each
+    other.
 
 The simulation only determines when requests arrive and what gateways know of each other.
 """
@@ -62,7 +63,8 @@
         ``killed``: callers use other gateways; ``cut``: partitioned from the other gateways, but
         still serving; ``paused``: callers wait, and the gateways continue with their old state.
     with_granter
-        Whether granters are among these gateways.
+        Whether two gateways that rank first for tenants are affected before any others; if not,
+        all are drawn by the seed.
     """
 
     at: float
@@ -109,7 +111,7 @@
         return self.usual_per_s / (rank + 1) ** 0.7 / total
 
     def limit_of(self, rank: int) -> float:
-        """Return the limit of the tenant with a rank: requests per second, and its burst."""
+        """Return the limit of the tenant with a rank, in requests/s; its burst is the same."""
         return max(5.0, round(self.headroom_x * self.usual_of(rank)))
 
 
@@ -502,7 +504,7 @@
         drawn = list(self.gateways)
         self._random.shuffle(drawn)
         if fault.with_granter:
-            # Gateways 0 and 1 have more processor time and so are granters; the others are random.
+            # Gateways 0 and 1 are among those with more processor time, which are granters.
             drawn.sort(key=lambda one: one.index not in (0, 1))
         return tuple(drawn[: max(1, round(fault.share * len(drawn)))])
 
--- a/tests/test_answer_buffer.py
+++ b/tests/test_answer_buffer.py
@@ -196,7 +196,7 @@
 
 
 class LongAnswerTest(SlowReaderCase):
-    """An answer that is larger than the buffer of one answer may be."""
+    """An answer that is larger than the maximum buffer of one answer."""
 
     budget_bytes = 4 * MEGABYTE
     answer_bytes = 24 * MEGABYTE
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -161,7 +161,7 @@
         other = limiters.limiters[limiters.others[0]]
         deadline = time.monotonic() + 2.0
         while other.admit(TENANT, 0) is not None:
-            self.assertLess(time.monotonic(), deadline, "the slot did not come back")
+            self.assertLess(time.monotonic(), deadline, "the slot was not returned")
             time.sleep(0.01)
 
     def test_refusal_names_the_limit_and_the_retry_time(self):
@@ -178,7 +178,7 @@
         for limiter in limiters.limiters * 4:
             deadline = time.monotonic() + 2.0
             while limiter.admit(TENANT, 1000) is not None:
-                self.assertLess(time.monotonic(), deadline, "the tokens did not come back")
+                self.assertLess(time.monotonic(), deadline, "the tokens were not returned")
                 time.sleep(0.01)
             limiter.release(TENANT, 1000, 1)
 
--- a/tests/test_online_queue.py
+++ b/tests/test_online_queue.py
@@ -1,4 +1,4 @@
-"""Which online requests are queued while every engine is full, and in which order they go.
+"""Which online requests are queued while every engine is full, and in which order they leave.
 
 Guards against requests that queue at full engines and make all later requests late.
 """
@@ -209,7 +209,7 @@
         self.send("fresh", timeout_s=CALLER_TIMEOUT_S / 2, tenant="small")
         self.wait_dispatched(1)
         self.assertEqual(["fresh"], self.dispatched)
-        # Its dispatch deadline is later.
+        # Its dispatch deadline is later, so it was not dispatched because of that.
         self.assertLess(time.monotonic() - began, 1.0)
 
     def test_samples_of_many_tenants_are_bounded(self) -> None:
--- a/tests/test_poison_load.py
+++ b/tests/test_poison_load.py
@@ -36,7 +36,7 @@
     Attributes
     ----------
     served, lost
-        Streams that were served, and that were not served by any try.
+        Streams that were served, and that were not served in any attempt.
     aborted
         Runs of streams that a crash aborted.
     refused
--- a/tests/test_zone_cut.py
+++ b/tests/test_zone_cut.py
@@ -172,7 +172,7 @@
         self.assertEqual([], late)
 
     def test_request_waiting_for_its_first_byte_is_retried_at_once(self) -> None:
-        # The replica's own silence must not end the attempt before the zone's state does.
+        # Keeps the replica's silence from ending the attempt before its zone counts as unreachable.
         patch = mock.patch.object(forwarding, "SILENCE_TIMEOUT_S", WHOLE_ANSWER_TIMEOUT_S)
         patch.start()
         self.addCleanup(patch.stop)
@@ -183,7 +183,7 @@
             self.send(name, "/read/x")
             wait_until(lambda name=name: local.runs_of(name), f"the {name} runs in the local zone")
         third = self.send("third", "/read/x")
-        wait_until(lambda: other.runs_of("third"), "another runs elsewhere")
+        wait_until(lambda: other.runs_of("third"), "the third runs in another zone")
         local.behaviour = ReplicaBehaviour()
         self.cut()
         self.assertEqual(200, third.result().status)
