--- a/src/quaymill/process/limits/granter.py
+++ b/src/quaymill/process/limits/granter.py
@@ -231,7 +231,7 @@
             "limit:granting",
             tenant=tenant,
             allowed=round(credits.requests.allowed, 1),
-            window_s=credits.requests.limits_window_s,
+            window_s=credits.requests.window_length_s,
             gateways=view.live,
             known=view.known,
         )
--- a/src/quaymill/process/limits/request_credits.py
+++ b/src/quaymill/process/limits/request_credits.py
@@ -77,7 +77,7 @@
         return self._allowed
 
     @property
-    def limits_window_s(self) -> float:
+    def window_length_s(self) -> float:
         """Length of the window in seconds."""
         return self._granted.window_s
 
--- a/src/quaymill/process/poison/barred_store.py
+++ b/src/quaymill/process/poison/barred_store.py
@@ -64,7 +64,7 @@
             return listing
         records = []
         for stored in listing.objects:
-            record = _record(stored)
+            record = _read_record(stored)
             if record is None:
                 continue
             if record.age_s > BARRED_S:
@@ -74,7 +74,7 @@
         return tuple(records)
 
 
-def _record(stored: StoredObject) -> CrashRecord | None:
+def _read_record(stored: StoredObject) -> CrashRecord | None:
     try:
         barred = msgspec.convert(stored.spec, _Barred)
     except msgspec.ValidationError as error:
--- a/src/quaymill/process/replica_set/online_queue.py
+++ b/src/quaymill/process/replica_set/online_queue.py
@@ -107,7 +107,7 @@
         Estimated time since the first attempt of its caller.
     ticket
         Identifies it in the allocator's queue.
-    asked_at
+    slot_requested_at
         When a slot was last requested from the allocator.
     in_allocator_queue
         Whether it waits in the allocator's queue. The local queue then dispatches it only at its
@@ -126,7 +126,7 @@
     rank: int
     age_s: float = 0.0
     ticket: str = ""
-    asked_at: float = 0.0
+    slot_requested_at: float = 0.0
     in_allocator_queue: bool = False
     was_in_allocator_queue: bool = False
     answer: ChosenReplica | CannotServeInTime | None = None
@@ -280,7 +280,7 @@
         try:
             while not queued.wait_ended.wait(RECHECK_INTERVAL_S) and not presence.gone:
                 if (
-                    boot_clock.now() - queued.asked_at >= SLOT_REQUEST_INTERVAL_S
+                    boot_clock.now() - queued.slot_requested_at >= SLOT_REQUEST_INTERVAL_S
                     or not queued.in_allocator_queue
                 ):
                     self._ask_allocator(service, queue, queued, request)
@@ -308,7 +308,7 @@
         """Request a slot from the allocator; return ``None`` if the request has to wait."""
         now = boot_clock.now()
         with self._lock:
-            queued.asked_at = now
+            queued.slot_requested_at = now
             # A grant may arrive before this call returns.
             queued.in_allocator_queue = True
             terms = QueueTerms(
--- a/src/quaymill/process/replica_set/router.py
+++ b/src/quaymill/process/replica_set/router.py
@@ -80,7 +80,7 @@
         self._zone = zone
         self._place = place
         self._random = random.Random(seed)
-        self._served: dict[tuple[str, tuple[WeightedService, ...]], dict[str, int]] = {}
+        self._choices_by_route: dict[tuple[str, tuple[WeightedService, ...]], dict[str, int]] = {}
 
     def choose_service(self, route: RequestRoute) -> str:
         """Return the service of a route whose share is furthest behind its weight."""
@@ -90,7 +90,7 @@
             route.services
         )
         # The weights are part of the key, so that a change of them resets the counts.
-        counts = self._served.setdefault((route.name, route.services), {})
+        counts = self._choices_by_route.setdefault((route.name, route.services), {})
         chosen = min(
             weighted,
             key=lambda candidate: (counts.get(candidate.service, 0) + 1) / (candidate.weight or 1),
--- a/src/quaymill/process/replica_set/table.py
+++ b/src/quaymill/process/replica_set/table.py
@@ -36,7 +36,7 @@
         self._lock = threading.Lock()
         self._by_id: dict[str, Replica] = {}
         self._by_service: dict[str, tuple[Replica, ...]] = {}
-        self._read_revision = 0
+        self._last_list_revision = 0
         self.revision = 0
         """Revision of the platform's store at which the table last changed."""
 
@@ -88,11 +88,11 @@
         Number of replicas that are missing in ``entries`` and were kept.
         """
         with self._lock:
-            if revision < self._read_revision:
+            if revision < self._last_list_revision:
                 if revision > self.revision:
-                    self.revision = self._read_revision
+                    self.revision = self._last_list_revision
                 return 0
-            self._read_revision = revision
+            self._last_list_revision = revision
             listed = {entry.id: entry for entry in entries}
             known = {entry.id: entry for entry in self.entries()}
             kept = len(known.keys() - listed.keys()) if keep_missing else 0
--- a/src/quaymill/process/replica_set/warnings.py
+++ b/src/quaymill/process/replica_set/warnings.py
@@ -86,13 +86,13 @@
         failing = [replica for replica in replicas if replica.fails_here]
         if not failing:
             return ()
-        listed = Counter(replica.entry.service for replica in replicas)
+        listed_by_service = Counter(replica.entry.service for replica in replicas)
         failing_by_service = Counter(replica.entry.service for replica in failing)
         now = boot_clock.now()
         due = [
             replica.id
             for replica in failing
-            if self._is_credible(replica, failing_by_service, listed)
+            if self._is_credible(replica, failing_by_service, listed_by_service)
             and now - self._warned_at_by_replica.get(replica.id, -REPEAT_AFTER_S) >= REPEAT_AFTER_S
         ]
         recent = {
@@ -103,9 +103,11 @@
         self._warned_at_by_replica = recent | dict.fromkeys(due, now)
         return tuple(due)
 
-    def _is_credible(self, replica: Replica, failing: Counter[str], listed: Counter[str]) -> bool:
+    def _is_credible(
+        self, replica: Replica, failing: Counter[str], listed_by_service: Counter[str]
+    ) -> bool:
         service = replica.entry.service
-        return failing[service] <= max(1.0, MAX_FAILING_SHARE * listed[service])
+        return failing[service] <= max(1.0, MAX_FAILING_SHARE * listed_by_service[service])
 
     def _warn(self, replica_ids: tuple[str, ...]) -> None:
         others = self._other_gateways()
--- a/src/quaymill/request/answer_relay.py
+++ b/src/quaymill/request/answer_relay.py
@@ -176,5 +176,5 @@
 def _is_stream(head: AnswerHead) -> bool:
     if head.status != 200:
         return False
-    names = {name.lower(): value for name, value in head.headers}
-    return names.get("content-type", "").startswith(EVENT_STREAM)
+    values_by_name = {name.lower(): value for name, value in head.headers}
+    return values_by_name.get("content-type", "").startswith(EVENT_STREAM)
--- a/src/quaymill/request/forwarding.py
+++ b/src/quaymill/request/forwarding.py
@@ -174,7 +174,7 @@
         self._relay = AnswerRelay(request, route, answer, self._may_try_another)
         self._tried_ids: set[str] = set()
         self._refusals = 0
-        self._runs = 0
+        self._possible_runs = 0
         self._kept_error: _ReplicaError | None = None
 
     def run(self) -> ForwardingResult:
@@ -210,10 +210,10 @@
                 if self._refusals >= MAX_REFUSALS:
                     return self._give_up(result.reason)
                 continue
-            self._runs += 1
+            self._possible_runs += 1
             if self._request.deadline.passed():
                 return self._give_up(result.reason, timed_out=True)
-            if not self._route.repeatable or self._runs >= self._route.max_attempts:
+            if not self._route.repeatable or self._possible_runs >= self._route.max_attempts:
                 return self._give_up(result.reason)
 
     def _result_without_attempt(self) -> ForwardingResult | None:
@@ -228,7 +228,7 @@
                 "replicas crashed while running this request", retry_after_s=barred_s
             )
         # A request that may have run already is continued even if its key has changed.
-        return None if self._runs else self._key_change()
+        return None if self._possible_runs else self._key_change()
 
     def _give_up(
         self, reason: str, timed_out: bool = False, retry_after_s: float | None = None
@@ -243,7 +243,7 @@
             )
             self._answer.write(error.body)
             return Delivered(error.head.status, error.replica_id)
-        return GivenUp(reason, self._runs > 0, timed_out, retry_after_s)
+        return GivenUp(reason, self._possible_runs > 0, timed_out, retry_after_s)
 
     def _attempt(self, replica: ChosenReplica) -> AttemptResult:
         load = replica.load()
@@ -367,7 +367,7 @@
         return self._router.may_reach_another(self._service, self._tried_ids | {replica.id})
 
     def _may_try_another(self) -> bool:
-        return self._route.repeatable and self._runs + 1 < self._route.max_attempts
+        return self._route.repeatable and self._possible_runs + 1 < self._route.max_attempts
 
     def _first_byte_timeout_s(self, replica: ChosenReplica) -> float:
         if self._route.kind is RouteKind.STREAMING:
--- a/src/quaymill/request/poison.py
+++ b/src/quaymill/request/poison.py
@@ -132,14 +132,14 @@
             changed = [record.content for record in records if self._merge_one(record, now)]
             self._drop_excess()
             return [
-                self._record(content, now) for content in changed if content in self._by_content
+                self._record_of(content, now) for content in changed if content in self._by_content
             ]
 
     def records(self, now: float) -> tuple[CrashRecord, ...]:
         """Return all records."""
         with self._lock:
             self._drop_expired(now)
-            return tuple(self._record(content, now) for content in self._by_content)
+            return tuple(self._record_of(content, now) for content in self._by_content)
 
     def digest(self, now: float) -> int:
         """Return a digest of all crashes; 0 if there are none."""
@@ -184,7 +184,7 @@
         self._by_content[record.content] = merged
         return True
 
-    def _record(self, content: str, now: float) -> CrashRecord:
+    def _record_of(self, content: str, now: float) -> CrashRecord:
         crashes = self._by_content[content]
         age_s = round(now - crashes.last_crash_at, 3)
         return CrashRecord(content, tuple(sorted(crashes.replicas)), age_s)
--- a/src/quaymill/request/whole_answer.py
+++ b/src/quaymill/request/whole_answer.py
@@ -15,7 +15,7 @@
 
 _DATA = b"data: "
 _WHOLE_OBJECTS = {"chat.completion.chunk": "chat.completion"}
-_KEPT_KEYS = frozenset({"index", "role", "type", "id"})
+_REPLACED_KEYS = frozenset({"index", "role", "type", "id"})
 """Fields whose later values replace earlier ones; other strings are concatenated."""
 _DROPPED_KEYS = frozenset({"token_ids"})
 
@@ -56,7 +56,7 @@
     """Merge the fields of a chunk: strings and lists are extended, objects merged recursively."""
     for name, value in part.items():
         existing = whole.get(name)
-        if existing is None or name in _KEPT_KEYS:
+        if existing is None or name in _REPLACED_KEYS:
             whole[name] = value
         elif value is None:
             continue
--- a/tests/limit_player.py
+++ b/tests/limit_player.py
@@ -46,7 +46,7 @@
 """Interval at which gateways send each other their demand."""
 STORE_CALL_S = 0.004
 PEER_CALL_S = 0.002
-SHORT_S = 1e-6
+MIN_ARRIVAL_GAP_S = 1e-6
 
 
 @attrs.frozen
@@ -529,6 +529,6 @@
             per_s = usual * (1.91 if at % 6.0 >= 3.6 else 0.391)
             if rank == 0 and self.load.hot_from <= at < self.load.hot_until:
                 per_s *= self.load.hot_x
-            at += max(SHORT_S, self._random.expovariate(per_s))
+            at += max(MIN_ARRIVAL_GAP_S, self._random.expovariate(per_s))
             times.append(at)
         return [at for at in times if at < self.load.length_s]
