--- a/src/quaymill/process/limits/granter.py
+++ b/src/quaymill/process/limits/granter.py
@@ -150,8 +150,8 @@
     Parameters
     ----------
     take_over
-        Makes the gateways that may have granted a tenant's credits before stop it; returns whether
-        one of them may have granted some.
+        Stops the earlier granters of a tenant's credits; returns whether one of them may have
+        granted some.
     """
 
     def __init__(
--- a/src/quaymill/process/limits/limiter.py
+++ b/src/quaymill/process/limits/limiter.py
@@ -36,7 +36,7 @@
 """Timeout of a request for credits; a live granter answers within a few milliseconds."""
 RETURN_TIMEOUT_S = 0.5
 TAKE_OVER_TIMEOUT_S = 0.05
-"""Timeout of the call to each earlier granter; the first request of a tenant waits for them."""
+"""Timeout of the call to each earlier granter. The first request of a tenant waits for all calls."""
 AVOID_S = 1.0
 """How long a granter that did not answer is not asked again."""
 PACED_TIMEOUT_S = 1.0
@@ -228,9 +228,9 @@
         return self._local_granter
 
     def _take_over(self, tenant: str) -> bool:
-        """Make the gateways that may have granted a tenant's credits before stop granting.
+        """Stop the earlier granters of a tenant's credits.
 
-        Returns whether one of them has granted some or did not answer.
+        Returns whether one of them had granted some or did not answer.
         """
         message = TakeOverCredits(tenant, self._name)
         had_granted = False
--- a/src/quaymill/process/poison/guard.py
+++ b/src/quaymill/process/poison/guard.py
@@ -74,7 +74,7 @@
         self._on_crash(record)
 
     def record_served(self, content: str) -> None:
-        """Record that a replica has completed a content without a crash."""
+        """Record that a replica has completely answered a request with this content."""
         self._records.discount_crashes(content)
 
     def _is_alive(self, address: Endpoint) -> bool:
--- a/src/quaymill/process/replica_set/replica_cost.py
+++ b/src/quaymill/process/replica_set/replica_cost.py
@@ -23,7 +23,7 @@
 
     At usual slowness the cost is the load. A request takes its service time plus its share of the
     time for which requests wait for a slot; both are proportional to the slowness. The additional
-    time at a slower replica is converted to the number of requests that are served in it.
+    time at a slower replica is converted to the number of requests served during that time.
 
     Parameters
     ----------
--- a/src/quaymill/request/attempt.py
+++ b/src/quaymill/request/attempt.py
@@ -55,6 +55,8 @@
     ----------
     request_id
         Prefix of the attempt ids, so that a log search for it finds all attempts.
+    prefix_key
+        Passed to the chooser; identifies the start of the prompt.
     repeatable
         Whether another attempt is allowed after one that may have run.
     """
--- a/src/quaymill/request/event_stream.py
+++ b/src/quaymill/request/event_stream.py
@@ -13,6 +13,8 @@
 class EventFramer:
     """Splits a stream of bytes into complete events, and leaves out repeated ones.
 
+    An event is repeated if it has an id that is not later than ``last_id``.
+
     Attributes
     ----------
     last_id
--- a/src/quaymill/request/poison.py
+++ b/src/quaymill/request/poison.py
@@ -47,7 +47,7 @@
         """Handle a connection that closed before the answer was complete, maybe by a crash."""
 
     def record_served(self, content: str) -> None:
-        """Record that a replica has served the content completely."""
+        """Record that a replica has completely answered a request with this content."""
 
 
 class NoGuard:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -43,7 +43,13 @@
 
 
 class Limiters:
-    """One limiter for each gateway of a region, over real peer links."""
+    """One limiter for each gateway of a region, over real peer links.
+
+    Attributes
+    ----------
+    granter, others
+        Numbers of the gateway that grants the tenant's credits, and of the other gateways.
+    """
 
     def __init__(self, limits: Tenant) -> None:
         self.holder = ConfigurationHolder()
