--- a/src/quaymill/process/limits/limiter.py
+++ b/src/quaymill/process/limits/limiter.py
@@ -128,7 +128,7 @@
             # Counted before the granter answers, so that concurrent requests borrow more slots.
             credits.in_service += 1
         lent = self._borrow_with_retry(credits, message)
-        return self._add_lent(credits, limits, message, lent)
+        return self._apply_answer(credits, limits, message, lent)
 
     def release(self, tenant: str, reserved_tokens: int, used_tokens: int) -> None:
         """End a request that was admitted, and return the tokens that it did not use."""
@@ -148,7 +148,7 @@
             self._get_local_granter().handle_return(message)
         self._returns.put(message)
 
-    def _add_lent(
+    def _apply_answer(
         self, credits: LocalCredits, limits: TenantLimits, message: BorrowCredits, lent: LentCredits
     ) -> NotRun | None:
         with self._lock:
--- a/src/quaymill/process/replica_set/online_queue.py
+++ b/src/quaymill/process/replica_set/online_queue.py
@@ -232,7 +232,7 @@
             queued = self._create_queued_request(queue, route, request, now)
             self._queued_by_ticket[queued.ticket] = queued
         try:
-            self._ask_allocator(service, queue, queued, request)
+            self._try_get_slot(service, queue, queued, request)
             with self._lock:
                 if queued.wait_ended.is_set():
                     return queued.answer
@@ -283,16 +283,16 @@
                     boot_clock.now() - queued.slot_requested_at >= SLOT_REQUEST_INTERVAL_S
                     or not queued.in_allocator_queue
                 ):
-                    self._ask_allocator(service, queue, queued, request)
+                    self._try_get_slot(service, queue, queued, request)
                 self.recheck()
         finally:
             presence.detach()
 
-    def _ask_allocator(
+    def _try_get_slot(
         self, service: str, queue: _ServiceQueue, queued: _QueuedRequest, request: ForwardedRequest
     ) -> None:
         """Request a slot from the allocator, and end the wait if it was granted or refused."""
-        answer = self._call_allocator(service, queue, queued, request)
+        answer = self._send_slot_request(service, queue, queued, request)
         if answer is None:
             return
         with self._lock:
@@ -302,7 +302,7 @@
         if had_ended and not isinstance(answer, CannotServeInTime):
             self._release_slot(answer)
 
-    def _call_allocator(
+    def _send_slot_request(
         self, service: str, queue: _ServiceQueue, queued: _QueuedRequest, request: ForwardedRequest
     ) -> ChosenReplica | CannotServeInTime | None:
         """Request a slot from the allocator; return ``None`` if the request has to wait."""
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -30,13 +30,13 @@
     """A membership whose members the test sets."""
 
     def __init__(self) -> None:
-        self.seen: tuple[Member, ...] = ()
+        self.known: tuple[Member, ...] = ()
 
     def live(self) -> tuple[Member, ...]:
-        return self.seen
+        return self.known
 
     def members(self) -> tuple[Member, ...]:
-        return self.seen
+        return self.known
 
     def dead_for_s(self, name: str) -> float:
         return 0.0
@@ -66,7 +66,7 @@
         for membership, server, limiter in zip(
             self.memberships, self.servers, self.limiters, strict=True
         ):
-            membership.seen = self.members
+            membership.known = self.members
             server.start()
             limiter.start()
         self.granter = self.members.index(rank_nodes(f"limit/{TENANT}", self.members)[0])
@@ -125,7 +125,7 @@
         strong = msgspec.structs.replace(self.members[number], cores=4.0)
         others = tuple(one for one in self.members if one.name != strong.name)
         for membership in self.memberships:
-            membership.seen = (*others, strong)
+            membership.known = (*others, strong)
 
     def stop(self) -> None:
         for limiter, server, client in zip(self.limiters, self.servers, self.clients, strict=True):
@@ -214,7 +214,7 @@
         limiters.kill_granter()
         alive = tuple(limiters.members[number] for number in limiters.others)
         for membership in limiters.memberships:
-            membership.seen = alive
+            membership.known = alive
         admitted = limiters.admitted(limiters.others, 2.0)
         self.assertLessEqual(admitted, 60.0 * 3.0 * 1.05)
         self.assertGreaterEqual(admitted, 60.0 * 2.0 * 0.7)
@@ -245,10 +245,10 @@
         limiters.admitted(range(GATEWAYS), 0.2)
         strong = limiters.others[0]
         uninformed = limiters.others[1]
-        earlier_members = limiters.memberships[uninformed].seen
+        earlier_members = limiters.memberships[uninformed].known
         limiters.make_strong(strong)
         limiters.admitted([strong], 0.1)
-        limiters.memberships[uninformed].seen = earlier_members
+        limiters.memberships[uninformed].known = earlier_members
         admitted = limiters.admitted([strong, uninformed], 1.0)
         self.assertLessEqual(admitted, 13)
         self.assertGreaterEqual(admitted, 6)
