--- a/src/quaymill/process/limits/limiter.py
+++ b/src/quaymill/process/limits/limiter.py
@@ -36,7 +36,7 @@
 """Timeout of a request for credits; a live granter answers within a few milliseconds."""
 RETURN_TIMEOUT_S = 0.5
 TAKE_OVER_TIMEOUT_S = 0.05
-"""Timeout of the call to each earlier granter. The first request of a tenant waits for all calls."""
+"""Timeout of each call to an earlier granter; a tenant's first request waits for all of them."""
 AVOID_S = 1.0
 """How long a granter that did not answer is not asked again."""
 PACED_TIMEOUT_S = 1.0
--- a/src/quaymill/request/attempt.py
+++ b/src/quaymill/request/attempt.py
@@ -200,7 +200,7 @@
 
 
 def _node_stopping() -> NotRun:
-    return NotRun(503, "the node stops", "send the request to another node", 1.0)
+    return NotRun(503, "the node is stopping", "send the request to another node", 1.0)
 
 
 def _deadline_passed() -> NotRun:
--- a/src/quaymill/request/fair_shares.py
+++ b/src/quaymill/request/fair_shares.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 MAX_TENANTS = 4096
-"""Number of tenants from which on idle tenants are removed."""
+"""Number of tenants above which idle tenants are removed."""
 
 
 class FairShares:
