--- a/src/quaymill/process/limits/region.py
+++ b/src/quaymill/process/limits/region.py
@@ -14,7 +14,7 @@
 from quaymill.version.tenants import TenantLimits
 
 WINDOW_S = 1.0
-"""The table states requests per second, so that the limit must hold within any second."""
+"""The table states requests per second, so the limit must hold within any second."""
 PROCESS_ID_BYTES = 4
 
 
--- a/src/quaymill/process/replica_set/table.py
+++ b/src/quaymill/process/replica_set/table.py
@@ -21,7 +21,7 @@
     Parameters
     ----------
     on_departed
-        Called with each replica that is no longer listed.
+        Called with each replica that is no longer listed or has started again.
     is_unreachable
         Returns whether a zone is unreachable now.
     """
--- a/src/quaymill/request/first_byte_wait.py
+++ b/src/quaymill/request/first_byte_wait.py
@@ -29,7 +29,9 @@
 def wait_for_first_byte(
     exchange: Exchange, replica: AwaitedReplica, deadline: Deadline, *, whole: bool = False
 ) -> OutcomeUnknown | None:
-    """Wait until the replica sends something; abandon the exchange if the replica is frozen.
+    """Wait until the replica sends something.
+
+    The exchange is abandoned if the replica is frozen or the deadline passes.
 
     Parameters
     ----------
--- a/src/quaymill/request/forwarding_result.py
+++ b/src/quaymill/request/forwarding_result.py
@@ -58,7 +58,7 @@
 
 @attrs.frozen
 class Refused:
-    """The replica did not run the attempt."""
+    """The replica refused the request without running it, or no connection could be opened."""
 
     reason: str
 
--- a/src/quaymill/request/whole_answer.py
+++ b/src/quaymill/request/whole_answer.py
@@ -53,7 +53,10 @@
 
 
 def _merge(whole: dict[str, Any], part: dict[str, Any]) -> None:
-    """Merge the fields of a chunk: strings and lists are extended, objects merged recursively."""
+    """Merge the fields of a chunk into ``whole``.
+
+    Strings and lists are extended, objects are merged recursively, other values are replaced.
+    """
     for name, value in part.items():
         existing = whole.get(name)
         if existing is None or name in _REPLACED_KEYS:
