--- a/src/quaymill/process/limits/limiter.py
+++ b/src/quaymill/process/limits/limiter.py
@@ -36,7 +36,7 @@
 """Timeout of a request for credits; a live granter answers within a few milliseconds."""
 RETURN_TIMEOUT_S = 0.5
 TAKE_OVER_TIMEOUT_S = 0.05
-"""Timeout of the call to each earlier granter; the first request of a tenant waits for them."""
+"""Timeout of each call to an earlier granter; a tenant's first request waits for all of them."""
 AVOID_S = 1.0
 """How long a granter that did not answer is not asked again."""
 PACED_TIMEOUT_S = 1.0
@@ -128,7 +128,7 @@
             # Counted before the granter answers, so that concurrent requests borrow more slots.
             credits.in_service += 1
         lent = self._borrow_with_retry(credits, message)
-        return self._add_lent(credits, limits, message, lent)
+        return self._apply_answer(credits, limits, message, lent)
 
     def release(self, tenant: str, reserved_tokens: int, used_tokens: int) -> None:
         """End a request that was admitted, and return the tokens that it did not use."""
@@ -148,7 +148,7 @@
             self._get_local_granter().handle_return(message)
         self._returns.put(message)
 
-    def _add_lent(
+    def _apply_answer(
         self, credits: LocalCredits, limits: TenantLimits, message: BorrowCredits, lent: LentCredits
     ) -> NotRun | None:
         with self._lock:
@@ -228,9 +228,9 @@
         return self._local_granter
 
     def _take_over(self, tenant: str) -> bool:
-        """Make the gateways that may have granted a tenant's credits before stop granting.
+        """Stop the earlier granters of a tenant's credits.
 
-        Returns whether one of them has granted some or did not answer.
+        Returns whether one of them had granted some or did not answer.
         """
         message = TakeOverCredits(tenant, self._name)
         had_granted = False
--- a/src/quaymill/process/replica_set/online_queue.py
+++ b/src/quaymill/process/replica_set/online_queue.py
@@ -39,8 +39,8 @@
 MIN_REMAINING_TIME_SAMPLES = 8
 """With fewer samples, every request counts as a first attempt."""
 FIRST_ATTEMPT_QUANTILE = 0.75
-"""Quantile of the remaining times that is taken as that of a first attempt: retries have less time
-left, and few callers start with more."""
+"""Quantile of the recent remaining times that a first attempt is assumed to have: retries have less
+time left, and few callers start with more."""
 SERVICE_TIME_WEIGHT = 0.05
 """Weight of the newest request in the moving average of the service time."""
 ASSUMED_SERVICE_OBJECTIVES = 2.0
@@ -50,11 +50,13 @@
 """Time from the dispatch deadline to the caller's timeout, as a multiple of the average service
 time."""
 DISPATCH_DEADLINE_MARGIN_S = 0.5
-"""Added to that for the network round trip to the caller and one step of the engine."""
+"""Further time between the dispatch deadline and the caller's timeout: covers the network round
+trip to the caller and one step of the engine."""
 RECHECK_INTERVAL_S = 0.25
 """How often a queued request rechecks whether it may be dispatched."""
 SLOT_REQUEST_INTERVAL_S = 1.0
-"""Interval at which a queued request repeats its slot request: the allocator may have restarted."""
+"""Interval at which a request in the allocator's queue repeats its slot request, as the allocator
+may have restarted. Other requests repeat it at each recheck."""
 MIN_LOGGED_WAIT_S = 0.05
 """Shorter waits are not logged."""
 
@@ -84,7 +86,7 @@
 
 
 def _no_allocator(service: str, request: ForwardedRequest, terms: QueueTerms) -> None:
-    """Act as if there were no slot allocator."""
+    """Return ``None``, as there is no slot allocator."""
 
 
 @attrs.define(eq=False)
@@ -105,7 +107,7 @@
         Estimated time since the first attempt of its caller.
     ticket
         Identifies it in the allocator's queue.
-    asked_at
+    slot_requested_at
         When a slot was last requested from the allocator.
     in_allocator_queue
         Whether it waits in the allocator's queue. The local queue then dispatches it only at its
@@ -124,7 +126,7 @@
     rank: int
     age_s: float = 0.0
     ticket: str = ""
-    asked_at: float = 0.0
+    slot_requested_at: float = 0.0
     in_allocator_queue: bool = False
     was_in_allocator_queue: bool = False
     answer: ChosenReplica | CannotServeInTime | None = None
@@ -148,7 +150,7 @@
     service_s
         Moving average of the measured service times; 0 before the first answer.
     first_byte_s
-        Time from the start of service to the first byte.
+        Smoothed time to the first byte, of the replica that completed an answer last.
     """
 
     def __init__(self) -> None:
@@ -230,7 +232,7 @@
             queued = self._create_queued_request(queue, route, request, now)
             self._queued_by_ticket[queued.ticket] = queued
         try:
-            self._ask_allocator(service, queue, queued, request)
+            self._try_get_slot(service, queue, queued, request)
             with self._lock:
                 if queued.wait_ended.is_set():
                     return queued.answer
@@ -278,19 +280,19 @@
         try:
             while not queued.wait_ended.wait(RECHECK_INTERVAL_S) and not presence.gone:
                 if (
-                    boot_clock.now() - queued.asked_at >= SLOT_REQUEST_INTERVAL_S
+                    boot_clock.now() - queued.slot_requested_at >= SLOT_REQUEST_INTERVAL_S
                     or not queued.in_allocator_queue
                 ):
-                    self._ask_allocator(service, queue, queued, request)
+                    self._try_get_slot(service, queue, queued, request)
                 self.recheck()
         finally:
             presence.detach()
 
-    def _ask_allocator(
+    def _try_get_slot(
         self, service: str, queue: _ServiceQueue, queued: _QueuedRequest, request: ForwardedRequest
     ) -> None:
         """Request a slot from the allocator, and end the wait if it was granted or refused."""
-        answer = self._call_allocator(service, queue, queued, request)
+        answer = self._send_slot_request(service, queue, queued, request)
         if answer is None:
             return
         with self._lock:
@@ -300,13 +302,13 @@
         if had_ended and not isinstance(answer, CannotServeInTime):
             self._release_slot(answer)
 
-    def _call_allocator(
+    def _send_slot_request(
         self, service: str, queue: _ServiceQueue, queued: _QueuedRequest, request: ForwardedRequest
     ) -> ChosenReplica | CannotServeInTime | None:
         """Request a slot from the allocator; return ``None`` if the request has to wait."""
         now = boot_clock.now()
         with self._lock:
-            queued.asked_at = now
+            queued.slot_requested_at = now
             # A grant may arrive before this call returns.
             queued.in_allocator_queue = True
             terms = QueueTerms(
@@ -354,7 +356,7 @@
         self._release_slot(replica)
 
     def record(self, service: str, took_s: float, first_byte_s: float) -> None:
-        """Record the service times of a request, and dispatch the requests that may go now."""
+        """Record the times of a request, and dispatch the requests that may be dispatched now."""
         with self._lock:
             queue = self._queues_by_service.setdefault(service, _ServiceQueue())
             queue.service_s = _moving_average(queue.service_s, took_s)
@@ -362,7 +364,7 @@
         self.recheck()
 
     def recheck(self) -> None:
-        """Dispatch the requests that may go now, after loads have changed or time has passed."""
+        """Dispatch what may be dispatched now, after loads have changed or time has passed."""
         now = boot_clock.now()
         with self._lock:
             for service, queue in self._queues_by_service.items():
@@ -370,7 +372,7 @@
                     self._dispatch_ready(service, queue, now)
 
     def _dispatch_ready(self, service: str, queue: _ServiceQueue, now: float) -> None:
-        """Dispatch the requests of one queue that may go now, in dispatch order."""
+        """Dispatch the requests of one queue that may be dispatched now, in dispatch order."""
         first_byte_s = queue.first_byte_s
         ordered = sorted(
             (queued for queued in queue.requests if not queued.wait_ended.is_set()),
--- a/src/quaymill/request/answer_relay.py
+++ b/src/quaymill/request/answer_relay.py
@@ -42,7 +42,10 @@
         """Send a block of the body."""
 
     def send_buffered(self, timeout_s: float, readable: int = -1) -> bool:
-        """Send buffered data; return early once the descriptor ``readable`` has data to read."""
+        """Send buffered data, or return once the descriptor ``readable`` has data to read.
+
+        Returns ``False`` if neither was possible within the timeout.
+        """
 
     def abort(self) -> None:
         """Close the connection without completing the answer."""
@@ -173,5 +176,5 @@
 def _is_stream(head: AnswerHead) -> bool:
     if head.status != 200:
         return False
-    names = {name.lower(): value for name, value in head.headers}
-    return names.get("content-type", "").startswith(EVENT_STREAM)
+    values_by_name = {name.lower(): value for name, value in head.headers}
+    return values_by_name.get("content-type", "").startswith(EVENT_STREAM)
--- a/src/quaymill/request/attempt.py
+++ b/src/quaymill/request/attempt.py
@@ -55,6 +55,8 @@
     ----------
     request_id
         Prefix of the attempt ids, so that a log search for it finds all attempts.
+    prefix_key
+        Passed to the chooser; identifies the start of the prompt.
     repeatable
         Whether another attempt is allowed after one that may have run.
     """
@@ -198,7 +200,7 @@
 
 
 def _node_stopping() -> NotRun:
-    return NotRun(503, "the node stops", "send the request to another node", 1.0)
+    return NotRun(503, "the node is stopping", "send the request to another node", 1.0)
 
 
 def _deadline_passed() -> NotRun:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -30,20 +30,26 @@
     """A membership whose members the test sets."""
 
     def __init__(self) -> None:
-        self.seen: tuple[Member, ...] = ()
+        self.known: tuple[Member, ...] = ()
 
     def live(self) -> tuple[Member, ...]:
-        return self.seen
+        return self.known
 
     def members(self) -> tuple[Member, ...]:
-        return self.seen
+        return self.known
 
     def dead_for_s(self, name: str) -> float:
         return 0.0
 
 
 class Limiters:
-    """One limiter for each gateway of a region, over real peer links."""
+    """One limiter for each gateway of a region, over real peer links.
+
+    Attributes
+    ----------
+    granter, others
+        Numbers of the gateway that grants the tenant's credits, and of the other gateways.
+    """
 
     def __init__(self, limits: Tenant) -> None:
         self.holder = ConfigurationHolder()
@@ -60,7 +66,7 @@
         for membership, server, limiter in zip(
             self.memberships, self.servers, self.limiters, strict=True
         ):
-            membership.seen = self.members
+            membership.known = self.members
             server.start()
             limiter.start()
         self.granter = self.members.index(rank_nodes(f"limit/{TENANT}", self.members)[0])
@@ -119,7 +125,7 @@
         strong = msgspec.structs.replace(self.members[number], cores=4.0)
         others = tuple(one for one in self.members if one.name != strong.name)
         for membership in self.memberships:
-            membership.seen = (*others, strong)
+            membership.known = (*others, strong)
 
     def stop(self) -> None:
         for limiter, server, client in zip(self.limiters, self.servers, self.clients, strict=True):
@@ -161,7 +167,7 @@
         other = limiters.limiters[limiters.others[0]]
         deadline = time.monotonic() + 2.0
         while other.admit(TENANT, 0) is not None:
-            self.assertLess(time.monotonic(), deadline, "the slot did not come back")
+            self.assertLess(time.monotonic(), deadline, "the slot was not returned")
             time.sleep(0.01)
 
     def test_refusal_names_the_limit_and_the_retry_time(self):
@@ -178,7 +184,7 @@
         for limiter in limiters.limiters * 4:
             deadline = time.monotonic() + 2.0
             while limiter.admit(TENANT, 1000) is not None:
-                self.assertLess(time.monotonic(), deadline, "the tokens did not come back")
+                self.assertLess(time.monotonic(), deadline, "the tokens were not returned")
                 time.sleep(0.01)
             limiter.release(TENANT, 1000, 1)
 
@@ -208,7 +214,7 @@
         limiters.kill_granter()
         alive = tuple(limiters.members[number] for number in limiters.others)
         for membership in limiters.memberships:
-            membership.seen = alive
+            membership.known = alive
         admitted = limiters.admitted(limiters.others, 2.0)
         self.assertLessEqual(admitted, 60.0 * 3.0 * 1.05)
         self.assertGreaterEqual(admitted, 60.0 * 2.0 * 0.7)
@@ -239,10 +245,10 @@
         limiters.admitted(range(GATEWAYS), 0.2)
         strong = limiters.others[0]
         uninformed = limiters.others[1]
-        earlier_members = limiters.memberships[uninformed].seen
+        earlier_members = limiters.memberships[uninformed].known
         limiters.make_strong(strong)
         limiters.admitted([strong], 0.1)
-        limiters.memberships[uninformed].seen = earlier_members
+        limiters.memberships[uninformed].known = earlier_members
         admitted = limiters.admitted([strong, uninformed], 1.0)
         self.assertLessEqual(admitted, 13)
         self.assertGreaterEqual(admitted, 6)
