--- a/src/quaymill/process/jobs/batch_quota.py
+++ b/src/quaymill/process/jobs/batch_quota.py
@@ -39,10 +39,10 @@
 from quaymill.version.request_routes import RequestRoute, RequestRoutes
 
 RECONCILE_INTERVAL_S = 0.4
-"""Interval at which changes of this gateway's jobs are looked for."""
+"""Interval between two checks for changes of this gateway's jobs."""
 RECONCILE_PAUSE_S = 0.2
-"""Maximum of the first pause after write conflicts in a reconciliation. It may be longer than in an
-admission, because no client waits for a reconciliation."""
+"""Maximum length of the first pause after a write conflict during reconciliation. It may be longer
+than during admission, because no client waits for a reconciliation."""
 ALLOWANCE_RENEWAL_S = 20.0
 """Interval at which an allowance is renewed; shorter than its term."""
 ALLOWANCE_TERM_S = 30.0
@@ -273,7 +273,7 @@
         """Return the ledgers of a route to reconcile.
 
         If there are tenants, these are the ledgers with recent jobs here and those to sweep here.
-        Otherwise every gateway would have to renew an allowance for each of thousands of tenants.
+        If all ledgers were tracked, each gateway would renew allowances for thousands of tenants.
         """
         if routes.tenants is None:
             self._state_of(route)
@@ -365,7 +365,7 @@
         return self._ledgers.newer(ledger, state.ledger)
 
     def _next_allowance(self, state: RouteQuota, document: LedgerDocument, quota: int) -> int:
-        """Return the allowance to write; lower the rest of the current one to it if that is larger.
+        """Return the allowance to write, and limit the unused part of the current one to it.
 
         Jobs that are counted during the write must fit both the old and the new allowance.
         """
@@ -375,7 +375,7 @@
         return granted
 
     def _update_ledger(self, state: RouteQuota, ledger: Ledger) -> None:
-        """Store a newer ledger, and record the tokens freed since the previous one."""
+        """Store a ledger if it is newer, and record the tokens freed since the previous one."""
         with self._lock:
             if ledger.revision <= state.ledger.revision:
                 return
--- a/src/quaymill/process/jobs/coordinated_job.py
+++ b/src/quaymill/process/jobs/coordinated_job.py
@@ -83,7 +83,7 @@
             self.last_event_id = last_event_id
 
     def progress(self, first: int = 0) -> ItemProgress:
-        """Return the progress that another coordinator resumes from, from event ``first`` on."""
+        """Return the progress from event ``first`` on, for another coordinator to resume from."""
         with self._events_lock:
             texts = tuple(self.texts[first:])
             return ItemProgress(self.index, self.last_event_id, texts, self.failures, first)
@@ -102,7 +102,7 @@
     Attributes
     ----------
     route
-        The job's route; ``None`` once it is removed from the configuration.
+        The job's route when the configuration last had one; ``None`` if it never had one here.
     routed_at
         Monotonic time when the configuration last had a route for the job.
     sent_at
@@ -229,7 +229,7 @@
             self.changed.notify_all()
 
     def put_back(self, item: CoordinatedItem, pause_s: float = 0.0) -> None:
-        """Let an item wait to be run again, after a run without a result.
+        """Return an item to the waiting items after a run without a result.
 
         Parameters
         ----------
--- a/src/quaymill/process/jobs/coordinator.py
+++ b/src/quaymill/process/jobs/coordinator.py
@@ -67,7 +67,7 @@
         self._progress = ProgressSaver(publisher.storage, self.open_jobs)
 
     def start(self) -> None:
-        """Start to run items, save progress and renew leases."""
+        """Start running items, saving progress and renewing leases."""
         self._dispatcher.start()
         self._progress.start()
         threading.Thread(target=self._renew, name="job-leases", daemon=True).start()
@@ -182,7 +182,7 @@
                 coordinated.update_listing(listing, -math.inf)
             self._jobs_by_id[job.id] = coordinated
             self._forget_old_jobs()
-        # The first renewal confirms the listing; until then each empty page needs a store call.
+        # The first renewal confirms the listing; until then a store call precedes each empty page.
         self._renew_soon.set()
         self._publisher.follow(coordinated, adopted=adopted)
 
@@ -215,8 +215,8 @@
             for job_id in outcome.ended:
                 self.end(job_id)
             self._confirm(outcome.confirmed, began)
-            # Our own append in progress can explain an unlisted result, but not in two renewals
-            # in a row.
+            # A result may be unlisted in one renewal because this process is just appending it,
+            # but in two successive renewals another coordinator has probably listed it.
             for job_id in outcome.taken | (outcome.unlisted & unlisted_before):
                 job = self.get(job_id)
                 if job is not None:
@@ -231,7 +231,7 @@
 
 
 def _hand_over_message(job: CoordinatedJob) -> HandOverJob:
-    """Return the message by which another coordinator continues a job."""
+    """Return the message from which another coordinator continues a job."""
     age_s = boot_clock.now() - job.sent_at
     progress = tuple(
         item.progress()
--- a/src/quaymill/process/jobs/item_dispatcher.py
+++ b/src/quaymill/process/jobs/item_dispatcher.py
@@ -46,8 +46,8 @@
 MAX_POOLS_ASKED = 3
 """Maximum number of engine pools in which waiting items claim slots in one round."""
 RESERVE_SHARES = ((0.3, 0.15), (0.0, 0.0))
-"""Pairs of the minimum share of a job's time that is left, and the share of an engine's slots that
-its items then leave free. The first matching pair applies."""
+"""Pairs of a share of a job's time and a share of an engine's slots. While at least this share of
+the time is left, the job's items leave this share of slots free. The first match applies."""
 GIVE_UP_MARGIN_S = 5.0
 """Tolerance for the time since a job was sent, which is imprecise after a change of coordinator."""
 ROUTE_GONE_S = 6.0
@@ -123,7 +123,7 @@
         self._wake.set()
 
     def wake(self) -> None:
-        """Claim slots immediately."""
+        """Claim slots without waiting for the next interval."""
         self._wake.set()
 
     def preempt_items(self, items: tuple[ItemsAt, ...]) -> None:
@@ -164,7 +164,7 @@
             self._claim(service, claiming)
 
     def _claim(self, service: str, jobs: list[CoordinatedJob]) -> None:
-        """Claim slots for the waiting items of some jobs in one engine pool after the other.
+        """Claim slots for the waiting items of some jobs in one engine pool after another.
 
         Coordinators begin with different pools, so that all pools are used.
         """
--- a/src/quaymill/process/jobs/online_reporter.py
+++ b/src/quaymill/process/jobs/online_reporter.py
@@ -44,7 +44,7 @@
 from quaymill.request.replica_choice import CannotServeInTime, ChosenReplica
 
 REPORT_TIMEOUT_S = 0.2
-"""After this time the engine's own report has reached the allocator."""
+"""Timeout of a load report; by then the engine's own report has reached the allocator."""
 PLACE_TIMEOUT_S = 0.05
 """A request that has waited this long for the allocator is placed by its own gateway, so that it
 can still meet its latency target."""
@@ -55,12 +55,12 @@
 """How long a pool counts as nearly full after a report: four times ``REPEAT_INTERVAL_S``."""
 NEARLY_FULL_SHARE = 0.6
 """Share of a pool's slots above which ends of requests are reported immediately. Doing so only once
-requests are queued would be too late: the allocator would still count slots that are free again."""
+requests are queued would be too late: the allocator would still count requests that have ended."""
 ENDS_INTERVAL_S = 0.05
-"""How long ends of requests wait for the start of another one, to be reported together with it."""
+"""Maximum delay of a report of ended requests, so that it can include the next one that starts."""
 ENDS_INTERVAL_PER_GATEWAY_S = 0.002
-"""Lower bound of the same interval per live gateway: limits the reports of ends that one allocator
-receives to 500 a second."""
+"""The delay may be longer: up to this value times the number of live gateways. This limits the
+reports of ended requests that one allocator receives to 500 per second."""
 SLOWNESS_LIFETIME_S = 1.0
 """Age above which a replica's slowness reading is no longer reported."""
 REPEAT_INTERVAL_S = 0.25
@@ -88,7 +88,7 @@
     reachable
         Returns those of the given gateways that are in reachable zones; see ``ReachableOf``.
     allocator_lost
-        Called when an allocator does not answer; requests in its queue are then decided locally.
+        Called when an allocator does not answer; this gateway then decides on its requests there.
     dispatch_granted
         Dispatches a queued request that was granted a slot, by its ticket and the replica's id;
         returns whether it was dispatched.
@@ -145,8 +145,9 @@
     def place(self, first: Replica, constraints: PlacementConstraints) -> Replica | None:
         """Ask the allocator to place a request in a replica's pool.
 
-        Returns ``None`` if it does not answer in time. The allocator counts the request at the
-        returned replica: call ``began`` when the request is sent there, ``release_slot`` if not.
+        Returns ``None`` if the allocator was not asked, did not answer in time or chose no usable
+        replica. The allocator counts the request at the returned replica: call ``began`` when it is
+        sent there, ``release_slot`` if not.
         """
         answer = self._request_placement(first, constraints, None)
         return answer if isinstance(answer, Replica) else None
@@ -156,7 +157,8 @@
     ) -> Replica | Queued | CannotServeInTime | None:
         """Ask the allocator to place a request now or to queue it.
 
-        Returns ``None`` if the allocator does not answer in time or is not known to have a queue.
+        Returns ``None`` if the allocator is not known to have a queue, was not asked for another
+        reason, did not answer in time or chose no usable replica.
         """
         return self._request_placement(first, constraints, terms)
 
@@ -194,7 +196,7 @@
         return QUEUED if placed.queued else self._count_placed(placed)
 
     def _count_placed(self, placed: OnlinePlaced) -> Replica | None:
-        """Count a placement until its request begins; ``None`` if the replica cannot be used."""
+        """Count a placement until its request begins; return its replica, ``None`` if unusable."""
         chosen = self._table.get(placed.replica_id)
         usable = chosen is not None and not chosen.leaving
         with self._lock:
@@ -206,7 +208,7 @@
         return chosen if usable else None
 
     def accept_grants(self, grants: Iterable[OnlineGrant]) -> tuple[str, ...]:
-        """Dispatch queued requests that were granted slots; return the tickets of those."""
+        """Dispatch requests that were granted slots; return the tickets of those dispatched."""
         return tuple(grant.ticket for grant in grants if self._accept_grant(grant))
 
     def _accept_grant(self, grant: OnlineGrant) -> bool:
@@ -227,7 +229,7 @@
         self._report_now.set()
 
     def withdraw(self, service: str, ticket: str) -> None:
-        """Record that a queued request no longer waits, for the next message about its service."""
+        """Record that a queued request no longer waits; the service's next message says so."""
         with self._lock:
             self._withdrawn_by_service.setdefault(service, []).append(ticket)
             self._changed = True
@@ -347,7 +349,7 @@
 
     def _run(self) -> None:
         while not self._stopping.is_set():
-            # Ends alone are reported after the wait; a gateway without requests reports nothing.
+            # Urgent changes end this wait early; all others are reported after it.
             gateways = len(self._gateways())
             self._report_now.wait(max(ENDS_INTERVAL_S, ENDS_INTERVAL_PER_GATEWAY_S * gateways))
             self._report_now.clear()
@@ -412,7 +414,7 @@
         Parameters
         ----------
         reported
-            The share of these loads that this gateway has reported itself.
+            This gateway's own requests by replica, which are included in these loads.
         """
         self._record_fullness(pool, loads)
         for load in loads:
--- a/src/quaymill/process/jobs/parallel_calls.py
+++ b/src/quaymill/process/jobs/parallel_calls.py
@@ -22,12 +22,12 @@
 HEDGE_DELAY_S = 0.2
 """Time without a reply after which more members are called."""
 OTHER_ZONE_WAIT_S = 0.4
-"""Time after which enough replies suffice even if they come from too few zones."""
+"""Time after which ``needed`` replies suffice even if they come from too few zones."""
 
 
 @attrs.frozen
 class ZoneRule:
-    """The number of zones that the replying members should cover if reachable in time.
+    """The number of zones that replies should come from, if they arrive in time.
 
     Attributes
     ----------
@@ -143,9 +143,10 @@
     def _hedge(self, replies: list[tuple[Member, Any]], needed: int) -> None:
         """Call more members because replies are slow.
 
-        A zone may be unreachable. So one member is called for each missing reply, starting with
-        those in the local zone and in zones that have replied. If enough members but too few zones
-        have replied, one member is called, from another zone if possible.
+        Without a zone rule, one member is called. With one, a zone may be unreachable: one member
+        is called for each missing reply, starting with those in the local zone and in zones that
+        have replied. If enough members but too few zones have replied, one member is called, from
+        another zone if possible.
         """
         if self._zones is None:
             self._start_next()
@@ -158,7 +159,7 @@
             self._start_next()
 
     def _skip_zones(self, zones: set[str]) -> None:
-        """Do not call more members of these zones: at most a reply from another zone is missing."""
+        """Stop calling members of these zones: only replies from other zones can be missing now."""
         self._uncalled = [member for member in self._uncalled if member.zone not in zones]
 
     def _start_next(self) -> bool:
--- a/src/quaymill/process/jobs/pool_queue.py
+++ b/src/quaymill/process/jobs/pool_queue.py
@@ -20,7 +20,7 @@
 
 GRANT_LATENCY_S = 0.02
 """Time from the release of a slot to the start of the next request: three messages between peers.
-A request with less time left than this and the time to its first byte will miss its target."""
+A request whose time left is less than this plus its time to the first byte will miss its target."""
 REFUSAL_FACTOR = 1.5
 """A request is refused if its expected wait is more than this many times its caller's remaining
 time. The margin is needed because the expected wait is computed from averages."""
@@ -92,7 +92,7 @@
         return queued
 
     def record_immediate(self, tenant: str | None) -> None:
-        """Count a request that is served without waiting toward its tenant's share."""
+        """Count a request that is served immediately as part of its tenant's share."""
         self._shares.serve(self._shares.start_tag(tenant))
 
     def queued_requests(self) -> tuple[QueuedRequest, ...]:
@@ -123,7 +123,7 @@
         self._shares.cancel(queued.message.terms.tenant)
 
     def withdraw(self, tickets: Iterable[str]) -> None:
-        """Remove requests that no longer wait, by their tickets."""
+        """Remove the requests with these tickets, which no longer wait."""
         for ticket in tickets:
             queued = self._queued_by_ticket.get(ticket)
             if queued is not None:
--- a/src/quaymill/process/jobs/result_publisher.py
+++ b/src/quaymill/process/jobs/result_publisher.py
@@ -39,8 +39,8 @@
     is_live
         Returns whether a coordinator with the given name is known to be alive.
     await_store
-        Waits until an append should be tried again, at most the given time (seconds), while the
-        store is known to be unavailable. Returns ``False`` at once if it is not.
+        If the store is known to be unavailable, waits until an append should be tried again, at
+        most the given time (seconds). Otherwise returns ``False`` at once.
     """
 
     name: str
--- a/src/quaymill/process/jobs/slot_allocator.py
+++ b/src/quaymill/process/jobs/slot_allocator.py
@@ -49,7 +49,7 @@
 EXPIRY_INTERVAL_S = 0.1
 """Time between two removals of expired claims and load reports."""
 SAME_DUE_S = 0.5
-"""Due times that differ by less are treated as equal: a job's hand-over makes them imprecise."""
+"""Due times that differ by less are treated as equal: they are imprecise after a hand-over."""
 WAKE_INTERVAL_S = 0.05
 """Minimum time between two notifications of free slots to one coordinator."""
 OWN_ZONE_BONUS = 1.0
@@ -155,9 +155,9 @@
         return PoolLoads(loads, queue_length)
 
     def place_online(self, message: PlaceOnline) -> OnlinePlaced:
-        """Choose the replica of an online request, and preempt batch items there if necessary.
+        """Place an online request or queue it; preempt batch items if necessary.
 
-        The request is counted immediately, so that the next placement takes it into account.
+        A placed request is counted immediately, so that the next placement takes it into account.
         Gateways that chose a replica themselves would all choose the one that was least busy in the
         last load report.
         """
@@ -301,10 +301,10 @@
                 del self._counts_by_pool[pool]
 
     def _first_to_wake(self, counts: PoolCounts, replicas: list[Replica]) -> str:
-        """Return the coordinator to notify of free slots: the one whose items are due first.
+        """Choose the coordinator to notify of free slots, and record the notification.
 
-        Empty if no slot is free, or if every coordinator with waiting items has claimed slots or
-        been notified within ``WAKE_INTERVAL_S``.
+        It is the one with the earliest due item among those that have neither claimed slots nor
+        been notified within ``WAKE_INTERVAL_S``. Empty if there is none or no slot is free.
         """
         now = boot_clock.now()
         claims = counts.claims
@@ -344,7 +344,7 @@
         self._loads.poll_only([replica for replicas in pools for replica in replicas])
 
     def _preempt_excess(self, counts: PoolCounts, replicas: list[Replica]) -> None:
-        """Select the items to preempt where the counts or an engine's report exceed its slots."""
+        """Select items to preempt where requests, counted or reported, exceed an engine's slots."""
         for replica in replicas:
             excess = max(counts.requests_at(replica) - replica.slots, self._loads.excess(replica))
             if excess <= 0 or not counts.batch[replica.id]:
@@ -397,7 +397,7 @@
         return best
 
     def _startable_items(self, counts: PoolCounts, replica: Replica, wanted: WantedItems) -> int:
-        """Return how many items may start at a replica, from the counts and its report."""
+        """Return how many items the counts and the engine's report allow to start at a replica."""
         counted = (
             replica.slots
             - reserved_slots(replica, wanted.reserve_share)
--- a/src/quaymill/process/jobs/slot_grants.py
+++ b/src/quaymill/process/jobs/slot_grants.py
@@ -23,7 +23,7 @@
 class SlotGrant:
     """A slot granted to a queued request, to be accepted by the request's gateway.
 
-    A request that its gateway sends again may be granted a second slot.
+    Compared by identity: a request that its gateway sends again may be granted a second slot.
 
     Attributes
     ----------
@@ -49,7 +49,7 @@
     Attributes
     ----------
     refused_early
-        Requests refused as infeasible since the start.
+        Number of requests refused as infeasible since this process started.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -69,11 +69,11 @@
 
     @property
     def tenants(self) -> int:
-        """Tenants with queued requests, summed over the queues; safe without the lock."""
+        """Number of tenants with queued requests, summed over the queues; safe without the lock."""
         return sum(queue.tenants for queue in list(self._queue_by_pool.values()))
 
     def record_immediate(self, pool: EnginePool, tenant: str | None) -> None:
-        """Count a request that was served without waiting toward its tenant's share."""
+        """Count a request that was served immediately as part of its tenant's share."""
         self._queue_by_pool.setdefault(pool, PoolQueue()).record_immediate(tenant)
 
     def join(self, pool: EnginePool, message: PlaceOnline, now: float) -> QueuedRequest:
@@ -149,7 +149,7 @@
             counts.add_online(grant.gateway, grant.replica.id)
 
     def withdraw(self, pool: EnginePool, tickets: Iterable[str]) -> None:
-        """Remove requests that no longer wait according to their gateway, by their tickets."""
+        """Remove the requests with these tickets, which no longer wait at their gateway."""
         queue = self._queue_by_pool.get(pool)
         if queue is not None:
             queue.withdraw(tickets)
