--- a/src/quaymill/process/jobs/coordinated_job.py
+++ b/src/quaymill/process/jobs/coordinated_job.py
@@ -345,14 +345,14 @@
         """Return results from position ``since`` on; wait up to ``wait_s`` seconds for one."""
         deadline = boot_clock.now() + wait_s
         with self.changed:
-            while not self._has_position(since) and not self._no_more_expected(since):
+            while not self._has_result_at(since) and not self._no_more_expected(since):
                 remaining_s = deadline - boot_clock.now()
                 if remaining_s <= 0:
                     break
                 self.changed.wait(remaining_s)
             return make_page(self.listing.document, self._contents, since)
 
-    def _has_position(self, position: int) -> bool:
+    def _has_result_at(self, position: int) -> bool:
         listed = self.listing.document.results
         return position < len(listed) and listed[position].key in self._contents
 
--- a/src/quaymill/process/jobs/slot_allocator.py
+++ b/src/quaymill/process/jobs/slot_allocator.py
@@ -100,7 +100,7 @@
         self._counts_by_pool: dict[EnginePool, PoolCounts] = {}
         self._to_preempt_by_coordinator: dict[str, Counter[str]] = {}
         self._paces = RoutePaces()
-        self._expire_at = 0.0
+        self._next_expiry_at = 0.0
         if peer_server is not None:
             peer_server.register(ClaimSlots, self.claim)
             peer_server.register(OnlineInFlight, self.record_online)
@@ -121,7 +121,7 @@
             starts = self._grant_slots_to_items(counts, message, reachable)
             grants = self._grant_slots_to_queue(pool, counts, replicas)
             preemptions = self._take_preemptions()
-            to_wake = self._first_to_wake(counts, replicas)
+            to_wake = self._choose_coordinator_to_wake(counts, replicas)
         self._send_grants(grants)
         self._send_preemptions(preemptions)
         if to_wake and to_wake != message.coordinator:
@@ -138,7 +138,7 @@
         pool = EnginePool(message.service, message.pool, message.pools)
         with self._lock:
             counts = self._counts(pool)
-            in_flight = _by_replica(message.in_flight)
+            in_flight = _counts_by_replica(message.in_flight)
             counts.set_online(message.gateway, in_flight, boot_clock.now())
             self.queues.withdraw(pool, message.withdrawn)
             replicas = pool.members(self._table)
@@ -147,7 +147,7 @@
             preemptions = self._take_preemptions()
             loads = counts.loads(replicas)
             queue_length = self._reported_queue_length(pool)
-            to_wake = self._first_to_wake(counts, replicas)
+            to_wake = self._choose_coordinator_to_wake(counts, replicas)
         self._send_grants(grants)
         self._send_preemptions(preemptions)
         if to_wake:
@@ -165,7 +165,9 @@
         pool = EnginePool(message.service, message.pool, message.pools)
         with self._lock:
             counts = self._counts(pool)
-            counts.set_online(message.gateway, _by_replica(message.in_flight), boot_clock.now())
+            counts.set_online(
+                message.gateway, _counts_by_replica(message.in_flight), boot_clock.now()
+            )
             self.queues.withdraw(pool, message.withdrawn)
             replicas = pool.members(self._table)
             grants: list[SlotGrant] = []
@@ -185,7 +187,7 @@
         chosen = self._least_costly(counts, replicas, message)
         if chosen is None:
             return OnlinePlaced("", counts.loads(replicas), self._reported_queue_length(pool))
-        return self._placed_at(chosen, pool, counts, replicas, message)
+        return self._place_at(chosen, pool, counts, replicas, message)
 
     def _least_costly(
         self, counts: PoolCounts, replicas: list[Replica], message: PlaceOnline
@@ -196,7 +198,7 @@
         offsets = {offset.replica_id: offset.requests for offset in message.offsets}
         return least_costly(allowed, counts.online_load, message.zone, offsets, self._random)
 
-    def _placed_at(
+    def _place_at(
         self,
         chosen: Replica,
         pool: EnginePool,
@@ -219,7 +221,7 @@
                 return OnlinePlaced("", counts.loads(replicas), 0), []
             if counts.online_load(chosen) < chosen.slots:
                 self.queues.record_immediate(pool, message.terms.tenant)
-                return self._placed_at(chosen, pool, counts, replicas, message), []
+                return self._place_at(chosen, pool, counts, replicas, message), []
         if all(one.id in message.excluded for one in replicas):
             return OnlinePlaced("", counts.loads(replicas), self._reported_queue_length(pool)), []
         queued = self.queues.join(pool, message, now)
@@ -289,8 +291,8 @@
     def _counts(self, pool: EnginePool) -> PoolCounts:
         """Return a pool's counts without expired claims and load reports; the lock is held."""
         now = boot_clock.now()
-        if now >= self._expire_at:
-            self._expire_at = now + EXPIRY_INTERVAL_S
+        if now >= self._next_expiry_at:
+            self._next_expiry_at = now + EXPIRY_INTERVAL_S
             self._drop_expired(now)
         return self._counts_by_pool.setdefault(pool, PoolCounts())
 
@@ -300,7 +302,7 @@
             if counts.is_empty:
                 del self._counts_by_pool[pool]
 
-    def _first_to_wake(self, counts: PoolCounts, replicas: list[Replica]) -> str:
+    def _choose_coordinator_to_wake(self, counts: PoolCounts, replicas: list[Replica]) -> str:
         """Choose the coordinator to notify of free slots, and record the notification.
 
         It is the one with the earliest due item among those that have neither claimed slots nor
@@ -375,7 +377,7 @@
             free = sum(self._startable_items(counts, replica, wanted) for replica in replicas)
             max_items = _fair_share(counts.claims, message.coordinator, free, due_at)
             for _ in range(min(wanted.items, max_items)):
-                replica = self._most_free(counts, message.zone, replicas, wanted)
+                replica = self._most_free_replica(counts, message.zone, replicas, wanted)
                 if replica is None:
                     break
                 self._loads.record_start(replica, wanted.tokens)
@@ -383,7 +385,7 @@
                 starts[replica.id] += 1
         return starts
 
-    def _most_free(
+    def _most_free_replica(
         self, counts: PoolCounts, zone: str, replicas: list[Replica], wanted: WantedItems
     ) -> Replica | None:
         best: Replica | None = None
@@ -446,5 +448,5 @@
     return tuple(ItemsAt(replica_id, items) for replica_id, items in counts.items() if items)
 
 
-def _by_replica(at: Iterable[ItemsAt]) -> Counter[str]:
+def _counts_by_replica(at: Iterable[ItemsAt]) -> Counter[str]:
     return Counter({one.replica_id: one.items for one in at})
