--- a/src/quaymill/process/jobs/item_urgency.py
+++ b/src/quaymill/process/jobs/item_urgency.py
@@ -1,7 +1,7 @@
 """Urgency of batch items: the earliest due time first, infeasible items last.
 
 An item that can no longer finish by its due time has little value, whenever it finishes. If such
-items ran first under overload, the feasible items would become infeasible one after the other.
+items ran first under overload, the feasible items would become infeasible one after another.
 """
 
 from __future__ import annotations
@@ -92,7 +92,7 @@
         return unreported
 
     def add_all(self, done: Iterable[RoutePace]) -> None:
-        """Add the paces that a coordinator reports to the averages."""
+        """Update the averages with the paces that a coordinator reports."""
         with self._lock:
             for one in done:
                 self._add(one)
--- a/src/quaymill/process/jobs/job_lookup.py
+++ b/src/quaymill/process/jobs/job_lookup.py
@@ -35,8 +35,8 @@
     def check_absence(self, job_id: str, not_found: NotFound) -> NoSuchJob | Unsure:
         """Return ``NoSuchJob`` only if it is certain that the job does not exist.
 
-        A new gateway may not know all storage nodes yet, and a known one may just have lost its
-        disk. A job with results also has a listing in the platform's store.
+        A new gateway may not know all storage nodes yet, and a known node may just have lost
+        its disk. A job with results also has a listing in the platform's store.
         """
         if not not_found.certain:
             return Unsure("not all storage nodes answered")
--- a/src/quaymill/process/jobs/pool_counts.py
+++ b/src/quaymill/process/jobs/pool_counts.py
@@ -18,7 +18,7 @@
 class RunningItems:
     """Running items of a coordinator at a replica that are due at the same time.
 
-    Items to be preempted are subtracted once the coordinator is asked to preempt them.
+    Items are subtracted as soon as they are selected for preemption.
 
     Attributes
     ----------
@@ -155,7 +155,7 @@
         self.batch[replica.id] += 1
 
     def remove_items(self, running: RunningItems, items: int) -> None:
-        """Stop counting items that a coordinator is asked to preempt."""
+        """Stop counting items that are selected for preemption."""
         running.items -= items
         self.batch[running.replica_id] -= items
 
--- a/src/quaymill/process/jobs/quota_ledger.py
+++ b/src/quaymill/process/jobs/quota_ledger.py
@@ -29,13 +29,13 @@
 )
 
 ALLOWANCES_SHARE = 0.25
-"""Maximum share of the quota for all allowances; granted only while jobs hold no more than it."""
+"""Maximum share of the quota for all allowances; granted only while jobs hold at most that."""
 SPARE_GATEWAYS = 2
 """Number of allowances reserved for gateways that start later."""
 MIN_ALLOWANCE_TOKENS = 4096
 """Minimum size of an allowance; a smaller one rarely fits a job."""
 OVERRUN_USED_SHARE = 0.8
-"""Share of the tolerated overrun that allowances may use; the rest covers late counts."""
+"""Share of the tolerated overrun that allowances may use; the rest covers jobs counted late."""
 MAX_CONFLICTS = 12
 """Maximum number of attempts to change a ledger."""
 FIRST_CONFLICT_PAUSE_S = 0.05
--- a/src/quaymill/process/jobs/result_reader.py
+++ b/src/quaymill/process/jobs/result_reader.py
@@ -25,9 +25,9 @@
 
 READ_TIMEOUT_S = 1.0
 MAX_WAITING_READS = 24
-"""Reads that may wait for a result at the same time; each occupies a thread."""
+"""Maximum number of reads that wait for a result at the same time; each occupies a thread."""
 MAX_KNOWN_COORDINATORS = 2000
-"""Jobs whose coordinator is remembered; beyond it the memory is cleared."""
+"""Maximum number of jobs whose coordinator is remembered; when it is reached, all are forgotten."""
 
 
 class ResultReader:
@@ -107,8 +107,8 @@
 
         The position may already be listed in the store, and clients may have read it there. It may
         have been listed by this process, in a write that is not answered yet, by the previous
-        coordinator, or by a second one. Leases do not rule this out. Only the store does, or a
-        check that no storage node has a result which is missing in the known listing.
+        coordinator, or by a second one. Leases do not rule this out. Only a read of the
+        store does, or a check that no storage node has a result missing in the known listing.
         """
         if not coordinated.listing_is_current():
             began = boot_clock.now()
--- a/src/quaymill/process/jobs/route_quota.py
+++ b/src/quaymill/process/jobs/route_quota.py
@@ -90,7 +90,7 @@
     charged
         Tokens by job that are counted under the allowance and not entered in the ledger.
     seen_running
-        The charged jobs that have run here: they are over once they no longer do.
+        The charged jobs that have run here; such a job is over once it no longer runs here.
     remaining
         Remaining tokens of the allowance.
     renewed_at
@@ -128,11 +128,10 @@
     def release_finished_jobs(
         self, outstanding: dict[str, int], handed_over: frozenset[str]
     ) -> None:
-        """Give the tokens of charged jobs that are over back to the allowance.
+        """Return the tokens of finished charged jobs to the allowance.
 
-        ``outstanding`` has the unfinished tokens of the jobs that run here. A
-        job that was handed to another gateway stays counted, because that gateway may not have
-        entered it yet.
+        ``outstanding`` has the unfinished tokens of the jobs that run here. A job that was handed
+        to another gateway stays counted, because that gateway may not have entered it yet.
         """
         self.seen_running |= self.charged.keys() & outstanding.keys()
         over = {
--- a/src/quaymill/process/jobs/service.py
+++ b/src/quaymill/process/jobs/service.py
@@ -166,7 +166,7 @@
         if coordinated is not None:
             bodies = (item.body for item in coordinated.job.document.items if item.id == item_id)
             body = next(bodies, None)
-            # An empty body is a body, too.
+            # An empty body is valid.
             return NoSuchItem() if body is None else body
         body = self._storage.fetch_body(job_id, item_id)
         if isinstance(body, NotFound):
@@ -195,7 +195,7 @@
             successor = next(filter(None, successors), "")
             handed = (HandedOverJob(message.job.id, successor),) if successor else ()
             released = () if successor else (message.job.id,)
-            # Immediately: the successor cannot renew a lease that this coordinator still holds.
+            # Without delay: the successor cannot renew a lease that this coordinator still holds.
             self._leases.renew(RenewJobs(self._coordinator.name, (), (), released, handed))
 
     # Helpers.
--- a/src/quaymill/process/jobs/storage_client.py
+++ b/src/quaymill/process/jobs/storage_client.py
@@ -270,7 +270,7 @@
         return len(outcome.replies) >= self._rules.needed
 
     def _nearest_first(self, job_id: str, members: tuple[Member, ...]) -> list[Member]:
-        """Return members by rank; among the holders of the copies, those in this zone first."""
+        """Return the holders of the copies, those in this zone first, then the others by rank."""
         ranked = self._rules.rank(job_id, members)
         holders, others = list(ranked[: self._rules.kept]), list(ranked[self._rules.kept :])
         random.shuffle(holders)
@@ -279,7 +279,7 @@
 
 
 def _agreed_coordinator(names: list[str]) -> str:
-    """Return the coordinator that most storage nodes name; of equals, the first in name order.
+    """Return the coordinator that most storage nodes name; among equals, the first by name.
 
     If two gateways store a job at the same moment, each may see both names. Both must select the
     same one, or each might leave the job to the other.
--- a/src/quaymill/process/jobs/submission_relay.py
+++ b/src/quaymill/process/jobs/submission_relay.py
@@ -85,8 +85,8 @@
         Parameters
         ----------
         submit_locally
-            Submits the job from this gateway. It runs in a thread of its own and to its end, even
-            if another attempt succeeds first.
+            Submits the job from this gateway. It has a thread of its own and is not stopped if
+            another attempt succeeds first.
         """
         outcomes: queue.SimpleQueue[SubmissionOutcome] = queue.SimpleQueue()
         running = 0
