--- a/src/quaymill/process/jobs/coordinated_job.py
+++ b/src/quaymill/process/jobs/coordinated_job.py
@@ -102,7 +102,7 @@
     Attributes
     ----------
     route
-        The job's route when the configuration last had one; ``None`` if it never had one here.
+        The job's route as last found in the configuration; ``None`` if none has been found.
     routed_at
         Monotonic time when the configuration last had a route for the job.
     sent_at
--- a/src/quaymill/process/jobs/online_reporter.py
+++ b/src/quaymill/process/jobs/online_reporter.py
@@ -57,7 +57,7 @@
 """Share of a pool's slots above which ends of requests are reported immediately. Doing so only once
 requests are queued would be too late: the allocator would still count requests that have ended."""
 ENDS_INTERVAL_S = 0.05
-"""Maximum delay of a report of ended requests, so that it can include the next one that starts."""
+"""Maximum delay of a report of ended requests; a start within it is reported together with them."""
 ENDS_INTERVAL_PER_GATEWAY_S = 0.002
 """The delay may be longer: up to this value times the number of live gateways. This limits the
 reports of ended requests that one allocator receives to 500 per second."""
@@ -157,8 +157,8 @@
     ) -> Replica | Queued | CannotServeInTime | None:
         """Ask the allocator to place a request now or to queue it.
 
-        Returns ``None`` if the allocator is not known to have a queue, was not asked for another
-        reason, did not answer in time or chose no usable replica.
+        Returns ``None`` if the allocator was not asked, for example because it is not known to have
+        a queue, or if it did not answer in time or chose no usable replica.
         """
         return self._request_placement(first, constraints, terms)
 
--- a/src/quaymill/process/jobs/quota_ledger.py
+++ b/src/quaymill/process/jobs/quota_ledger.py
@@ -29,7 +29,8 @@
 )
 
 ALLOWANCES_SHARE = 0.25
-"""Maximum share of the quota for all allowances; granted only while jobs hold at most that."""
+"""Maximum share of the quota for all allowances. They are granted only while jobs hold at most the
+same share."""
 SPARE_GATEWAYS = 2
 """Number of allowances reserved for gateways that start later."""
 MIN_ALLOWANCE_TOKENS = 4096
