--- a/src/quaymill/connection/configuration_messages.py
+++ b/src/quaymill/connection/configuration_messages.py
@@ -9,7 +9,7 @@
 
 
 class PullConfiguration(PeerMessage, frozen=True):
-    """Request the changes to the configuration since a generation."""
+    """Request the changes to the configuration since a generation; -1 requests all of it."""
 
     held_generation: int
 
@@ -21,7 +21,7 @@
 
 
 class WholeConfiguration(PeerMessage, frozen=True):
-    """Active configuration of the answering node, if that lacks some of the differences."""
+    """Active configuration of a node that no longer has all of the requested differences."""
 
     configuration: ServingConfiguration
 
@@ -56,7 +56,7 @@
     subject
         The cell, object or node with the problem.
     since_unix_s
-        Time at which the reporting node first found the problem.
+        Time at which the reporting node found the problem, or at which its reason last changed.
     """
 
     subject: str
--- a/src/quaymill/connection/job_storage_messages.py
+++ b/src/quaymill/connection/job_storage_messages.py
@@ -193,7 +193,13 @@
 
 
 class JobEnded(PeerMessage, frozen=True):
-    """The mark is on disk."""
+    """The mark is on disk.
+
+    Attributes
+    ----------
+    coordinator
+        Coordinator of the job according to this node; empty if it knows none.
+    """
 
     coordinator: str
 
@@ -370,7 +376,14 @@
 
 
 class CompareJobs(PeerMessage, frozen=True):
-    """Request the jobs of a storage node; ``digest`` is the last one received from it."""
+    """Request summaries of all jobs of a storage node.
+
+    Attributes
+    ----------
+    digest
+        The node's digest at the last comparison that left nothing missing at the sender; empty to
+        request the summaries in any case.
+    """
 
     repeatable: ClassVar[bool] = True
 
--- a/src/quaymill/connection/load_messages.py
+++ b/src/quaymill/connection/load_messages.py
@@ -57,7 +57,7 @@
 
 
 class OnlineStarts(PeerMessage, frozen=True):
-    """Online requests start at these replicas now, and preempt batch items there.
+    """Online requests are starting at these replicas and preempt batch items there.
 
     A replica is listed once for each request.
     """
--- a/src/quaymill/process/configuration/editor.py
+++ b/src/quaymill/process/configuration/editor.py
@@ -40,7 +40,7 @@
 
 
 class StoredTable(msgspec.Struct, frozen=True):
-    """The configuration stored on the platform; the version is empty if there is none yet."""
+    """The stored configuration; ``resource_version`` is empty if the platform holds none."""
 
     configuration: ServingConfiguration
     resource_version: str = ""
@@ -53,7 +53,7 @@
 
 
 class EditUnknown(msgspec.Struct, frozen=True):
-    """The platform stopped answering, and the edit may or may not be committed."""
+    """An attempt was not answered, and the edit may or may not be committed."""
 
     edit_id: str
     reason: str
@@ -66,7 +66,7 @@
 
 
 class EditNotSent(msgspec.Struct, frozen=True):
-    """The platform could not be reached and nothing was changed."""
+    """No attempt to write succeeded, and nothing was changed."""
 
     reason: str
 
--- a/src/quaymill/process/configuration/platform_watch.py
+++ b/src/quaymill/process/configuration/platform_watch.py
@@ -40,7 +40,10 @@
         """Handle the deletion of an object."""
 
     def is_current(self) -> bool:
-        """Return whether no change was missed by a watch without events; ``False`` relists."""
+        """Return whether the watch may be resumed after a watch without events.
+
+        If not, changes may have been missed, and the objects are listed again.
+        """
 
 
 class WatchSettings(msgspec.Struct, frozen=True):
@@ -55,6 +58,11 @@
 
     A watch lasts a limited time. After one that fails or does not end in time, the objects are
     listed again; one that ended normally is resumed from its last version.
+
+    Parameters
+    ----------
+    report
+        Called after each list with the reason of its failure; empty if it succeeded.
     """
 
     def __init__(
--- a/src/quaymill/process/configuration/reader.py
+++ b/src/quaymill/process/configuration/reader.py
@@ -72,7 +72,7 @@
             self._report_missing()
 
     def is_current(self) -> bool:
-        """Return whether the stored version is the one seen last."""
+        """Return whether the stored version is the one seen last; true if it cannot be read."""
         return self._platform.get_version(CONFIGURATIONS, CONFIGURATION_NAME) in (
             self._seen_version,
             "",
@@ -123,7 +123,7 @@
         self._older_since: float | None = None
 
     def on_list(self, listed: ObjectList) -> None:
-        """Apply a whole list, unless it is older than the current one."""
+        """Apply a whole list; an older one than the current only after a reset of the platform."""
         if not listed.resource_version.isdigit():
             return
         version = int(listed.resource_version)
--- a/src/quaymill/process/configuration/service.py
+++ b/src/quaymill/process/configuration/service.py
@@ -56,8 +56,8 @@
 class ConfigurationTiming(msgspec.Struct, frozen=True):
     """Durations of watches of the platform and interval of version checks, in seconds.
 
-    A watch whose connection is lost is only noticed when it should have ended. The duration of the
-    configuration's watch therefore limits the delay of an edit if the version check fails too.
+    A lost connection of a watch is noticed only when the watch should have ended. The duration of
+    the configuration's watch therefore limits the delay of an edit if the version check fails too.
     """
 
     version_check_s: float = 1.5
--- a/src/quaymill/process/control/state.py
+++ b/src/quaymill/process/control/state.py
@@ -41,7 +41,7 @@
 PULL_TIMEOUT_S = 0.8
 PULL_RETRY_S = 0.1
 MAX_PULLS_AT_ONCE = 4
-"""Pulls answered concurrently; further gateways pull from those that have been answered."""
+"""Maximum number of pulls answered at once; other gateways retry, possibly with another peer."""
 
 
 @attrs.frozen
--- a/src/quaymill/process/control/store_circuit.py
+++ b/src/quaymill/process/control/store_circuit.py
@@ -5,8 +5,9 @@
 ``StoreCircuit`` makes the decisions, without I/O and with the time as a parameter; ``CircuitStore``
 applies them to an ``ObjectStore``.
 
-Calls of other kinds of objects limit their own rate and are always made. Their results count too:
-a successful read of the configuration or the replicas closes the circuit.
+Calls for kinds of objects not in ``GUARDED_KINDS`` are always made, because their callers limit
+their rate. Their results count too, except those of watches: a successful read of the
+configuration or the replicas closes the circuit.
 """
 
 from __future__ import annotations
@@ -55,7 +56,7 @@
 PROBE_WAIT_S = 0.1
 """Time for which a call waits for the result of a probe in progress."""
 RECOVERY_WRITE_SHARE = 0.5
-"""Share of the store's write rate that appends may use which waited for its recovery."""
+"""Share of the store's write rate for appends that have waited for the recovery."""
 RETRY_CHECK_INTERVAL_S = 0.1
 """Interval at which a waiting caller checks whether other gateways have reached the store."""
 
@@ -97,10 +98,10 @@
 def max_probe_delay_s(contact_s: float, settle_s: float, configuration_s: float) -> float:
     """Return the longest delay between two probes, in seconds.
 
-    The bounds of the service hold again ``contact_s`` after an outage. By then a probe must have
-    succeeded and the results listed since must have settled, which takes ``settle_s``. A
-    configuration written at the recovery must be in force after ``configuration_s``. Half of the
-    remaining time is left for the calls themselves.
+    The service must meet its guarantees again within ``contact_s`` after an outage. By then a probe
+    must have succeeded and the results listed since must have settled, which takes ``settle_s``. A
+    configuration written at the recovery must be in force within ``configuration_s``. Half of the
+    shorter remaining time is reserved for the calls themselves.
     """
     return max(FIRST_PROBE_DELAY_S, min(contact_s - settle_s, configuration_s) / 2)
 
@@ -296,7 +297,8 @@
         """Wait while the circuit is open, until a failed call should be retried.
 
         That is when the circuit closes, plus a random delay that spreads the waiting callers;
-        for one of them also when a probe is due; or at the latest after ``timeout_s``.
+        for one of them also when a probe is due. If neither happens, waiting ends after
+        ``timeout_s``.
 
         Returns
         -------
--- a/src/quaymill/process/control/store_helpers.py
+++ b/src/quaymill/process/control/store_helpers.py
@@ -41,7 +41,7 @@
     _none_able_until: float = -math.inf
 
     def choose(self, members: Sequence[Member], now: float) -> list[Member]:
-        """Return the members to ask for a call, in order; none if all of them failed recently."""
+        """Return the members to ask for a call, in order; none after a recent failure."""
         if now < self._none_able_until:
             return []
         self._drop_expired(now)
@@ -69,7 +69,10 @@
             self.last_helper = ""
 
     def record_none_able(self, now: float) -> None:
-        """Record that no gateway could help: none is asked until the first of them may be again."""
+        """Record that no gateway asked could help.
+
+        None is asked again until the first retry time of a gateway that was unable to help.
+        """
         self._none_able_until = min(self._unable_until_by_name.values(), default=now)
 
     def _drop_expired(self, now: float) -> None:
--- a/src/quaymill/process/control/store_reader.py
+++ b/src/quaymill/process/control/store_reader.py
@@ -1,9 +1,9 @@
 """Reads the platform's store on behalf of all gateways; usually only the first in rank reads.
 
-A gateway's view is confirmed when the store was read and held nothing newer. The gateway that
-reads notifies all others, which confirms their views too. Each gateway waits a little longer than
-the one before it in rank, so it reads only if those before it are frozen or stopped, or if the
-store refuses them.
+A gateway's view is confirmed when a read of the store has been applied to it. The gateway that
+reads notifies all others; those with the same versions confirm their views too. Each gateway
+waits a little longer than the one before it in rank, so it reads only if those before it are
+frozen or stopped, or if the store refuses them.
 """
 
 from __future__ import annotations
@@ -18,8 +18,11 @@
 
 MIN_CHECK_INTERVAL_S = 0.05
 STAGGER_S = 0.1
+"""Additional delay of a gateway for each gateway before it in rank."""
 MAX_STAGGERED = 8
+"""Highest rank up to which the delay grows."""
 UNSTAGGERED_JITTER_S = 0.5
+"""Maximum random delay of gateways with a higher rank, which otherwise wait equally long."""
 FIRST_READ_DELAY_S = 0.05
 """Delay of the first read after the start: running peers usually send everything sooner."""
 FIRST_READ_JITTER_S = 0.2
--- a/src/quaymill/process/control/store_sharing.py
+++ b/src/quaymill/process/control/store_sharing.py
@@ -1,8 +1,8 @@
-"""Calls to the platform's store through other gateways, while the store refuses this one.
+"""Calls to the platform's store through other gateways, while this one cannot reach it.
 
-Only calls for single objects are shared: listings of jobs, ledgers of quotas, barred requests.
-Each write is conditional on a revision, so it is safe to repeat a write through another gateway
-when its response was lost.
+Only reads, creations and replacements of single objects are shared: listings of jobs, ledgers of
+quotas, barred requests. A creation requires that the object does not exist, and a replacement
+requires its revision, so it is safe to repeat a write whose response was lost.
 """
 
 from __future__ import annotations
--- a/src/quaymill/process/job_storage/database.py
+++ b/src/quaymill/process/job_storage/database.py
@@ -91,6 +91,10 @@
     ----------
     sent_at
         Estimated monotonic time at which the job was first sent.
+    ended
+        Whether the job was ended by ``EndJob``, possibly with unfinished items.
+    complete
+        Whether all items are in the listing.
     results
         Summary of the stored results.
     """
@@ -219,7 +223,7 @@
             )
 
     def progress(self, job_id: str) -> tuple[ItemProgress, ...]:
-        """Return the progress of a job's unfinished items; of each item its longest lineage."""
+        """Return the progress of unfinished items, for each the lineage with the most events."""
         with self._read_lock:
             rows = self._reader.execute(
                 "SELECT item_index, lineage, first, last_event_id, texts, failures FROM progress"
@@ -256,7 +260,7 @@
             return record
 
     def set_coordinator(self, job_id: str, coordinator: str) -> None:
-        """Store the coordinator that runs a job, so that its end is noticed after a restart."""
+        """Store a job's coordinator, so that a restarted node can notice that it has ended."""
         with self._lock:
             record = self.by_id.get(job_id)
             if record is None or record.coordinator == coordinator:
--- a/src/quaymill/process/job_storage/leases.py
+++ b/src/quaymill/process/job_storage/leases.py
@@ -39,19 +39,19 @@
         return refused
 
     def hand_over(self, job_id: str, holder: str, successor: str) -> None:
-        """Transfer a lease of ``holder`` to its successor for a full term."""
+        """Give a lease to ``successor`` for a full term, unless a third coordinator holds it."""
         with self._lock:
             if self._holder_by_job.get(job_id, holder) == holder:
                 self._expires_by_job[job_id] = boot_clock.now() + LEASE_S
                 self._holder_by_job[job_id] = successor
 
     def extend(self, job_id: str, left_s: float) -> None:
-        """Set the time left of a lease to that known to another node, in seconds."""
+        """Set the remaining time of a lease, in seconds, as reported by another node."""
         with self._lock:
             self._expires_by_job[job_id] = boot_clock.now() + left_s
 
     def release(self, job_id: str, holder: str) -> None:
-        """End a lease at once if ``holder`` has it."""
+        """End a lease at once, unless a coordinator other than ``holder`` has it."""
         with self._lock:
             if self._holder_by_job.get(job_id, holder) == holder:
                 self._expires_by_job[job_id] = 0.0
--- a/src/quaymill/process/job_storage/orphans.py
+++ b/src/quaymill/process/job_storage/orphans.py
@@ -28,7 +28,7 @@
 
 CHECK_INTERVAL_S = 0.2
 REPLACED_FOR_S = 0.3
-"""Time for which a node must have been seen with a new process; outdated gossip ends earlier."""
+"""Time for which a node must be seen with a new process; outdated gossip does not last as long."""
 LEASE_QUERY_TIMEOUT_S = 0.7
 ADOPT_TIMEOUT_S = 1.0
 
--- a/src/quaymill/process/job_storage/repair.py
+++ b/src/quaymill/process/job_storage/repair.py
@@ -58,7 +58,8 @@
     member
         The other node, as of the last update of the set of nodes.
     digest
-        Digest of the other node's summaries when nothing was missing here; empty if none.
+        Digest of the other node's summaries at the last comparison that left nothing missing here;
+        empty before the first one.
     due_at
         Monotonic time of the next comparison.
     running
@@ -150,9 +151,10 @@
         return sorted(due, key=lambda one: one.due_at)
 
     def _update_nodes(self) -> None:
-        """Reset all comparisons if a node joined or left; the caller holds the lock.
+        """Reset all comparisons if a node joined, left or changed its address.
 
-        The ranking has then changed, so other jobs may belong on this node.
+        The ranking may then have changed, so other jobs may belong on this node. The caller holds
+        the lock.
         """
         others = {node.name: node for node in self._storage_nodes() if node.name != self._name}
         for name, comparison in self._by_node.items():
--- a/src/quaymill/process/job_storage/retirement.py
+++ b/src/quaymill/process/job_storage/retirement.py
@@ -27,7 +27,7 @@
 
 
 class Retirement:
-    """Carries out a request to empty this node; it may be called again for the same request.
+    """Carries out a request to empty this node.
 
     States of the request: requested -> active (``begin``) -> leaving (enough other nodes are live;
     new data is refused) -> succeeded (all data is stored on enough other nodes in enough zones; the
@@ -78,7 +78,7 @@
         self._thread: threading.Thread | None = None
 
     def begin(self) -> None:
-        """Start emptying the node, unless that is in progress."""
+        """Start emptying the node; further calls have no effect."""
         if self._thread is not None:
             return
         log_message("retirement:begun", node=self._name, jobs=len(self._database.by_id))
@@ -102,7 +102,7 @@
                 return
 
     def _begin_leaving(self) -> bool:
-        """Refuse new data from now on if enough other nodes are live; return whether they are."""
+        """Refuse new data if enough other nodes are live; return whether it is refused."""
         others = self._others(self._storage_nodes())
         if len(others) < self._rules.needed:
             return False
--- a/src/quaymill/process/job_storage/service.py
+++ b/src/quaymill/process/job_storage/service.py
@@ -159,7 +159,7 @@
         return JobsRenewed(tuple(ended), tuple(taken), self._confirmed(message.orders))
 
     def _confirmed(self, orders: tuple[ListedItems, ...]) -> tuple[str, ...]:
-        """Return the jobs whose stored results are all known as listed to the coordinator."""
+        """Return the jobs all of whose stored results are for items that the coordinator lists."""
         return tuple(
             order.job_id
             for order in orders
--- a/src/quaymill/process/status/service.py
+++ b/src/quaymill/process/status/service.py
@@ -23,18 +23,20 @@
 
 
 class StatusTiming(msgspec.Struct, frozen=True):
-    """Rates of the status writer, in seconds.
+    """Intervals of the status writer, in seconds.
 
     Attributes
     ----------
     check_interval_s
-        Between two checks of whether this node is the writer and the status has changed.
+        Time between two checks of whether this node is the writer and the status has changed.
     news_interval_s
-        Minimum between two writes of changes, and between two collections while nodes lag.
+        Minimum time between two writes of changes, and between two collections while nodes lag.
     load_interval_s
-        Between two writes if only the load has changed.
+        Time between two writes if only the load has changed.
     collect_interval_s
-        Between two collections while all nodes have the same generation.
+        Time between two collections while all nodes have the same generation.
+    lease_duration_s
+        Duration of the writer's lease from each renewal.
     """
 
     check_interval_s: float = 1.0
--- a/src/quaymill/process/status/status_writer.py
+++ b/src/quaymill/process/status/status_writer.py
@@ -26,8 +26,8 @@
 class StatusWriter:
     """Writes by compare-and-swap, based on the version that it wrote or read last.
 
-    The next write of a writer that was paused conflicts. The document that it then reads has the
-    token of the newer writer, so the old writer stops.
+    If another node has become the writer while this one was paused, the next write here conflicts.
+    The document is then read again; it has the token of the newer writer, so this one stops.
     """
 
     def __init__(self, platform: PlatformClient) -> None:
--- a/src/quaymill/process/status/writer_lease.py
+++ b/src/quaymill/process/status/writer_lease.py
@@ -99,7 +99,7 @@
         self._platform.replace(STATUS_LEASES, STATUS_LEASE_NAME, released, version)
 
     def _may_acquire(self, seen: _Seen) -> bool:
-        # A lease in this node's own name remains from before a restart.
+        # A lease in this node's own name is from before a restart or from a write without response.
         if not seen.resource_version or seen.record.holder in (NO_HOLDER, self._holder):
             return True
         return self._clock() - seen.since >= self._duration_s
--- a/tests/test_store_circuit.py
+++ b/tests/test_store_circuit.py
@@ -318,7 +318,7 @@
 
 
 class HelpersTest(unittest.TestCase):
-    """Gateways that one whose calls the store refuses asks for help."""
+    """Choice of the gateways that are asked for help when the store refuses calls."""
 
     def setUp(self) -> None:
         self.helpers = StoreHelpers(sample=lambda members, count: list(members)[:count])
