--- a/src/quaymill/process/control/state.py
+++ b/src/quaymill/process/control/state.py
@@ -175,7 +175,7 @@
         """Return this gateway's rank among the live ones."""
         name = self._membership.local().name
         others = (member.name for member in self._other_gateways())
-        return sum(1 for other in others if _read_order(other) < _read_order(name))
+        return sum(1 for other in others if _reader_rank_key(other) < _reader_rank_key(name))
 
     def _other_gateways(self) -> list[Member]:
         name = self._membership.local().name
@@ -278,7 +278,7 @@
         return ControlState(document, records, revision)
 
 
-def _read_order(name: str) -> int:
+def _reader_rank_key(name: str) -> int:
     return xxhash.xxh3_64_intdigest(f"store-reader\0{name}".encode())
 
 
--- a/tests/test_store_circuit.py
+++ b/tests/test_store_circuit.py
@@ -68,9 +68,9 @@
     """Decisions of the circuit, with the time as a parameter."""
 
     def test_every_state_handles_every_event(self) -> None:
-        closed_only = {(CircuitState.CLOSED, CircuitEvent.PROBE_BEGUN)}
+        impossible = {(CircuitState.CLOSED, CircuitEvent.PROBE_BEGUN)}
         every = {(state, event) for state in CircuitState for event in CircuitEvent}
-        self.assertEqual(every - closed_only, NEXT_STATES.keys())
+        self.assertEqual(every - impossible, NEXT_STATES.keys())
 
     @params(
         ("nothing known", (), True),
