--- a/src/quaymill/connection/configuration_messages.py
+++ b/src/quaymill/connection/configuration_messages.py
@@ -21,7 +21,7 @@
 
 
 class WholeConfiguration(PeerMessage, frozen=True):
-    """Active configuration of a node that no longer has all of the requested differences."""
+    """Active configuration of a node that does not have all of the requested differences."""
 
     configuration: ServingConfiguration
 
--- a/src/quaymill/connection/limit_messages.py
+++ b/src/quaymill/connection/limit_messages.py
@@ -56,19 +56,21 @@
 
     Attributes
     ----------
+    requests, slots
+        Number of requests lent, and total number of concurrent requests allowed to the gateway.
     refused_by
         Name of the limit that the current request exceeds, in which case no tokens are lent; empty
         if there is none.
     retry_after_s
         Estimated time after which that limit allows a request again.
     granter
-        Name of the gateway that grants the tenant's credits, if it is not the answering one, which
-        then lends nothing.
+        Name of the gateway (not of a process) that grants the tenant's credits, if it is not the
+        answering one, which then lends nothing.
     by
-        Name of the process that lent the credits.
+        Name of the process that lent the credits, as in ``GrantedBy.granter``.
     paced
-        Whether the only reason for the refusal is that the granter does not know yet what other
-        granters granted.
+        Whether the request is refused only because the granter does not know yet how many requests
+        other granters have granted.
     """
 
     requests: int = 0
--- a/src/quaymill/connection/log_messages.py
+++ b/src/quaymill/connection/log_messages.py
@@ -122,8 +122,8 @@
     matched
         Whether the log matched at ``previous_index``; the entries are then on disk.
     last_index
-        Last index known to match if ``matched``; otherwise the last one that may match, after which
-        the leader continues.
+        Last index known to match if ``matched``. Otherwise the last index that may match; the
+        leader sends entries from the next one on.
     """
 
     replica: str
--- a/src/quaymill/connection/replica_connection.py
+++ b/src/quaymill/connection/replica_connection.py
@@ -267,6 +267,7 @@
         The exchange; ``NotRun`` if nothing was sent; ``OutcomeUnknown`` if a part may have been.
         """
         if self.link_filter.blocks(endpoint):
+            # Simulates a connection attempt that times out.
             time.sleep(CONNECT_TIMEOUT_S)
             return _unreachable(endpoint, "blocked by the link filter")
         connection = None if new_connection else self._idle.take(endpoint, max_idle_s)
@@ -303,8 +304,8 @@
     def accepts_connections(self, endpoint: Endpoint) -> bool:
         """Return whether an endpoint may be in service, judged by opening a connection.
 
-        A timeout counts as in service, since it may be due to a lost packet. A connection that is
-        closed immediately after it was opened counts as not in service.
+        A timeout counts as in service, since it may be due to a lost packet. A connection on
+        which the endpoint closes or sends data immediately counts as not in service.
         """
         try:
             address = (endpoint.host, endpoint.port)
--- a/src/quaymill/connection/store_messages.py
+++ b/src/quaymill/connection/store_messages.py
@@ -29,7 +29,7 @@
 
 
 class SharedObject(msgspec.Struct, frozen=True):
-    """An object in the store."""
+    """An object of the store, in the form in which it is sent to another gateway."""
 
     name: str
     revision: int
@@ -44,7 +44,8 @@
     object
         The object read or written, or the current object after a conflict.
     conflict, missing
-        Whether the revision did not match, or the object does not exist.
+        Whether the revision did not match or an object to be created exists; whether the object
+        does not exist.
     unanswered
         Reason why it is unknown whether the call took effect; empty if it is known.
     """
--- a/src/quaymill/process/configuration/problems.py
+++ b/src/quaymill/process/configuration/problems.py
@@ -21,9 +21,10 @@
         self._groups: dict[str, str] = {}
 
     def report(self, subject: str, reason: str, remedy: str, group: str = "") -> None:
-        """Add or replace the problem of a subject; ``clear`` removes it by its ``group``.
+        """Add the problem of a subject, or replace it if its reason has changed.
 
-        The group is the subject itself if none is given.
+        A problem of a new subject is ignored if there are ``MAX_PROBLEMS`` already. ``clear``
+        removes all problems of a ``group``, which is the subject itself if none is given.
         """
         with self._lock:
             held = self._problems.get(subject)
--- a/src/quaymill/process/control/entries.py
+++ b/src/quaymill/process/control/entries.py
@@ -19,7 +19,7 @@
     """Parses replica entries, and keeps the last valid one while an entry is unreadable.
 
     Another writer may overwrite a replica's entry. A live replica writes it again within a
-    heartbeat; until then its last valid entry stays in use.
+    heartbeat; until then its last valid entry stays in use, for ``UNREADABLE_KEPT_S`` at most.
 
     Parameters
     ----------
@@ -57,7 +57,7 @@
         return entries + self._kept(unreadable, now)
 
     def _kept(self, unreadable: list[str], now: float) -> list[ReplicaEntry]:
-        """Return the last valid entries of those names that were readable recently."""
+        """Return the last valid entries of unreadable objects that were readable recently."""
         self._read_at_by_id = {
             name: at for name, at in self._read_at_by_id.items() if now - at <= UNREADABLE_KEPT_S
         }
@@ -67,7 +67,7 @@
         return [entry for entry in last_entries if entry is not None]
 
     def _log_unreadable(self, stored: StoredObject, reason: str) -> None:
-        """Log each revision of an object that is no replica entry once."""
+        """Log that an object is no replica entry, once for each revision and reason."""
         if self._logged_by_name.get(stored.name) != (stored.revision, reason):
             self._logged_by_name[stored.name] = (stored.revision, reason)
             log_message("control:replica_unread", replica=stored.name, reason=reason)
