--- a/src/quaymill/process/early_listener.py
+++ b/src/quaymill/process/early_listener.py
@@ -1,8 +1,8 @@
 """Listens for callers before the rest of a gateway is loaded.
 
 Loading the other modules can take more than a second. Meanwhile a caller would find the port
-closed and might use up its retries, while an accepted connection just waits. This module imports
-only a few modules of the standard library, so that it loads quickly.
+closed and might use up its retries, while a connection to a listening socket just waits. This
+module imports only a few modules of the standard library, so that it loads quickly.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 LISTEN_BACKLOG = 512
-"""Most connections that wait to be accepted while the gateway is loading."""
+"""Most connections that wait to be accepted, also after the start."""
 
 
 def open_listener(settings_file: Path) -> socket.socket | None:
--- a/src/quaymill/process/front/access.py
+++ b/src/quaymill/process/front/access.py
@@ -1,4 +1,4 @@
-"""Identifies callers by their keys, using the configuration in force at that time.
+"""Identifies callers by their keys, using the configuration in force when the key is checked.
 
 Which configuration version is used at which point:
 
@@ -82,7 +82,7 @@
 
 
 def identify(routes: RequestRoutes, key: bytes, *, key_needed: bool) -> Caller | None:
-    """Return the holder of a key; ``None`` if a key is needed and this one is not known."""
+    """Return the caller with a key; ``None`` if a key is needed and this one is unknown."""
     if routes.tenants is None:
         return Caller(None, has_tenants=False, version=routes.version)
     digest = key_digest(key) if key else ""
--- a/src/quaymill/process/front/caller_protocol.py
+++ b/src/quaymill/process/front/caller_protocol.py
@@ -61,7 +61,7 @@
 
 @attrs.frozen
 class Malformed:
-    """A request of a caller is malformed."""
+    """Why a caller's request is malformed, and what the caller should do."""
 
     reason: str
     remedy: str
--- a/src/quaymill/process/front/front_service.py
+++ b/src/quaymill/process/front/front_service.py
@@ -61,6 +61,7 @@
 STARTING_CHECK_INTERVAL_S = 0.02
 """Time between two checks whether there is a configuration."""
 DEFAULT_TIMEOUT_S = 60.0
+"""Timeout of a request whose caller sends none."""
 MAX_UNREAD_BODY_BYTES = 64 * 1024
 """A body of a refused request up to this size is read, so that its connection can be reused."""
 
--- a/src/quaymill/process/front/http_server.py
+++ b/src/quaymill/process/front/http_server.py
@@ -32,7 +32,8 @@
 IDLE_WORKERS_INTERVAL_S = 10.0
 MAX_KEEP_ALIVE_CONNECTIONS = 2000
 IDLE_CHECK_MARGIN_S = 10.0
-"""Added to the idle timeout, as cheroot measures it with the wall clock, which may jump."""
+"""Added to the idle timeout given to cheroot, which measures it with the wall clock: without the
+margin, a forward jump of the clock could close connections too early."""
 READ_BLOCK_BYTES = 256 * 1024
 SERVER_NAME = "quaymill"
 DEFAULT_HEADER_TIMEOUT_S = 3.0
@@ -68,6 +69,7 @@
         try:
             folded = super().__call__(recorder, hdict)
         except UnboundLocalError as error:
+            # Raised by cheroot if the first header line is a continuation line.
             raise ValueError("Illegal continuation line.") from error
         folded[b":lines"] = recorder.lines
         return folded
@@ -236,7 +238,7 @@
             self._buffered.send(block)
 
     def name_request(self, request_id: str) -> None:
-        """Tell how the request is called in log lines."""
+        """Set the id of the request for log lines."""
         if self._buffered is not None:
             self._buffered.request_id = request_id
 
@@ -351,7 +353,11 @@
 
     @property
     def idle_timeout_s(self) -> float:
-        """How long a connection may be idle, and how long a read or write may take."""
+        """How long a new connection may send nothing.
+
+        Connections that wait for a further request, reads and writes have a timeout that is
+        longer by ``IDLE_CHECK_MARGIN_S``.
+        """
         return self.timeout - IDLE_CHECK_MARGIN_S
 
     @idle_timeout_s.setter
--- a/src/quaymill/process/front/refusals.py
+++ b/src/quaymill/process/front/refusals.py
@@ -22,7 +22,7 @@
     Attributes
     ----------
     retry_after_s
-        When the caller should retry; only where the request has not run.
+        Seconds after which the caller should retry; only where the request has not run.
     headers
         In addition to the headers of every refusal.
     kind
--- a/src/quaymill/process/gateway_gauges.py
+++ b/src/quaymill/process/gateway_gauges.py
@@ -51,7 +51,7 @@
 
 @attrs.frozen
 class _QueueCollector:
-    """Reads the lines kept here whenever metrics are read."""
+    """Reads the lengths of this gateway's pool queues whenever metrics are read."""
 
     lengths: Callable[[], Mapping[EnginePool, int]]
 
--- a/src/quaymill/process/gateway_node.py
+++ b/src/quaymill/process/gateway_node.py
@@ -73,9 +73,12 @@
 THREADS = 160
 ADMISSION_LIMIT = 144
 STOP_MARGIN_S = 0.7
+"""Part of the grace period that is reserved for stopping after the drain."""
 IDLE_BEFORE_EXIT_S = 0.4
+"""How long a draining gateway must be idle before it stops."""
 IDLE_CHECK_INTERVAL_S = 0.05
 JOIN_TIMEOUT_S = 3.0
+"""Time after the start at which a gateway is ready even without enough storage nodes."""
 
 
 @attrs.frozen
--- a/src/quaymill/process/log_events.py
+++ b/src/quaymill/process/log_events.py
@@ -126,11 +126,12 @@
         ordinary_outcome="over-limit",
     ),
     "limit:granting": LogEvent(
-        "this gateway has become responsible for granting a tenant's requests",
+        "this gateway begins to grant request credits of a tenant, as the granter for all gateways"
+        " or, if that one does not answer, from its local share of the limit",
         (
             TENANT,
             "allowed, window_s: most requests that it grants in a window, and the window's length",
-            "gateways, known: responsive gateways, and all that may still be serving",
+            "gateways, known: number of reachable gateways, and with the recently lost ones",
         ),
     ),
     "limit:granter_silent": LogEvent(
@@ -141,7 +142,7 @@
         "handling a request raised an exception", ("error: the exception",)
     ),
     "front:heads_given_up": LogEvent(
-        "callers' connections were closed because the head of a request did not arrive in time",
+        "callers' connections were closed because no complete head of a request arrived in time",
         ("connections: how many",),
     ),
     "front:http_error": LogEvent(
@@ -184,7 +185,8 @@
         "another gateway made a call to the store for this one", ("name", "peer")
     ),
     "control:history_gone": LogEvent(
-        "a watch must start again from a full listing", ("kind", "revision")
+        "the store no longer has the changes since a revision; all objects are listed again",
+        ("kind: kind of the objects", "revision"),
     ),
     "membership:member": LogEvent(
         "this node's view of another node has changed",
@@ -220,10 +222,11 @@
         "a reply to a peer could not be encoded or sent; its connection is closed", ("error",)
     ),
     "peer:line_too_long": LogEvent(
-        "a peer sent a line longer than the limit; its connection is closed", ("received_bytes",)
+        "a peer sent more bytes than the limit without ending the line; its connection is closed",
+        ("received_bytes: bytes of that line so far",),
     ),
     "peer:kept_connection_failed": LogEvent(
-        "a kept connection to a peer did not respond; all idle connections to it are closed",
+        "no reply on a reused connection to a peer; all idle connections to it are closed",
         ("peer: its address", "kind: of the message", REASON),
     ),
     "registry:looked": LogEvent("peers were looked up in the store", ("found: entries",)),
@@ -238,7 +241,7 @@
         "a job was not accepted", (JOB, REASON, "may_run: whether some items may run nevertheless")
     ),
     "job:kept_in_one_zone": LogEvent(
-        "enough copies are on disks, but in too few zones to survive the loss of a zone",
+        "enough copies are on disks, but in fewer zones than the settings require",
         (
             JOB,
             "message: StoreJob, StoreResults or EndJob",
@@ -259,7 +262,7 @@
         (
             JOB,
             "items",
-            "events: known of its unfinished items; they are not generated again",
+            "events: number of known events of its unfinished items; not generated again",
         ),
     ),
     "job:listed": LogEvent(
--- a/src/quaymill/process/logs.py
+++ b/src/quaymill/process/logs.py
@@ -26,7 +26,7 @@
 LINES_PER_S = 400.0
 BURST_LINES = 2000.0
 ORDINARY_SHARE = 0.5
-"""Share of the budget that ordinary lines may use; the rest is reserved for other lines."""
+"""Share of the burst that ordinary lines may use; the rest is reserved for other lines."""
 DROPPED_TYPE = "log:dropped"
 
 
--- a/src/quaymill/process/machine_list_changes.py
+++ b/src/quaymill/process/machine_list_changes.py
@@ -51,7 +51,7 @@
             self._newest = machine_list
 
     def since(self, version: int, current: MachineList) -> MachineListChanges:
-        """Return the changes since a version, or the whole list if they are not kept."""
+        """Return the changes since a version; the whole list if some are no longer kept."""
         with self._lock:
             later = [kept for kept in self._changes if kept.base_version >= version]
         if not version or not later or later[0].base_version != version:
--- a/src/quaymill/process/node_registry.py
+++ b/src/quaymill/process/node_registry.py
@@ -1,7 +1,7 @@
 """Entries of nodes in the platform's store, through which nodes find each other without seeds.
 
-The few nodes that rank first write an entry each; a node that knows too few others reads the
-entries and joins through any node that answers.
+The few nodes that rank first write an entry each. A node that knows too few others writes one as
+well, reads the entries and joins through any node that answers.
 """
 
 from __future__ import annotations
--- a/src/quaymill/process/peer_network.py
+++ b/src/quaymill/process/peer_network.py
@@ -137,7 +137,7 @@
         return self.zone_reachability.prefer_reachable(self.other_gateways())
 
     def process(self, name: str) -> Member | None:
-        """Return the node that runs the process of that name; ``None`` if the process has ended."""
+        """Return the node that runs the process; ``None`` if it is unknown or has ended."""
         node_name, _, _ = name.rpartition(PROCESS_NAME_SEPARATOR)
         for member in self.membership.members():
             if member.name == node_name and process_name(member) == name:
--- a/src/quaymill/process/serving_settings.py
+++ b/src/quaymill/process/serving_settings.py
@@ -165,7 +165,7 @@
 
     @property
     def read_interval_s(self) -> float:
-        """Time between two reads of the store that look for changes."""
+        """Time between two reads of the store for changes."""
         shortest_ms = min(self.bounds.configuration_ms, self.bounds.drain_ms)
         return READ_INTERVAL_SHARE * shortest_ms / MS_PER_S
 
--- a/tests/test_fleet_path.py
+++ b/tests/test_fleet_path.py
@@ -153,6 +153,7 @@
         self.assertEqual(runs, after)
 
     def test_unknown_job_is_404(self) -> None:
+        # Shortly after its start a gateway answers 503, as it may not know all storage nodes.
         self.rig.gateways["gateway-0"].jobs._lookup._started_at -= 60.0
         self.assertEqual(404, self.rig.read_results("gateway-0", "none").status)
         self.assertEqual(404, self.rig.call("gateway-0", "DELETE", "/v1/lots/none").status)
--- a/tests/test_tenant_keys.py
+++ b/tests/test_tenant_keys.py
@@ -421,6 +421,7 @@
     """Batch jobs are visible to their tenant only."""
 
     def test_only_its_tenant_sees_a_job(self) -> None:
+        # Shortly after its start a gateway answers 503, as it may not know all storage nodes.
         for gateway in self.rig.gateways.values():
             gateway.jobs._lookup._started_at -= 60.0
         self.rig.submit("gateway-0", "job-a", 2, headers=key_header(KEY))
