--- a/src/quaymill/process/serving_settings.py
+++ b/src/quaymill/process/serving_settings.py
@@ -185,12 +185,12 @@
         reason, _, place = str(error).partition(" - at `$")
         key = place.rstrip("`").lstrip(".")
         return SettingsError(file, key, reason, "see docs/OPERATIONS.md for the keys")
-    for key, value, remedy in _faults(settings, role):
+    for key, value, remedy in _find_faults(settings, role):
         return SettingsError(file, key, f"is {value!r}", remedy)
     return settings
 
 
-def _faults(settings: ServingSettings, role: ServingRole) -> list[tuple[str, Any, str]]:
+def _find_faults(settings: ServingSettings, role: ServingRole) -> list[tuple[str, Any, str]]:
     """Return the invalid keys with their values and remedies."""
     faults: list[tuple[str, Any, str]] = []
     for key in ("name", "zone", "region", "address"):
@@ -200,7 +200,7 @@
         faults.append(("peer_ports", settings.peer_ports, "write FIRST,LAST"))
     if role is ServingRole.JOB_STORAGE and not settings.data_folder:
         faults.append(("data_folder", "", "name a folder on the machine's disk"))
-    faults += _endpoint_faults(settings, role)
+    faults += _find_endpoint_faults(settings, role)
     if settings.store_writes_per_s <= 0:
         faults.append(("store_writes_per_s", settings.store_writes_per_s, "use a number above 0"))
     for key in ("disks_lost_at_once", "zones_lost_at_once"):
@@ -213,7 +213,9 @@
     return faults
 
 
-def _endpoint_faults(settings: ServingSettings, role: ServingRole) -> list[tuple[str, Any, str]]:
+def _find_endpoint_faults(
+    settings: ServingSettings, role: ServingRole
+) -> list[tuple[str, Any, str]]:
     endpoints = [("store", settings.store)]
     endpoints += [("seeds", seed) for seed in settings.seeds.split(",") if seed]
     if role is ServingRole.GATEWAY:
--- a/src/quaymill/process/storage_node.py
+++ b/src/quaymill/process/storage_node.py
@@ -83,12 +83,12 @@
             protocol.retirement_active,
             protocol.retirement_succeeded,
         )
-        self._request_follower = Follower(
+        self._retirement_follower = Follower(
             store,
             ObjectKind.RETIREMENTS,
             WATCH_TIMEOUT_S,
-            self._handle_requests,
-            self._handle_request_changes,
+            self._handle_retirements,
+            self._handle_retirement_changes,
         )
         self._registry = NodeRegistry(store, network.membership, self._lacks_peers)
 
@@ -97,7 +97,7 @@
         self.network.start()
         self._repair.start()
         self._orphans.start()
-        self._request_follower.start()
+        self._retirement_follower.start()
         self._registry.start()
         threading.Thread(target=self._sweep, name="retention", daemon=True).start()
         log_message(
@@ -112,7 +112,7 @@
         """Stop; data on the disk is kept."""
         self._stopping.set()
         self.network.membership.announce_draining()
-        self._request_follower.stop()
+        self._retirement_follower.stop()
         self._registry.stop()
         self._retirement.stop()
         self._orphans.stop()
@@ -125,11 +125,11 @@
         while not self._stopping.wait(SWEEP_INTERVAL_S):
             self._retention.sweep()
 
-    def _handle_requests(self, listing: Listing) -> None:
+    def _handle_retirements(self, listing: Listing) -> None:
         if any(stored.name == self._settings.name for stored in listing.objects):
             self._retirement.begin()
 
-    def _handle_request_changes(self, changes: Changes) -> None:
+    def _handle_retirement_changes(self, changes: Changes) -> None:
         for change in changes.changes:
             if change.object.name == self._settings.name and not change.deleted:
                 self._retirement.begin()
--- a/tests/test_tenant_keys.py
+++ b/tests/test_tenant_keys.py
@@ -215,7 +215,7 @@
                 (run,) = self.runs(f"good-{number}")
                 self.assertEqual("office", run.headers["tenant"])
 
-    def test_fuzzed_forms_reach_a_replica_only_as_the_keys_tenant(self) -> None:
+    def test_fuzzed_keys_identify_only_their_own_tenant(self) -> None:
         rng = random.Random(FUZZ_SEED)
         parts = [
             "Bearer",
