--- a/src/quaymill/process/front/monitoring_servers.py
+++ b/src/quaymill/process/front/monitoring_servers.py
@@ -11,7 +11,7 @@
 
 THREADS = 4
 IDLE_THREADS = 1
-"""One idle worker is enough, as such pages are requested once a second or less often."""
+"""One idle worker is enough, as these addresses are requested once a second or less often."""
 METRICS_PATH = "/metrics"
 METRICS_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 
--- a/src/quaymill/process/gateway_parts.py
+++ b/src/quaymill/process/gateway_parts.py
@@ -22,7 +22,7 @@
 def build_circuit_store(
     settings: ServingSettings, network: PeerNetwork, store: ObjectStore
 ) -> CircuitStore:
-    """Return the platform's store wrapped in a circuit breaker that keeps the operator's bounds."""
+    """Return the platform's store wrapped in a circuit breaker; its delays respect the bounds."""
     bounds = settings.bounds
     settle_s = bounds.settle_ms / MS_PER_S
     longest_s = max_probe_delay_s(
--- a/src/quaymill/process/job_copies.py
+++ b/src/quaymill/process/job_copies.py
@@ -41,8 +41,8 @@
     def rank(self, job_id: str, members: Iterable[Member]) -> tuple[Member, ...]:
         """Return storage nodes in order of preference for a job's copies.
 
-        The first does not depend on the number of zones: it keeps the job's progress and assigns
-        the job to another gateway when its coordinator has ended.
+        The first node does not depend on the number of zones. It keeps the job's progress and
+        assigns the job to another gateway when its coordinator has ended.
         """
         rank = rank_across_zones if self.zones > 1 else rank_nodes
         return rank(job_id, members)
