--- a/src/quaymill/process/gateway_parts.py
+++ b/src/quaymill/process/gateway_parts.py
@@ -25,7 +25,7 @@
     """Return the platform's store wrapped in a circuit breaker; its delays respect the bounds."""
     bounds = settings.bounds
     settle_s = bounds.settle_ms / MS_PER_S
-    longest_s = max_probe_delay_s(
+    max_delay_s = max_probe_delay_s(
         bounds.contact_ms / MS_PER_S, settle_s, bounds.configuration_ms / MS_PER_S
     )
     rules = RecoveryRules(
@@ -34,7 +34,7 @@
         writes_per_s=settings.store_writes_per_s,
         max_spread_s=settle_s,
     )
-    return CircuitStore(store, StoreCircuit(longest_s), rules)
+    return CircuitStore(store, StoreCircuit(max_delay_s), rules)
 
 
 def build_limiter(
