--- a/src/quaymill/process/settings.py
+++ b/src/quaymill/process/settings.py
@@ -59,6 +59,10 @@
 
     Attributes
     ----------
+    suspicion_s
+        How long a member is suspect before it is declared dead.
+    rejoin_interval_s
+        Mean time between two attempts to reach seeds and lost nodes.
     join_period_s
         How long after its start a node looks for others many times a second; 0 disables this.
     """
