--- a/src/quaymill/process/settings.py
+++ b/src/quaymill/process/settings.py
@@ -60,9 +60,9 @@
     Attributes
     ----------
     suspicion_s
-        How long a member is suspect before it is declared dead.
+        Shortest time for which a member is suspect before it is declared dead.
     rejoin_interval_s
-        Mean time between two attempts to reach seeds and lost nodes.
+        Mean time between two attempts to reach an unknown seed or a dead member.
     join_period_s
         How long after its start a node looks for others many times a second; 0 disables this.
     """
