--- a/src/quaymill/process/job_copies.py
+++ b/src/quaymill/process/job_copies.py
@@ -21,8 +21,8 @@
         Copies on disks before anything is acknowledged; repair maintains one more if there are
         enough nodes.
     zones
-        Number of zones over which copies are spread, if that many can be reached; with 1 zones
-        are ignored.
+        Number of zones over which copies are spread, if that many can be reached; zones are
+        ignored if it is 1.
     """
 
     needed: int
