--- a/src/quaymill/process/replica_set/online_queue.py
+++ b/src/quaymill/process/replica_set/online_queue.py
@@ -1,10 +1,10 @@
 """Queues online requests while all engines of their service are full, and dispatches them in order.
 
 An engine serves requests in the order of arrival. Under overload, a queue at the engines would
-make every request late. So a request is dispatched at once only while it can still meet its latency
-target; requests that are late already wait until a slot is free, so that the backlog after an
-outage does not delay new requests. No request is queued past its dispatch deadline, which leaves
-enough time to serve it before its caller times out.
+make every request late. So a request is dispatched at once only if a slot is free, or if it would
+still meet its latency target after waiting at the engine. All others are queued here until a slot
+is free, so that the backlog after an outage does not delay new requests. No request is queued past
+its dispatch deadline, which leaves enough time to serve it before its caller times out.
 
 If the slot allocator of the engines responds, the requests of all gateways wait in its queue, as it
 knows when a slot becomes free. Each request is also queued here: if the allocator does not respond,
@@ -72,8 +72,8 @@
 RequestSlot = Callable[
     [str, ForwardedRequest, QueueTerms], Replica | Queued | CannotServeInTime | None
 ]
-"""Requests a slot, or a place in the queue, from the slot allocator; returns ``None`` if it does
-not respond or cannot grant a slot."""
+"""Requests a slot from the slot allocator. Returns the replica of the granted slot, ``QUEUED``, or the
+refusal; ``None`` if the allocator was not asked, did not respond or chose no usable replica."""
 
 
 class DecidedBy(enum.Enum):
@@ -110,8 +110,8 @@
     slot_requested_at
         When a slot was last requested from the allocator.
     in_allocator_queue
-        Whether it waits in the allocator's queue. The local queue then dispatches it only at its
-        dispatch deadline.
+        Whether it waits in the allocator's queue, or a slot request for it is being sent. The local
+        queue then dispatches it only at its dispatch deadline.
     was_in_allocator_queue
         Whether it has ever been there.
     answer
@@ -309,7 +309,7 @@
         now = boot_clock.now()
         with self._lock:
             queued.slot_requested_at = now
-            # A grant may arrive before this call returns.
+            # Prevents a local dispatch during the call, as the allocator may grant a slot then.
             queued.in_allocator_queue = True
             terms = QueueTerms(
                 ticket=queued.ticket,
@@ -345,7 +345,7 @@
             return True
 
     def leave_allocator_queue(self) -> None:
-        """Dispatch all requests by local decisions, as the allocator does not respond."""
+        """Decide locally on all queued requests from now on: the allocator does not respond."""
         with self._lock:
             for queued in self._queued_by_ticket.values():
                 queued.in_allocator_queue = False
@@ -410,7 +410,7 @@
         return may_dispatch(engine, queued.target_at, now)
 
     def _least_loaded(self, service: str) -> Replica | None:
-        """Return the least loaded healthy replica; ``None`` unless all loads are known."""
+        """Return the least loaded healthy replica; ``None`` without one or if a load is unknown."""
         healthy = [
             replica
             for replica in self._table.of_service(service)
--- a/src/quaymill/process/replica_set/replica.py
+++ b/src/quaymill/process/replica_set/replica.py
@@ -15,7 +15,7 @@
 from quaymill.process.replica_set.slowness import SlownessRecord
 
 REPORT_HALF_LIFE_S = 1.0
-"""Half-life of the load of other processes according to the last report."""
+"""Time after which the last report counts half in the estimated load of other processes."""
 POOL_VIEW_LIFETIME_S = 0.6
 """How long the allocator's report on a replica is used; twice the usual interval of reports."""
 BATCH_ITEM_LOAD = 0.25
@@ -165,7 +165,10 @@
 
     @property
     def unanswered_since(self) -> float | None:
-        """Time since when requests of this process wait for data (monotonic), or ``None``."""
+        """Monotonic time since when nothing was received; ``None`` if no request is in flight.
+
+        Counts from the first request of this process if no data has arrived since it was sent.
+        """
         return self._quiet_since if self.in_flight else None
 
     @property
@@ -189,8 +192,9 @@
         """Whether the replica has requests of this process but sends no data at all.
 
         A replica that has failed or is frozen stops sending on all connections at once, which is
-        detected long before a single request times out. If no answer has begun and all slots are
-        in use, the requests of this process just wait for a slot.
+        detected long before a single request times out. If no answer is being received and all
+        slots are in use, the requests of this process may just wait for a slot; the replica then
+        counts as silent only after ``QUEUED_SILENCE_S``.
         """
         if not self.in_flight:
             return False
--- a/src/quaymill/process/replica_set/router.py
+++ b/src/quaymill/process/replica_set/router.py
@@ -1,9 +1,10 @@
 """Chooses the replica that gets a request.
 
-The replica with the lowest estimated cost is chosen. The cost is the load with two corrections: a
-replica of another zone counts as slightly busier, and a replica that has probably cached a large
-shared part of the prompt counts as less busy. The loads known here are too old during a burst of
-requests, so the slot allocator of the replica's pool is asked, and its choice takes precedence.
+The replica with the lowest estimated cost is chosen. The cost is the load with corrections: a
+replica counts as busier if it is slow, is in another zone or has failed recently, and as less busy
+if it has probably cached a large shared part of the prompt. The loads known here are too old during
+a burst of requests, so the slot allocator of the replica's pool is asked, and its choice takes
+precedence.
 """
 
 from __future__ import annotations
--- a/src/quaymill/process/replica_set/warnings.py
+++ b/src/quaymill/process/replica_set/warnings.py
@@ -27,8 +27,8 @@
 """Interval at which the warning of a replica is repeated while it fails."""
 CALL_TIMEOUT_S = 0.3
 MAX_FAILING_SHARE = 0.25
-"""Share of a service's replicas. If more of them fail for this gateway, the cause is probably the
-gateway itself, and no warning is sent."""
+"""Share of a service's replicas. If more of them, and more than one, fail for this gateway, the
+cause is probably the gateway itself, and no warning is sent."""
 
 
 class ReplicaWarnings:
--- a/src/quaymill/request/answer_buffer.py
+++ b/src/quaymill/request/answer_buffer.py
@@ -156,6 +156,8 @@
     def send(self, data: bytes) -> None:
         """Send what the caller's connection accepts at once, and buffer the rest.
 
+        Blocks while the buffer is larger than one answer may take.
+
         Raises
         ------
         AnswerEndedError
--- a/src/quaymill/request/answer_relay.py
+++ b/src/quaymill/request/answer_relay.py
@@ -16,7 +16,9 @@
 from quaymill.version.request_routes import RequestRoute
 
 MAX_BUFFERED_BYTES = 256 * 1024
+"""Larger answers are sent to the caller while they are still being read."""
 EVENT_GAP_TIMEOUT_S = 1.0
+"""Maximum time between two blocks of a stream, if another replica may be tried."""
 EVENT_STREAM = "text/event-stream"
 
 
--- a/src/quaymill/request/forwarding.py
+++ b/src/quaymill/request/forwarding.py
@@ -51,7 +51,7 @@
 from quaymill.version.request_routes import RequestRoute, RouteKind
 
 MAX_REFUSALS = 8
-"""Maximum number of replicas that may answer "not executed" before the request is given up."""
+"""Number of "not executed" answers and failed connections after which the request is given up."""
 MAX_ERROR_BYTES = 64 * 1024
 """Maximum size of an error answer that is kept while another replica is tried."""
 ERROR_BODY_TIMEOUT_S = 0.1
@@ -63,6 +63,7 @@
 being sent."""
 MAX_IDLE_S = 20.0
 FIRST_EVENT_TIMEOUT_S = 2.0
+"""Timeout for the first byte of a stream, if another replica may be tried."""
 SILENCE_TIMEOUT_S = 0.6
 """Time to wait for a replica that sends nothing at all, if another replica may be tried."""
 SILENCE_CHECK_INTERVAL_S = 0.1
@@ -73,6 +74,7 @@
 UNREACHABLE_WEIGHT = 2.0
 """Weight of a failed connection in the replica's failure count; an ordinary failure counts 1."""
 FIRST_BYTE_TIMEOUT_FACTOR = 8.0
+"""Timeout for the first byte, if another replica may be tried, as a multiple of the usual time."""
 MIN_FIRST_BYTE_TIMEOUT_S = 0.5
 
 
@@ -233,7 +235,7 @@
     def _give_up(
         self, reason: str, timed_out: bool = False, retry_after_s: float | None = None
     ) -> GivenUp | Delivered:
-        """End without a success; deliver the kept error answer of a replica if there is one."""
+        """End without a success; abort a started answer, or deliver the kept error answer."""
         if self._answer.started:
             self._answer.abort()
         elif self._kept_error is not None:
--- a/src/quaymill/request/poison.py
+++ b/src/quaymill/request/poison.py
@@ -158,7 +158,7 @@
         )
 
     def crash_count(self, content: str) -> int:
-        """Return how many replicas are known to have crashed while running a content."""
+        """Return how many crashes count against a content; those before it was served do not."""
         crashes = self._by_content.get(content)
         return 0 if crashes is None else crashes.count
 
