--- a/src/quaymill/process/replica_set/online_queue.py
+++ b/src/quaymill/process/replica_set/online_queue.py
@@ -72,8 +72,9 @@
 RequestSlot = Callable[
     [str, ForwardedRequest, QueueTerms], Replica | Queued | CannotServeInTime | None
 ]
-"""Requests a slot from the slot allocator. Returns the replica of the granted slot, ``QUEUED``, or the
-refusal; ``None`` if the allocator was not asked, did not respond or chose no usable replica."""
+"""Requests a slot from the slot allocator. Returns the replica with the granted slot,
+``QUEUED`` or the refusal; ``None`` if the allocator was not asked, did not respond or chose no
+usable replica."""
 
 
 class DecidedBy(enum.Enum):
