--- a/src/quaymill/process/limits/request_credits.py
+++ b/src/quaymill/process/limits/request_credits.py
@@ -126,7 +126,7 @@
 
         Refused callers get different times, each one credit later than the one before; otherwise
         all of them would retry at once for a single credit. Times beyond ``MAX_RETRY_AFTER_S``
-        are replaced by random ones in its second half.
+        are replaced by random ones between half of it and it.
         """
         now = boot_clock.now()
         missing = max(0.0, 1.0 - self._remaining(now))
--- a/src/quaymill/process/replica_set/online_queue.py
+++ b/src/quaymill/process/replica_set/online_queue.py
@@ -118,7 +118,7 @@
     answer
         The replica on which a slot was granted, or the refusal.
     wait_ended
-        Set when it is dispatched or refused, or its caller has disconnected.
+        Set when it is dispatched or refused, its caller has disconnected, or the node stops.
     """
 
     arrived_at: float
@@ -218,12 +218,12 @@
         request: ForwardedRequest,
         presence: CallerPresence,
     ) -> ChosenReplica | CannotServeInTime | None:
-        """Wait until a request may be dispatched or its caller has disconnected.
+        """Wait until a request may be dispatched, its caller has disconnected, or the node stops.
 
         Returns
         -------
         The replica on which the allocator granted a slot, or its refusal; ``None`` if the request
-        was dispatched without a slot, or the caller has disconnected.
+        was dispatched without a slot, or the wait ended for one of the other reasons.
         """
         now = boot_clock.now()
         with self._lock:
--- a/src/quaymill/request/whole_answer.py
+++ b/src/quaymill/request/whole_answer.py
@@ -16,7 +16,8 @@
 _DATA = b"data: "
 _WHOLE_OBJECTS = {"chat.completion.chunk": "chat.completion"}
 _REPLACED_KEYS = frozenset({"index", "role", "type", "id"})
-"""Fields whose later values replace earlier ones; other strings are concatenated."""
+"""Fields whose later values replace earlier ones, as does ``finish_reason``; other strings are
+concatenated."""
 _DROPPED_KEYS = frozenset({"token_ids"})
 
 
@@ -55,7 +56,8 @@
 def _merge(whole: dict[str, Any], part: dict[str, Any]) -> None:
     """Merge the fields of a chunk into ``whole``.
 
-    Strings and lists are extended, objects are merged recursively, other values are replaced.
+    Strings and lists are extended, objects are merged recursively, other values are replaced. A
+    field that is ``None`` in the chunk keeps its value, unless it is in ``_REPLACED_KEYS``.
     """
     for name, value in part.items():
         existing = whole.get(name)
