--- a/src/quaymill/request/replica_choice.py
+++ b/src/quaymill/request/replica_choice.py
@@ -149,7 +149,7 @@
         request: ForwardedRequest,
         presence: CallerPresence,
     ) -> ChosenReplica | CannotServeInTime | None:
-        """Wait until the request may be dispatched or its caller has disconnected.
+        """Wait until the request may be dispatched, its caller has disconnected, or the node stops.
 
         Returns
         -------
