--- a/src/quaymill/process/replica_set/online_queue.py
+++ b/src/quaymill/process/replica_set/online_queue.py
@@ -118,7 +118,7 @@
     answer
         The replica on which a slot was granted, or the refusal.
     wait_ended
-        Set when it is dispatched or refused, its caller has disconnected, or the node stops.
+        Set when it is dispatched or refused, or its caller is gone or the wait is interrupted.
     """
 
     arrived_at: float
@@ -218,7 +218,7 @@
         request: ForwardedRequest,
         presence: CallerPresence,
     ) -> ChosenReplica | CannotServeInTime | None:
-        """Wait until a request may be dispatched, its caller has disconnected, or the node stops.
+        """Wait until a request may be dispatched, or ``presence`` is gone or interrupted.
 
         Returns
         -------
--- a/src/quaymill/request/replica_choice.py
+++ b/src/quaymill/request/replica_choice.py
@@ -149,7 +149,7 @@
         request: ForwardedRequest,
         presence: CallerPresence,
     ) -> ChosenReplica | CannotServeInTime | None:
-        """Wait until the request may be dispatched, its caller has disconnected, or the node stops.
+        """Wait until the request may be dispatched, or ``presence`` is gone or interrupted.
 
         Returns
         -------
