--- a/src/quaymill/process/jobs/allocator_calls.py
+++ b/src/quaymill/process/jobs/allocator_calls.py
@@ -30,8 +30,8 @@
 from quaymill.process.jobs.slot_grants import SlotGrant
 
 CALL_TIMEOUT_S = 0.2
-"""A coordinator that does not answer in time is asked again with its next claim, because the
-engine's report still shows the excess."""
+"""A coordinator that does not answer in time is asked again in the answer to its next claim,
+because the engine's report still shows the excess."""
 GRANT_TIMEOUT_S = 0.1
 """If a gateway answers later, the slot is granted to the next queued request. Short enough that the
 next request can still meet its latency target."""
--- a/src/quaymill/process/jobs/item_dispatcher.py
+++ b/src/quaymill/process/jobs/item_dispatcher.py
@@ -43,6 +43,7 @@
 """Minimum time between two claims, so that items that end close together share one."""
 RETRY_PAUSE_S = 0.3
 MAX_RUNNING_ITEMS = 96
+"""Number of running items from which no more slots are claimed; one claim may exceed it."""
 MAX_POOLS_ASKED = 3
 """Maximum number of engine pools in which waiting items claim slots in one round."""
 RESERVE_SHARES = ((0.3, 0.15), (0.0, 0.0))
--- a/src/quaymill/process/jobs/lease_renewal.py
+++ b/src/quaymill/process/jobs/lease_renewal.py
@@ -32,7 +32,7 @@
         Jobs whose lease another coordinator holds at some storage node. The listing decides which
         of the two coordinators leaves the job.
     unlisted
-        Jobs that have a result at a storage node which is missing in the coordinator's listing.
+        Jobs of which a storage node may have a result that the coordinator's listing lacks.
     confirmed
         Jobs whose listing was the newest when the renewal began: every storage node that may have
         a result which is missing in it has answered that it has none.
--- a/src/quaymill/process/jobs/online_reporter.py
+++ b/src/quaymill/process/jobs/online_reporter.py
@@ -57,10 +57,11 @@
 """Share of a pool's slots above which ends of requests are reported immediately. Doing so only once
 requests are queued would be too late: the allocator would still count requests that have ended."""
 ENDS_INTERVAL_S = 0.05
-"""Maximum delay of a report of ended requests; a start within it is reported together with them."""
+"""Delay of a report of ended requests if there are few gateways. A report of a started request also
+contains them, and ends the delay."""
 ENDS_INTERVAL_PER_GATEWAY_S = 0.002
-"""The delay may be longer: up to this value times the number of live gateways. This limits the
-reports of ended requests that one allocator receives to 500 per second."""
+"""If there are many gateways, the delay is this value times the number of live gateways instead.
+This limits the reports of ended requests that one allocator receives to 500 per second."""
 SLOWNESS_LIFETIME_S = 1.0
 """Age above which a replica's slowness reading is no longer reported."""
 REPEAT_INTERVAL_S = 0.25
@@ -88,7 +89,7 @@
     reachable
         Returns those of the given gateways that are in reachable zones; see ``ReachableOf``.
     allocator_lost
-        Called when an allocator does not answer; this gateway then decides on its requests there.
+        Called when an allocator does not answer, to dispatch queued requests by local decisions.
     dispatch_granted
         Dispatches a queued request that was granted a slot, by its ticket and the replica's id;
         returns whether it was dispatched.
@@ -148,6 +149,11 @@
         Returns ``None`` if the allocator was not asked, did not answer in time or chose no usable
         replica. The allocator counts the request at the returned replica: call ``began`` when it is
         sent there, ``release_slot`` if not.
+
+        Parameters
+        ----------
+        first
+            This gateway's own choice for the first attempt; the request is placed in its pool.
         """
         answer = self._request_placement(first, constraints, None)
         return answer if isinstance(answer, Replica) else None
@@ -159,6 +165,11 @@
 
         Returns ``None`` if the allocator was not asked, for example because it is not known to have
         a queue, or if it did not answer in time or chose no usable replica.
+
+        Parameters
+        ----------
+        first
+            This gateway's own choice for the first attempt; the request is placed in its pool.
         """
         return self._request_placement(first, constraints, terms)
 
@@ -175,7 +186,7 @@
         with self._lock:
             counts = self._counts_in(pool, self._in_flight + self._placed)
             if pool.pools == 1:
-                # The request reports all that has ended, so no separate report is needed.
+                # The placement message contains all current counts, so no report is needed.
                 self._changed = False
                 self._reported_at = now
         placed = self._call_place_online(allocator, pool, counts, constraints, terms)
@@ -229,7 +240,7 @@
         self._report_now.set()
 
     def withdraw(self, service: str, ticket: str) -> None:
-        """Record that a queued request no longer waits; the service's next message says so."""
+        """Record that a queued request no longer waits; the service's next message contains it."""
         with self._lock:
             self._withdrawn_by_service.setdefault(service, []).append(ticket)
             self._changed = True
--- a/src/quaymill/process/jobs/pool_counts.py
+++ b/src/quaymill/process/jobs/pool_counts.py
@@ -184,7 +184,7 @@
         return self.online[replica.id] + self.batch[replica.id]
 
     def online_load(self, replica: Replica) -> float:
-        """Return the load of a replica in online requests; a batch item counts as a part of one."""
+        """Return the load of a replica in online requests; a batch item counts as a fraction."""
         return online_load(self.online[replica.id], self.batch[replica.id])
 
     def loads(self, replicas: Iterable[Replica]) -> tuple[ReplicaLoad, ...]:
--- a/src/quaymill/process/jobs/quota_ledger.py
+++ b/src/quaymill/process/jobs/quota_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger of a batch route's quota: the number of unfinished tokens of each job.
+"""The ledger of a batch route's quota: the tokens of the unfinished items of each job.
 
 There is one object for each route, or for each tenant of a route, in the platform's store. It is
 changed by compare-and-swap only, so that two gateways never assign the same tokens of a quota, even
@@ -260,7 +260,7 @@
             if isinstance(written, StoreRefused):
                 return LedgerUnknown(written.reason)
             # Not answered, or a conflict without the stored object: read to find out. A write that
-            # is still in progress applies to the old revision only, so it fails after another one.
+            # is still in progress expects the old revision, so it fails after a later write.
             found = self.read(name)
             if isinstance(found, LedgerUnknown):
                 return found
