--- a/src/quaymill/process/jobs/item_dispatcher.py
+++ b/src/quaymill/process/jobs/item_dispatcher.py
@@ -155,7 +155,7 @@
     def _dispatch_once(self, jobs: list[CoordinatedJob]) -> None:
         jobs_by_service: dict[str, list[CoordinatedJob]] = {}
         for job in jobs:
-            services = self._services_of(job)
+            services = self._update_route(job)
             self._give_up_unstarted(job)
             if services and job.has_work():
                 # If the route has several services, one is chosen according to their weights.
@@ -275,7 +275,7 @@
         replica = self._parts.table.get(item.replica_id)
         return replica is not None and pool.holds(replica)
 
-    def _services_of(self, job: CoordinatedJob) -> tuple[str, ...]:
+    def _update_route(self, job: CoordinatedJob) -> tuple[str, ...]:
         """Update a job's route from the current configuration, and return the route's services."""
         route = self.route_of(job.job)
         if route is None:
--- a/src/quaymill/process/jobs/online_reporter.py
+++ b/src/quaymill/process/jobs/online_reporter.py
@@ -122,7 +122,7 @@
         self._dispatch_granted = dispatch_granted
         self._queueing_allocators: set[str] = set()
         self._withdrawn_by_service: dict[str, list[str]] = {}
-        self._full_until_by_pool: dict[EnginePool, float] = {}
+        self._nearly_full_until_by_pool: dict[EnginePool, float] = {}
         self._lock = threading.Lock()
         self._in_flight: Counter[str] = Counter()
         self._placed: Counter[str] = Counter()
@@ -302,7 +302,7 @@
         slots = sum(replica.slots for _, replica in found if replica is not None)
         taken = sum(load.online for load, replica in found if replica is not None)
         is_nearly_full = taken > NEARLY_FULL_SHARE * slots
-        self._full_until_by_pool[pool] = (
+        self._nearly_full_until_by_pool[pool] = (
             boot_clock.now() + FULLNESS_LIFETIME_S if is_nearly_full else 0.0
         )
 
@@ -311,7 +311,7 @@
         """Whether ends are reported immediately, because queued requests may need the slots."""
         now = boot_clock.now()
         return bool(self._queueing_allocators) and any(
-            until > now for until in tuple(self._full_until_by_pool.values())
+            until > now for until in tuple(self._nearly_full_until_by_pool.values())
         )
 
     def began(self, replica: ChosenReplica) -> None:
--- a/src/quaymill/process/jobs/slot_allocator.py
+++ b/src/quaymill/process/jobs/slot_allocator.py
@@ -352,12 +352,12 @@
             if excess <= 0 or not counts.batch[replica.id]:
                 continue
             for name, running in _least_urgent_first(counts.claims, replica):
-                share = min(excess, running.items)
-                if share <= 0:
+                preempted = min(excess, running.items)
+                if preempted <= 0:
                     break
-                self._to_preempt_by_coordinator.setdefault(name, Counter())[replica.id] += share
-                counts.remove_items(running, share)
-                excess -= share
+                self._to_preempt_by_coordinator.setdefault(name, Counter())[replica.id] += preempted
+                counts.remove_items(running, preempted)
+                excess -= preempted
                 self._loads.record_preemption(replica)
 
     def _grant_slots_to_items(
--- a/src/quaymill/process/jobs/slot_grants.py
+++ b/src/quaymill/process/jobs/slot_grants.py
@@ -170,5 +170,5 @@
     healthy = [one for one in allowed if not one.avoided]
     if healthy or not allowed:
         return healthy
-    others = (one for one in replicas if one.id not in message.excluded)
-    return [] if any(not one.avoided for one in others) else best_group(allowed)
+    candidates = (one for one in replicas if one.id not in message.excluded)
+    return [] if any(not one.avoided for one in candidates) else best_group(allowed)
