--- a/src/quaymill/process/jobs/coordinated_job.py
+++ b/src/quaymill/process/jobs/coordinated_job.py
@@ -34,6 +34,8 @@
     """States of an item at its coordinator.
 
     WAITING -> RUNNING -> FINISHED -> LISTED; RUNNING -> WAITING when a run had no result.
+    A waiting item that is given up becomes FINISHED, and one that another coordinator has listed
+    becomes LISTED.
     """
 
     WAITING = enum.auto()
