--- a/src/quaymill/process/jobs/engine_loads.py
+++ b/src/quaymill/process/jobs/engine_loads.py
@@ -184,7 +184,7 @@
             return None
         exchange.release(KEEP_ALIVE_S)
         report = self._protocol.read(body) if exchange.status == 200 else None
-        return report if report is not None and _is_from_listed_start(report, replica) else None
+        return report if report is not None and _is_from_listed_process(report, replica) else None
 
 
 def reserved_slots(replica: Replica, share: float) -> int:
@@ -192,7 +192,7 @@
     return max(MIN_RESERVE, round(replica.slots * share))
 
 
-def _is_from_listed_start(report: EngineReport, replica: Replica) -> bool:
+def _is_from_listed_process(report: EngineReport, replica: Replica) -> bool:
     """Return whether a report is from the process that is listed for the replica.
 
     Also true if a start time is missing in the report or in the list.
