--- a/src/quaymill/process/jobs/batch_quota.py
+++ b/src/quaymill/process/jobs/batch_quota.py
@@ -68,8 +68,8 @@
 FREED_WINDOW_S = 10.0
 """Time window over which the rate of freed tokens is computed."""
 UNUSED_AFTER_S = 2 * ALLOWANCE_TERM_S
-"""Time without a job after which a tenant's ledger is no longer tracked here. Its allowance is not
-renewed either, and has expired by then."""
+"""Time without a job after which a tenant's ledger is no longer tracked here. Its allowance is then
+neither used nor renewed."""
 
 
 class BatchQuota:
--- a/src/quaymill/process/jobs/listing.py
+++ b/src/quaymill/process/jobs/listing.py
@@ -118,7 +118,7 @@
         if isinstance(written, StoreRefused):
             return ListingUnknown(written.reason)
         # Not answered, or a conflict without the stored object: read to find out. A write that is
-        # still in progress applies to the old revision only, so it fails after a later write.
+        # still in progress expects the old revision, so it fails after a later write.
         found = self.read(job_id)
         if found is None:
             return ListingUnknown("the listing was not written")
